--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -1,4 +1,4 @@
-"""Clients' connections: the events of docs/design/crossings.md in random orders, against what has to come of each."""
+"""Client connections: the events of docs/design/crossings.md in random orders, with a check of their outcomes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from client_sockets import Sockets, reset
+from client_sockets import SocketScene, reset
 from loopback import LIMIT_S, run
 from test_client_server import request
 
@@ -21,24 +21,25 @@
 
 @dataclass
 class Client:
-    """One that sends a request when the one before has its answer."""
+    """A client that sends a request once the one before is answered."""
 
     socket: socket.socket
     sent: list[str] = field(default_factory=list)
-    rest: bytes = b""  # of a request of which the first part was sent
+    rest: bytes = b""  # the unsent part of a request
     heard: bytes = b""
-    open: bool = True  # for sending
-    over: bool = False  # the end was seen
-    gone: bool = False  # it has reset
+    open: bool = True  # has not half-closed
+    over: bool = False  # has seen the end of the connection
+    gone: bool = False  # has sent a reset
 
     def read(self) -> None:
+        """Read all that has come."""
         with contextlib.suppress(BlockingIOError):
             while not self.over and not self.gone:
                 data = self.socket.recv(65536)
                 self.heard, self.over = self.heard + data, not data
 
     def send(self, name: str, part: bool) -> None:
-        """Whole, or a part, or the rest of one; unless its kernel knows that the connection has ended."""
+        """Send a request, a part or the rest of one, unless the connection is known to have ended."""
         self.read()
         if not self.open or self.over or self.gone or self.heard.count(b"HTTP/1.1 ") < len(self.sent):
             return
@@ -53,12 +54,13 @@
 
 
 async def play(seed: int) -> None:
-    chance = random.Random(seed)
-    async with Sockets(most=60) as s:
+    """Play random events with up to ten clients, stop the server, and check the answers and messages."""
+    rng = random.Random(seed)
+    async with SocketScene(max_connections=60) as s:
         clients = [Client(s.client())]
         for number in range(60):
-            one = chance.choice(clients)
-            match chance.choice(EVENTS):
+            one = rng.choice(clients)
+            match rng.choice(EVENTS):
                 case "new" if len(clients) < 10:
                     clients.append(Client(s.client()))
                 case "send" | "part" as how:
@@ -66,21 +68,21 @@
                 case "shut" if one.open and not one.gone and not one.over:
                     one.open = False
                     one.socket.shutdown(socket.SHUT_WR)
-                case "reset" if not one.gone and chance.random() < 0.3:
+                case "reset" if not one.gone and rng.random() < 0.3:
                     one.read()
                     one.gone = True
                     reset(one.socket)
                 case "old":
-                    s.age(chance.choice([Phase.SILENT, Phase.IDLE, Phase.ASKING]))
-                    s.all.sweep()
+                    s.age(rng.choice([Phase.SILENT, Phase.IDLE, Phase.ASKING]))
+                    s.connections.sweep()
                 case "crowd":
-                    s.all._make_room()
+                    s.connections._make_room()
                 case "syncs":
-                    s.owner.syncs = not s.owner.syncs
+                    s.desk.syncs = not s.desk.syncs
                 case "disk":
-                    (s.owner.synced.clear if s.owner.synced.is_set() else s.owner.synced.set)()
+                    (s.desk.synced.clear if s.desk.synced.is_set() else s.desk.synced.set)()
                 case "turn":
-                    for _ in range(chance.randrange(1, 5)):
+                    for _ in range(rng.randrange(1, 5)):
                         await asyncio.sleep(0)
         await s.server.stop()
         async with asyncio.timeout(LIMIT_S):
@@ -93,15 +95,16 @@
             if not client.gone:
                 assert len(answers) == len(client.sent), (client.sent, client.heard)
             for name, status in zip(client.sent, answers, strict=False):
-                assert (status == b"202") == (name in s.owner.begun), (name, status)
+                assert (status == b"202") == (name in s.desk.begun), (name, status)
                 assert status in (b"202", b"503")
-        assert sorted(s.owner.taken) == sorted(s.owner.begun)
-        assert not s.all.all()
+        assert sorted(s.desk.taken) == sorted(s.desk.begun)
+        assert not s.connections.all()
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_in_any_order_each_whole_request_has_one_answer_that_is_true(
+def test_in_any_order_of_events_each_complete_request_has_one_true_answer(
         seed: int, caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a missing or second answer, and against a 202 for a message that is not kept."""
     print("seed", seed)
     run(play(seed))
     assert "Traceback" not in caplog.text
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the real process: what crosses SIGTERM, SIGKILL and the closing of clients' connections."""
+"""Shutdown of the real process: events that cross SIGTERM, SIGKILL and the closing of client connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from client_sockets import rest
+from client_sockets import read_all
 from loopback import ALONE, LIMIT_S, Call, Reply, Scene, run
 from test_client_server import request
 from test_courier import health
@@ -19,7 +19,8 @@
 LONG = {"X-Deadline-Ms": "20000"}
 
 
-def dial(address: str, data: bytes = b"") -> socket.socket:
+def connect(address: str, data: bytes = b"") -> socket.socket:
+    """Return a non-blocking client socket that has connected and sent `data`."""
     client = socket.create_connection(tuple(address.split(":")))  # type: ignore[arg-type]
     client.sendall(data)
     client.setblocking(False)
@@ -27,43 +28,45 @@
 
 
 async def first_line(client: socket.socket) -> bytes:
+    """Return the status line of the next answer."""
     return (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(client, 4096), LIMIT_S)).split(b"\r\n")[0]
 
 
 def sent(s: Scene) -> list[str]:
-    """The messages that reached the endpoint, without probes."""
+    """Return the messages that reached the endpoint; probes have no id."""
     return [call.headers["x-request-id"] for call in s.endpoint.calls if "x-request-id" in call.headers]
 
 
-async def told_to_end(s: Scene) -> None:
+async def send_sigterm(s: Scene) -> None:
+    """Send SIGTERM, and wait until the readiness check shows it."""
     s.courier.process.terminate()
     while await health(s.courier.address) == 200:
         await asyncio.sleep(0.005)
 
 
-def test_all_that_lies_in_the_kernel_when_all_times_are_up_is_answered(tmp_path: Path) -> None:
-    """The process stands still from SIGTERM until the time in which it should have ended. Meanwhile come requests on
-    resting and on new connections, a second SIGTERM and a SIGHUP: all of it in one turn of its loop."""
+def test_requests_in_the_kernel_are_answered_when_all_time_limits_are_over(tmp_path: Path) -> None:
+    """The process is suspended from SIGTERM until the time at which it should have ended. In the meantime requests come
+    on idle and new connections, and a second SIGTERM and a SIGHUP, so that it sees all in one turn of its loop."""
     async def scene() -> None:
         world = Scene(tmp_path)
         world.courier.settings = ALONE
         async with world as s:
-            resting = [dial(s.courier.address, request(f"before{n}")) for n in range(20)]
-            for client in resting:
+            idle = [connect(s.courier.address, request(f"before{n}")) for n in range(20)]
+            for client in idle:
                 assert b" 202 " in await first_line(client)
             await s.endpoint.wait(20)
-            await told_to_end(s)
+            await send_sigterm(s)
             began = asyncio.get_running_loop().time()
             s.courier.process.send_signal(signal.SIGSTOP)
-            for number, client in enumerate(resting):
+            for number, client in enumerate(idle):
                 client.sendall(request(f"m{number}"))
-            new = [dial(s.courier.address, request(f"n{n}")) for n in range(100)]
+            new = [connect(s.courier.address, request(f"n{n}")) for n in range(100)]
             s.courier.process.send_signal(signal.SIGTERM)
             s.courier.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(began + 3.3 - asyncio.get_running_loop().time())
             s.courier.process.send_signal(signal.SIGCONT)
-            answers = [await rest(client) for client in [*resting, *new]]  # none is reset
-            for client in [*resting, *new]:
+            answers = [await read_all(client) for client in [*idle, *new]]  # none is reset
+            for client in [*idle, *new]:
                 client.close()
             assert await asyncio.wait_for(s.courier.process.wait(), 1.5) == 0
             assert {answer[:13] for answer in answers} <= {b"HTTP/1.1 202 ", b"HTTP/1.1 503 "}
@@ -72,15 +75,15 @@
             journal = Journal(tmp_path / "state", 3_000_000)
             kept = {name for name in journal.messages if not name.startswith("before")}
             done = {name for name in sent(s) if not name.startswith("before")}
-            assert kept | done == taken  # left to the next process, or done
+            assert kept | done == taken  # left to the next process, or delivered
             journal.close()
     run(scene())
 
 
 @pytest.mark.parametrize("workers", [0, 2])
-def test_told_to_end_again_in_its_last_moments_it_still_ends_with_0(
+def test_a_second_signal_in_the_last_moments_does_not_change_exit_code_0(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch, workers: int) -> None:
-    """After the loop is closed, which would give the signals their deadly meaning back."""
+    """The signals come after the event loop is closed, which restores their default action, to kill the process."""
     operator = tmp_path / "operator.toml" if workers else None
     if operator is not None:
         operator.write_text(f"[workers]\ncount = {workers}\n")
@@ -103,14 +106,15 @@
 
 @pytest.mark.parametrize("status", [200, 500])
 @pytest.mark.parametrize("step", ["no new attempt", "ending clients", "stopped"])
-def test_killed_at_any_step_of_its_end_all_is_tried_once(
+def test_killed_at_any_step_of_shutdown_each_message_is_tried_once(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str, status: int) -> None:
-    """A message is taken on, and an outcome comes, after new attempts have stopped. The next process tries the first;
-    what was delivered, or may have run in a class that is never repeated, goes nowhere again. The steps lie
-    further apart here, so that a slow machine hands in between two of them."""
+    """A message is accepted, and the outcome of another comes, after new attempts have stopped. The next process tries
+    the first; one that was delivered, or may have run in a class that is never repeated, is not sent again. The steps
+    are further apart than by default, so that a slow machine hands in between two of them."""
     (tmp_path / "sitecustomize.py").write_text(
         "from wheelstep.courier import leaving\n"
-        "leaving._WORK_ON_S, leaving._CLOSE_S, leaving._TURN_AWAY_S, leaving.LEAVE_S = 0.5, 3.5, 3.5, 3.9\n")
+        "leaving._ATTEMPTS_UNTIL_S, leaving._CONNECTIONS_UNTIL_S, leaving._MESSAGES_UNTIL_S, leaving.LEAVE_S"
+        " = 0.5, 3.5, 3.5, 3.9\n")
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
 
     async def scene() -> None:
@@ -121,19 +125,19 @@
                 await release.wait()
                 return status, {}, b""
             s.endpoint.reply = held
-            client = dial(s.courier.address, request("out", headers=LONG))
+            client = connect(s.courier.address, request("out", headers=LONG))
             assert b" 202 " in await first_line(client)
             await s.endpoint.wait(1)
-            await told_to_end(s)
+            await send_sigterm(s)
             await s.courier.wait_log("no new attempt")
             client.sendall(request("late", headers=LONG))
             assert b" 202 " in await first_line(client)
             release.set()
             if status == 500:
-                await s.courier.wait_log("out attempt 0")  # its outcome was read
+                await s.courier.wait_log("out attempt 0")  # its outcome is known
             await s.courier.wait_log(step)
             assert sent(s) == ["out"]
-            with contextlib.suppress(ProcessLookupError):  # it has just ended by itself
+            with contextlib.suppress(ProcessLookupError):  # it may have ended by itself
                 s.courier.process.kill()
             await s.courier.process.wait()
             s.endpoint.reply = s.endpoint._fine
--- a/tests/test_unix_clock.py
+++ b/tests/test_unix_clock.py
@@ -1,4 +1,4 @@
-"""Unix time that no step of the wall clock moves, within a process and from one to the next."""
+"""Unix time that steps of the wall clock don't change, within a process and from one to the next."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Wall:
-    """A wall clock in the test's hand."""
+    """A wall clock that the test sets: `off_s` is added to the real one."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.off_s, real = 0.0, time.time
@@ -21,18 +21,21 @@
 
 @pytest.fixture
 def wall(monkeypatch: pytest.MonkeyPatch) -> Wall:
+    """Return a wall clock that can be set."""
     return Wall(monkeypatch)
 
 
 def followed(marks: dict[str, Any], boot: str | None = "b1") -> UnixClock:
+    """Return the clock of a process that starts with these marks of the journal."""
     clock = UnixClock()
-    clock.follow(marks, marks.__setitem__, boot)
+    clock.adopt_offset(marks, marks.__setitem__, boot)
     return clock
 
 
 @pytest.mark.parametrize("step_s", [3600.0, -3600.0, 0.4])
-def test_a_step_moves_neither_this_process_nor_the_next(wall: Wall, step_s: float,
-                                                        caplog: pytest.LogCaptureFixture) -> None:
+def test_a_step_changes_neither_the_time_of_this_process_nor_of_the_next(
+        wall: Wall, step_s: float, caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against deadlines that move when an operator or NTP sets the wall clock; the next process logs it."""
     marks: dict[str, Any] = {}
     first = followed(marks)
     before_ms = first.now_ms()
@@ -43,7 +46,8 @@
     assert f"set by {int(step_s * 1000) // 10:+d}"[:8] in caplog.text
 
 
-def test_another_boot_takes_the_wall_clock_as_it_is(wall: Wall) -> None:
+def test_after_another_boot_the_wall_clock_counts(wall: Wall) -> None:
+    """Guards against an offset from an earlier boot: the monotonic clock has started anew."""
     marks: dict[str, Any] = {}
     followed(marks)
     wall.off_s = 3600.0
@@ -52,17 +56,20 @@
 
 
 @pytest.mark.parametrize("mark", [None, [], ["b1"], ["b1", "x"], {"b1": 1}, ["", 5]])
-def test_what_is_no_mark_is_replaced(mark: Any, wall: Wall) -> None:
+def test_an_invalid_mark_is_replaced(mark: Any, wall: Wall) -> None:
+    """Guards against a start that fails on a damaged or foreign mark, or on a system without a boot id."""
     marks = {MARK: mark}
     assert abs(followed(marks, "").now_s() - time.time()) < 0.1
     assert marks[MARK][0] == "" and isinstance(marks[MARK][1], int)
 
 
-def test_before_it_follows_it_is_the_wall_clock(wall: Wall) -> None:
+def test_until_an_offset_is_adopted_the_wall_clock_counts(wall: Wall) -> None:
+    """Guards against a fixed offset in processes that have no journal."""
     clock = UnixClock()
     wall.off_s = 3600.0
     assert abs(clock.now_s() - time.time()) < 0.1
 
 
-def test_the_system_names_its_boot() -> None:
+def test_the_boot_id_is_constant() -> None:
+    """Guards against an id that differs between two processes of one boot."""
     assert boot_id() == boot_id()
--- a/wheelstep/courier/__init__.py
+++ b/wheelstep/courier/__init__.py
@@ -1,1 +1,1 @@
-"""The real courier: sockets, the list and the journal round the decision module."""
+"""The courier's process: sockets, discovery's list and the journal around the decision module."""
--- a/wheelstep/courier/__main__.py
+++ b/wheelstep/courier/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and wiring of one courier."""
+"""Entry point of a courier: start, signals, and how its parts are connected."""
 
 from __future__ import annotations
 
@@ -22,59 +22,61 @@
 from wheelstep.courier.leaving import LEAVE_S, deafen, leave
 from wheelstep.courier.listing import entries
 from wheelstep.courier.notices import Notices
-from wheelstep.courier.opening import account, obtain, open_console, open_patiently, recorder
+from wheelstep.courier.opening import account, obtain_journal, open_console, open_journal_with_retry, recorder
 from wheelstep.courier.spread import callers, longest_s
 from wheelstep.courier.wall_clock import clock
 from wheelstep.courier.watch import Watch
 from wheelstep.journal import Journal
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # imported at run time only where the feature is on
     from wheelstep.fleet.daemon import FleetDaemon
     from wheelstep.fleet.settings import Fleet
     from wheelstep.operator import Operator
     from wheelstep.shards.daemon import ShardDaemon
     from wheelstep.upgrade.source import HandoverSource
 
-_FIRST_LIST_S = 0.2  # the agent beside the courier answers at once (PROTOCOL, 'Discovery') unless discovery is down
+# The agent on the same host answers at once (PROTOCOL, 'Discovery') unless discovery is down.
+_FIRST_LIST_S = 0.2
 
 log = logging.getLogger(__name__)
 
 
-async def serve(config: Config, renewed: asyncio.Event, operator: Operator | None = None,
+async def serve(config: Config, reload_requested: asyncio.Event, operator: Operator | None = None,
                 operator_file: str | None = None) -> None:
-    """Run one courier until SIGTERM; `renewed` is set when its configuration is to be read again."""
+    """Run one courier until SIGTERM. `reload_requested` is set when the configuration is to be read again."""
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGHUP, renewed.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     terminated = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminated.set)
     if config.console is None:
-        journal, target, console = await open_patiently(config, operator), None, None
+        journal, target, console = await open_journal_with_retry(config, operator), None, None
     else:
         console = await open_console(config.console)
-        if (got := await obtain(config, operator, terminated)) is None:
+        if (obtained := await obtain_journal(config, operator, terminated)) is None:
             console.stop()
             return
-        journal, target = got
+        journal, target = obtained
     fleet: FleetDaemon | ShardDaemon | None = None
     if operator is not None and operator.fleet is not None:
-        fleet = join(config, operator.fleet, journal)
-    else:  # messages of a fleet go to other machines, by the wall clocks of all
-        clock.follow(journal.marks, journal.mark)
+        fleet = create_fleet_daemon(config, operator.fleet, journal)
+    else:  # a fleet's messages move between machines, so there the wall clock counts
+        clock.adopt_offset(journal.marks, journal.mark)
     core = Core(config if fleet is None else fleet.config, journal if fleet is None else fleet.kept)
     if operator is not None:
         core.recorder, core.account = recorder(operator, config), account(operator, config)
-    desk, front, find = (core, None, None) if fleet is None else fleet.join(core)
-    server = ClientServer(desk, core.ordered, config.sockets // 3, find, keep=console is not None, front=front)
-    server.unanswered = functools.partial(core.invariants.violated, Invariant.ANSWERED)
+    desk, front, find_desk = (core, None, None) if fleet is None else fleet.join(core)
+    server = ClientServer(desk, core.ordered, config.sockets // 3, find_desk, transferable=console is not None,
+                          front=front)
+    server.on_unanswered = functools.partial(core.invariants.violated, Invariant.ANSWERED)
     source: HandoverSource | None = None
     if console is not None:
         from wheelstep.console.figures import Figures
         core.figures, console.desk = Figures(), core
 
-    def again() -> None:
+    def reload_fleet() -> None:
         if fleet is not None and operator_file is not None:
-            reread(operator_file, fleet)
+            reload_operator_file(operator_file, fleet)
 
     async with aiohttp.ClientSession(auto_decompress=False, trust_env=False) as http:
         core.notices = Notices(http, config.discovery, core.answered)
@@ -83,25 +85,25 @@
             seq, rows = target.transferred.seq, target.transferred.rows
         watch = Watch(config.discovery, config.names, seq if isinstance(seq, int) else 0, core.listed,
                       callers(config.settings), config.seed, longest_s(config.settings))
-        watches = fleet is None or not fleet.lists  # else the fleet tells which endpoints there are
+        watches = fleet is None or not fleet.lists  # otherwise the fleet's daemon provides the list
         if watches:
             core.listed(api.ListKind.RESTORED, rows)
-        async with asyncio.TaskGroup() as group:  # a task that dies ends the process with its traceback
+        async with asyncio.TaskGroup() as group:  # a task that fails ends the process with its traceback
             tasks = [group.create_task(work) for work in
                      (core.notices.run(), core.outlet.sweep(), server.sweep(), journal.compact_for_good(),
-                      follow_config(config, renewed, watch, core.notices, core=core, again=again),
+                      follow_config(config, reload_requested, watch, core.notices, core=core, on_reload=reload_fleet),
                       *([watch.run()] if watches else []))]
             if core.account is not None:
                 tasks.append(group.create_task(core.account.run(core.gauge)))
                 watch.account = core.account
-            if target is None and watches:  # what is restored may not go to an endpoint that has left the list since
+            if target is None and watches:  # restored messages must not go to an endpoint that has left the list since
                 await watch.told(_FIRST_LIST_S)
             if fleet is not None:
                 fleet.restore()
             else:
                 calls, settling = (target.transferred.calls, target.transferred.settling) if target else ((), None)
                 core.restore(journal.marks, journal.messages.values(), calls, settling)
-            gc.freeze()  # what was restored lives long: a collection that walked it all would stop the loop
+            gc.freeze()  # restored objects live long: a full collection that visits them would block the event loop
             port = await server.start(config.listen, target.transferred.listener if target is not None else None)
             if target is not None:
                 await target.go_on(core, server)
@@ -145,47 +147,48 @@
     deafen()
 
 
-def join(config: Config, found: Fleet, journal: Journal) -> FleetDaemon | ShardDaemon:
-    """The fleet that the operator's file describes. Raises `ConfigError`."""
+def create_fleet_daemon(config: Config, settings: Fleet, journal: Journal) -> FleetDaemon | ShardDaemon:
+    """Return the daemon of the fleet that the operator's file describes. Raises `ConfigError`."""
     if config.console is not None:
         raise ConfigError("console: given beside fleet.on = true; expected one of them: a fleet's courier is replaced "
                           "by moving its parts")
-    if found.part.shards.on:
+    if settings.part.shards.on:
         from wheelstep.shards.daemon import ShardDaemon
-        return ShardDaemon(config, found, journal)
+        return ShardDaemon(config, settings, journal)
     from wheelstep.fleet.daemon import FleetDaemon
-    return FleetDaemon(config, found, journal)
+    return FleetDaemon(config, settings, journal)
 
 
-def reread(path: str, fleet: FleetDaemon | ShardDaemon) -> None:
-    """The operator's file again: its contracts change. One that can't be used changes nothing."""
+def reload_operator_file(path: str, fleet: FleetDaemon | ShardDaemon) -> None:
+    """Read the operator's file again and apply its contracts. A file that can't be used changes nothing."""
     from wheelstep.operator import OperatorError
     from wheelstep.operator import load as load_operator
     try:
-        found = load_operator(path).fleet
+        settings = load_operator(path).fleet
     except OperatorError as error:
         log.warning("the new operator's file is not used: %.300s", " ".join(str(error).split()))
         return
-    if found is not None:
-        fleet.renew(found)
+    if settings is not None:
+        fleet.renew(settings)
 
 
-class Moves(Protocol):
-    """What has its place at discovery."""
+class DiscoveryUser(Protocol):
+    """A part of the courier that sends requests to discovery's address."""
 
     def move(self, discovery: Address) -> None:
-        """It is there from now on."""
+        """Use another address from now on."""
 
 
-async def follow_config(config: Config, renewed: asyncio.Event, *places: Moves,
+async def follow_config(config: Config, reload_requested: asyncio.Event, *users: DiscoveryUser,
                         heeded: Callable[[], None] = lambda: None, core: Core | None = None,
-                        again: Callable[[], None] = lambda: None) -> None:
-    """Read the file again whenever it is said to be new. One that can't be used changes nothing."""
+                        on_reload: Callable[[], None] = lambda: None) -> None:
+    """Read the configuration again whenever that is requested, until cancelled. A configuration that can't be used
+    changes nothing. `on_reload` is called before it is read, `heeded` after it was applied."""
     discovery, raw = config.discovery, config.raw
     while True:
-        await renewed.wait()
-        renewed.clear()
-        again()
+        await reload_requested.wait()
+        reload_requested.clear()
+        on_reload()
         from wheelstep.renewal.files import check
         try:
             fresh = load(os.environ, again=True)
@@ -195,27 +198,28 @@
             if core is not None and core.figures is not None:
                 core.figures.load_errors += 1
             continue
-        now, raw = fresh.discovery, fresh.raw
+        address, raw = fresh.discovery, fresh.raw
         if core is not None:
             core.renew(fresh)
             if core.figures is not None:
                 core.figures.loads += 1
-        log.info("configuration read again: discovery at %s:%d", now.host, now.port)
-        if now != discovery:
-            discovery = now
-            for place in places:
-                place.move(now)
+        log.info("configuration read again: discovery at %s:%d", address.host, address.port)
+        if address != discovery:
+            discovery = address
+            for user in users:
+                user.move(address)
         heeded()
 
 
 def main(operator_file: str | None = None, workers: int | None = None) -> int:
-    """Run the courier that the environment describes, with the operator's file if one is named here or by
-    `UMBERCHUTE_OPERATOR`; with so many workers, if any, in place of what the file says."""
+    """Run the courier that the environment describes and return the exit code. `operator_file` names the operator's
+    file (default: `UMBERCHUTE_OPERATOR`), `workers` the number of workers (default: that of the file)."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO,
                         format="%(asctime)s %(levelname)s %(name)s %(message)s")
     logging.getLogger("aiohttp").setLevel(logging.ERROR)
-    renewed = asyncio.Event()
-    signal.signal(signal.SIGHUP, lambda *_: renewed.set())  # by default it would kill; before anything slow
+    reload_requested = asyncio.Event()
+    # SIGHUP would end the process by default, so it is handled before anything that takes long.
+    signal.signal(signal.SIGHUP, lambda *_: reload_requested.set())
     operator: Operator | None = None
     try:
         path = operator_file or os.environ.get("UMBERCHUTE_OPERATOR")
@@ -230,8 +234,8 @@
             workers = operator.workers.count
         if workers:
             from wheelstep.workers.start import supervise
-            return asyncio.run(supervise(load(os.environ), renewed, operator, workers, operator_file))
-        asyncio.run(serve(load(os.environ), renewed, operator, path))
+            return asyncio.run(supervise(load(os.environ), reload_requested, operator, workers, operator_file))
+        asyncio.run(serve(load(os.environ), reload_requested, operator, path))
     except ConfigError as error:
         print(f"courier: {' '.join(str(error).split())}", file=sys.stderr)
         return 1
--- a/wheelstep/courier/client_connection.py
+++ b/wheelstep/courier/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: answers its requests in turn."""
+"""One client connection: answers its requests in order."""
 
 from __future__ import annotations
 
@@ -8,95 +8,98 @@
 from collections import deque
 from collections.abc import Callable
 
-from wheelstep.courier.client_phases import Connections, Phase
-from wheelstep.courier.request import MOST_BODY, MOST_HEAD, Request, RequestReader, answer
+from wheelstep.courier.client_phases import ConnectionManager, Phase
+from wheelstep.courier.request import MAX_BODY_BYTES, MAX_HEAD_BYTES, Request, RequestReader, format_response
 
-# What is thrown away behind the half-close: one request of the largest size, since a client sends one at a time on a
-# connection (PROTOCOL, clients to couriers). Beyond it nothing is read, and the client's sending stands still.
-MOST_THROWN = MOST_BODY + MOST_HEAD
-_MOST_RAW = 16 * 1024  # bytes of a request under way that can be passed on to another process
+# Bytes discarded after the half-close: one request of the largest size, since a client sends one at a time on a
+# connection (PROTOCOL, clients to couriers). Beyond that nothing is read, and flow control stops the client.
+MAX_DISCARDED_BYTES = MAX_BODY_BYTES + MAX_HEAD_BYTES
+_MAX_PARTIAL_BYTES = 16 * 1024  # of an incomplete request that can be transferred to another process
 
 log = logging.getLogger(__name__)
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection: answers its requests in turn, and notes in which phase it is since when.
+    """One client connection: answers its requests in order, and records its phase and when that began.
 
-    It ends by a lingering close (RFC 9112, 9.6): half-closed for writing behind the last answer, read and thrown away
-    until the client closes or a bound is reached (`ClientConnections`). A close over unread bytes would be a reset, and
-    that can destroy the answer on its way. What is read after the half-close is never served."""
+    It ends by a lingering close (RFC 9112, 9.6): half-closed for writing after the last answer, then read and discarded
+    until the client closes or a limit is reached (`ClientConnections`). Closing with unread input would send a reset,
+    which can destroy the answer on its way. What is read after the half-close is never served."""
 
-    def __init__(self, connections: Connections) -> None:
+    def __init__(self, connections: ConnectionManager) -> None:
         self._connections = connections
-        self._reader: RequestReader | None = None  # made with the first byte
-        self._whole: deque[Request] = deque()  # of one piece of bytes, while the one before them has to wait
-        self._waits: asyncio.Future[None] | None = None  # what the answer under way has to wait for
-        self._clogged = False
-        self._last = False  # what lies in the kernel's buffer by now is still answered, and nothing after
-        self._ended = False  # nothing more is answered: half-closed or gone
-        self._client_ended = False  # the client has half-closed
-        self._reading_out = False  # the loop has not polled yet since it was to end
-        self._thrown = 0  # bytes thrown away
+        self._reader: RequestReader | None = None  # created with the first byte
+        self._queued: deque[Request] = deque()  # complete requests whose answer has to wait for the one before them
+        self._pending_work: asyncio.Future[None] | None = None  # what the current answer waits for
+        self._write_paused = False
+        self._closing = False  # input that is in the kernel's buffer already is still answered, nothing later
+        self._ended = False  # nothing more is answered: half-closed or disconnected
+        self._client_half_closed = False
+        self._reading_rest = False  # closing, and the loop has not polled since
+        self._discarded_bytes = 0
         self.transport: asyncio.Transport | None = None
-        self.phase, self.since = Phase.SILENT, 0.0
-        self.raw: bytes | None = b""  # what came of the request under way, for another process; None: too much
-        self.taking = False  # its message is written down, and its client has not heard yet
+        self.phase, self.phase_since = Phase.SILENT, 0.0
+        self.partial_request: bytes | None = b""  # of an incomplete request, to transfer; None: more than the limit
+        self.taking = False  # its message is written to the journal, and the client has no answer yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the new connection with its manager."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._connections.opened(self)
+        self._connections.add(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse input and answer the requests that are complete; discard it after the half-close."""
         if self._ended:
-            self._thrown += len(data)
-            self.flow()
+            self._discarded_bytes += len(data)
+            self.update_reading()
             return
         if self.phase is not Phase.ASKING:
-            self._connections.turn(self, Phase.ASKING)
-        if self._connections.keep and self.raw is not None:
-            self.raw = self.raw + data if len(self.raw) + len(data) <= _MOST_RAW else None
+            self._connections.set_phase(self, Phase.ASKING)
+        if self._connections.transferable and self.partial_request is not None:
+            self.partial_request = (self.partial_request + data
+                                    if len(self.partial_request) + len(data) <= _MAX_PARTIAL_BYTES else None)
         if self._reader is None:
             self._reader = RequestReader()
-        self._whole += self._reader.feed(data)
-        if self._reader.wants_more and not self._whole and self.transport is not None:
-            self._reader.wants_more = False
+        self._queued += self._reader.feed(data)
+        if self._reader.expects_continue and not self._queued and self.transport is not None:
+            self._reader.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self._serve()
 
     def _serve(self) -> None:
-        """Answer what is whole, in turn."""
-        reader, served = self._reader, bool(self._whole)
+        """Answer the complete requests in order."""
+        reader, served = self._reader, bool(self._queued)
         assert reader is not None
-        while self._whole and self._waits is None and not self._ended:
-            self._connections.serve(self._whole.popleft(), self)
-        if self._waits is None and not self._whole and not self._ended:
+        while self._queued and self._pending_work is None and not self._ended:
+            self._connections.serve(self._queued.popleft(), self)
+        if self._pending_work is None and not self._queued and not self._ended:
             if reader.refusal is not None:
-                self._connections.refused()
-                self.say(Request(), reader.refusal.status, reader.refusal.text + "\n", keep=False)
-            elif reader.inside:
-                if served:  # a part of the next came with it: its time begins now, its bytes can't be told apart
-                    self.raw = None
-                    self._connections.turn(self, Phase.IDLE)
-                    self._connections.turn(self, Phase.ASKING)
+                self._connections.count_malformed()
+                self.say(Request(), reader.refusal.status, reader.refusal.text + "\n", keep_alive=False)
+            elif reader.in_request:
+                if served:  # part of the next request came with it: its time starts now, its bytes can't be separated
+                    self.partial_request = None
+                    self._connections.set_phase(self, Phase.IDLE)
+                    self._connections.set_phase(self, Phase.ASKING)
             elif self.phase in (Phase.ASKING, Phase.HELD):
-                self.raw = b""
-                self._connections.turn(self, Phase.IDLE)
-            if self._client_ended or (self._last and not self._reading_out):
+                self.partial_request = b""
+                self._connections.set_phase(self, Phase.IDLE)
+            if self._client_half_closed or (self._closing and not self._reading_rest):
                 self._half_close()
-        self.flow()
+        self.update_reading()
 
-    def wait(self, work: asyncio.Future[None], served: Callable[[asyncio.Future[None]], None],
+    def wait(self, work: asyncio.Future[None], on_done: Callable[[asyncio.Future[None]], None],
              held: bool = False) -> None:
-        """Read no further until the work is done; `served` answers. `held`: it may take a minute."""
-        self._waits = work
+        """Stop reading until `work` is done, then call `on_done`, which answers. `held`: it may take a minute."""
+        self._pending_work = work
         if held:
-            self._connections.turn(self, Phase.HELD)
+            self._connections.set_phase(self, Phase.HELD)
 
         def done(work: asyncio.Future[None]) -> None:
-            self._waits = None
+            self._pending_work = None
             try:
-                served(work)
+                on_done(work)
             except Exception:
                 log.exception("a request failed unexpectedly")
                 self._half_close()
@@ -105,123 +108,131 @@
         work.add_done_callback(done)
 
     def say(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
-            keep: bool = True) -> bool:
-        """Answer; False if there is nobody any more to hear it."""
+            keep_alive: bool = True) -> bool:
+        """Write an answer. Return False if the client can no longer receive it."""
         if self.transport is None or self.gone:
             return False
-        keep = keep and request.keep  # the courier ends it only behind the last of what has come whole
-        keep = keep and (bool(self._whole) or not (self._last or self._client_ended) and self._connections.keeps())
-        self.transport.write(answer(status, text, headers, keep, request.version))
-        heard = not self.transport.is_closing()  # a write that fails closes at once
-        if not keep:
+        keep_alive = keep_alive and request.keep_alive  # the courier closes only after the last complete request
+        keep_alive = keep_alive and (bool(self._queued) or not (self._closing or self._client_half_closed)
+                                     and self._connections.may_keep_alive())
+        self.transport.write(format_response(status, text, headers, keep_alive, request.version))
+        writable = not self.transport.is_closing()  # a write that fails closes the transport at once
+        if not keep_alive:
             self._half_close()
-        return heard
+        return writable
 
     def end(self) -> None:
-        """Answer what lies in the kernel's buffer by now, or waits for its answer, and no more: a request whose last
-        byte was written is not lost (PROTOCOL, the rules on sockets)."""
-        if self._last or self.gone:
+        """Close after answering what is in the kernel's buffer by now or waits for its answer: a request whose last
+        byte was written must not be lost (PROTOCOL, the rules on sockets)."""
+        if self._closing or self.gone:
             return
-        self._last = self._reading_out = True
-        self.flow()
-        self._read_on()
+        self._closing = self._reading_rest = True
+        self.update_reading()
+        self._schedule_last_read()
 
-    def _read_on(self) -> None:
+    def _schedule_last_read(self) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_soon(loop.call_soon, self._read_out)  # the loop polls between the two, and reads before the second
+        # The loop polls between the two callbacks, and reads before the second.
+        loop.call_soon(loop.call_soon, self._finish_last_read)
 
-    def _read_out(self) -> None:
-        if not self._ended and not self.busy and self._unread():  # with many to end, this turn may have been long
-            self._read_on()
+    def _finish_last_read(self) -> None:
+        # With many connections to close this turn of the loop may have been long, so more can have arrived.
+        if not self._ended and not self.busy and self._has_unread_input():
+            self._schedule_last_read()
             return
-        self._reading_out = False
+        self._reading_rest = False
         if not self.busy:
             self._half_close()
 
-    def _unread(self) -> bool:
-        """Has something come since the loop last read?"""
+    def _has_unread_input(self) -> bool:
+        """Return whether input has arrived since the loop last read."""
         if self.transport is None or not self.transport.is_reading():
             return False
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def hurry(self) -> None:
-        """Answer by what is known now."""
-        if self._waits is not None:
-            self._waits.cancel()
+    def cancel_wait(self) -> None:
+        """Make a request that waits be answered with what is known now."""
+        if self._pending_work is not None:
+            self._pending_work.cancel()
 
     @property
     def busy(self) -> bool:
-        """Is an answer owed to a request that was read whole?"""
-        return self._waits is not None or bool(self._whole)
+        """Whether a complete request is not answered yet."""
+        return self._pending_work is not None or bool(self._queued)
 
     @property
-    def unheard(self) -> bool:
-        """Would a close take something from the client: an answer that it has not taken yet, or its way to it?"""
-        return (self.busy or self._thrown >= MOST_THROWN
+    def undelivered(self) -> bool:
+        """Whether an immediate close could lose an answer: one is owed or not sent yet, or unread input would cause a
+        reset."""
+        return (self.busy or self._discarded_bytes >= MAX_DISCARDED_BYTES
                 or (self.transport is not None and self.transport.get_write_buffer_size() > 0))
 
     def _half_close(self) -> None:
         if self._ended:
             return
         self._ended = True
-        self._whole.clear()
-        self._reader, self.raw = None, b""
+        self._queued.clear()
+        self._reader, self.partial_request = None, b""
         if self.transport is None or self.transport.is_closing():
             return
-        self._connections.lingers(self)
-        if self._client_ended:
-            self.transport.close()  # nothing more can come
+        self._connections.begin_linger(self)
+        if self._client_half_closed:
+            self.transport.close()  # no more input can come
             return
         try:
             self.transport.write_eof()
-        except OSError:  # reset meanwhile
+        except OSError:  # reset by the client in the meantime
             self.transport.abort()
-        self.flow()
+        self.update_reading()
 
     def eof_received(self) -> bool:
-        """A client that has half-closed gets its answers, then the connection ends."""
-        self._client_ended = True
+        """Answer what a client that has half-closed still waits for, then end the connection."""
+        self._client_half_closed = True
         return self.busy and not self._ended
 
     @property
     def gone(self) -> bool:
-        """Is there nobody any more to hear an answer?"""
+        """Whether no further answer can be sent."""
         return self._ended or self.transport is None or self.transport.is_closing()
 
-    def flow(self) -> None:
-        """Read on unless something has to be waited for first."""
+    def update_reading(self) -> None:
+        """Pause reading while an answer, a full write buffer or a limit has to be waited for, else resume it."""
         if self.transport is None or self.transport.is_closing():
             return
         if self._ended:
-            wait = self._thrown >= MOST_THROWN
+            pause = self._discarded_bytes >= MAX_DISCARDED_BYTES
         else:
-            wait = self._clogged or self._waits is not None or (self._connections.paused and not self._last)
-        if wait:
+            pause = (self._write_paused or self._pending_work is not None
+                     or (self._connections.paused and not self._closing))
+        if pause:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._connections.closed(self)
+        """Unregister the connection and cancel what it waits for."""
+        self._connections.remove(self)
         self._ended = True
-        self._whole.clear()
-        if self._waits is not None:
-            self._waits.cancel()
+        self._queued.clear()
+        if self._pending_work is not None:
+            self._pending_work.cancel()
 
     def pause_writing(self) -> None:
-        self._clogged = True  # guards memory against a client that asks on and reads no answer
-        self.flow()
+        """Stop reading: guards memory against a client that sends requests and reads no answers."""
+        self._write_paused = True
+        self.update_reading()
 
     def resume_writing(self) -> None:
-        self._clogged = False
-        self.flow()
+        """Read again, as the write buffer has drained."""
+        self._write_paused = False
+        self.update_reading()
 
     def close(self) -> None:
-        """At once. A client may be reset over what it has sent, and not hear what it was told."""
+        """Close at once. The client may get a reset because of unread input, and so lose an answer."""
         if self.busy and not self.gone:
-            self._connections.unanswered(self)
+            self._connections.report_unanswered(self)
         self._ended = True
         if self.transport is not None:
             self.transport.abort()
--- a/wheelstep/courier/client_connections.py
+++ b/wheelstep/courier/client_connections.py
@@ -1,4 +1,4 @@
-"""All of the clients' connections together: bounded in number and time."""
+"""All client connections of a courier together: their limits in number and time."""
 
 from __future__ import annotations
 
@@ -9,174 +9,179 @@
 from typing import Protocol
 
 from wheelstep.courier.client_connection import ClientConnection
-from wheelstep.courier.client_listener import ACCEPT
+from wheelstep.courier.client_listener import MAX_ACCEPTS_PER_TURN
 from wheelstep.courier.client_phases import Phase
 from wheelstep.courier.request import Request
 
-_ASK_S = 2.5  # for a request to come whole, from connecting or, on a kept connection, from its first byte
-_IDLE_S = 20.0  # an idle connection is kept so long while there is room
-_SPARE_S = 2.0  # and is the first to go after this when there is none
-_HELD_S = 65.0
-# A client waits so long for its answer and then closes the connection (PROTOCOL, clients to couriers): whoever has not
-# read it by then won't.
+# For a request to arrive completely: from connecting, or on a kept connection from its first byte.
+_REQUEST_TIMEOUT_S = 2.5
+_IDLE_TIMEOUT_S = 20.0  # of an idle connection while there is room
+_EVICTABLE_AFTER_S = 2.0  # an idle connection is the first to be closed after this when there is no room
+_HELD_TIMEOUT_S = 65.0
+# A client waits this long for its answer and then closes the connection (PROTOCOL, clients to couriers): a client that
+# has not read the answer by then won't.
 LINGER_S = 0.4
 
 log = logging.getLogger(__name__)
 
 
 class Server(Protocol):
-    """Who answers requests."""
+    """What answers the requests."""
 
     closing: bool
-    bad: int
-    unanswered: Callable[[str], None]  # told why, where a request that was read is closed without its answer
+    bad_requests: int
+    on_unanswered: Callable[[str], None]  # called with the reason when a complete request is closed without an answer
 
     def serve(self, request: Request, connection: ClientConnection) -> None:
-        """Answer one, or let its connection wait."""
+        """Answer a request, or make its connection wait."""
 
 
-_MOST_S = {Phase.IDLE: _IDLE_S, Phase.HELD: _HELD_S, Phase.ENDING: LINGER_S}
+_PHASE_TIMEOUT_S = {Phase.IDLE: _IDLE_TIMEOUT_S, Phase.HELD: _HELD_TIMEOUT_S, Phase.ENDING: LINGER_S}
 
 
 class ClientConnections:
-    """All connections of clients. Guards descriptors and memory against crowds, silent or slow clients, and
-    ones that keep what they don't use; when there is no room, the good ones are let in first."""
-
-    def __init__(self, server: Server, limit: int, keep: bool) -> None:
-        """A fifth of the limit is for those that end, so that an answer on its way is not cut for newcomers; all of it
-        when the courier ends."""
-        self._server, self._all, self.keep = server, limit, keep
-        self._most_ending = limit // 5
-        self._limit = max(ACCEPT, limit - self._most_ending - ACCEPT)
+    """All connections of clients. Guards descriptors and memory against too many clients, against silent or slow ones,
+    and against ones that keep unused connections. When there is no room, those make way for new connections."""
+
+    def __init__(self, server: Server, limit: int, transferable: bool) -> None:
+        """A fifth of `limit` is reserved for connections that end, so that an answer on its way is not cut off for new
+        clients; they may take all of it when the courier shuts down."""
+        self._server, self._total_limit, self.transferable = server, limit, transferable
+        self._ending_limit = limit // 5
+        self._open_limit = max(MAX_ACCEPTS_PER_TURN, limit - self._ending_limit - MAX_ACCEPTS_PER_TURN)
         self._phases: dict[Phase, dict[ClientConnection, None]] = {phase: {} for phase in Phase}
-        self._turned_away = self._cut = 0
-        self._ended_for: Counter[str] = Counter()  # since the last report: why connections were ended
+        self._rejected = self._cut_off = 0
+        self._end_reasons: Counter[str] = Counter()  # of connections ended since the last report
         self.paused = False
 
     def serve(self, request: Request, connection: ClientConnection) -> None:
-        """Answer it, or let its connection wait."""
+        """Answer a request, or make its connection wait."""
         self._server.serve(request, connection)
 
-    def refused(self) -> None:
-        """What came can't be used."""
-        self._server.bad += 1
+    def count_malformed(self) -> None:
+        """Count input that is no valid request."""
+        self._server.bad_requests += 1
 
-    def unanswered(self, connection: ClientConnection) -> None:
-        """It is closed though a request that was read whole has no answer."""
-        self._server.unanswered(f"its connection was closed in phase {connection.phase.value}")
+    def report_unanswered(self, connection: ClientConnection) -> None:
+        """Report a connection that is closed while it owes an answer to a complete request."""
+        self._server.on_unanswered(f"its connection was closed in phase {connection.phase.value}")
 
-    def keeps(self) -> bool:
-        """May a connection go on after an answer?"""
-        return not self._server.closing and not self.crowded()
+    def may_keep_alive(self) -> bool:
+        """Return whether a connection may stay open after an answer."""
+        return not self._server.closing and not self.near_limit()
 
-    def crowded(self) -> bool:
-        """Is room short? Then an answer had better end its connection."""
-        return self._open() * 4 > self._limit * 3
+    def near_limit(self) -> bool:
+        """Return whether over three quarters of the limit are in use: answers should then close their connections."""
+        return self._count_open() * 4 > self._open_limit * 3
 
-    def _open(self) -> int:
+    def _count_open(self) -> int:
         return sum(map(len, self._phases.values())) - len(self._phases[Phase.ENDING])
 
-    def opened(self, connection: ClientConnection) -> None:
-        connection.since = time.monotonic()
-        if self.paused:  # accepted in the turn in which the pause began
-            connection.flow()
-        room = self._open() < self._limit or self._make_room()
+    def add(self, connection: ClientConnection) -> None:
+        """Register a new connection. Without room for it, it is ended after what it has sent already."""
+        connection.phase_since = time.monotonic()
+        if self.paused:  # accepted in the turn of the loop in which the pause began
+            connection.update_reading()
+        room = self._count_open() < self._open_limit or self._make_room()
         self._phases[Phase.SILENT][connection] = None
         if not room:
-            self._turned_away += 1
+            self._rejected += 1
             self._end(connection, "no room")
 
     def _make_room(self) -> bool:
-        """End one: idle for a while, or silent or slow for longest. Each phase is in order of time."""
+        """End a connection that has been idle for a while, or else the oldest one without a complete request. Return
+        whether there was one. Each phase is in order of time."""
         idle = next(iter(self._phases[Phase.IDLE]), None)
-        if idle is not None and time.monotonic() - idle.since >= _SPARE_S:
-            return self._end(idle, "idle, room for another")
-        owing = (connection for phase in (Phase.SILENT, Phase.ASKING) for connection in self._phases[phase])
-        first = next((connection for connection in owing if not connection.busy), None)
-        return first is not None and self._end(first, "owes a request, room for another")
+        if idle is not None and time.monotonic() - idle.phase_since >= _EVICTABLE_AFTER_S:
+            return self._end(idle, "idle, replaced by a new one")
+        incomplete = (connection for phase in (Phase.SILENT, Phase.ASKING) for connection in self._phases[phase])
+        oldest = next((connection for connection in incomplete if not connection.busy), None)
+        return oldest is not None and self._end(oldest, "no complete request, replaced by a new one")
 
     def _end(self, connection: ClientConnection, reason: str) -> bool:
-        self._ended_for[reason] += 1
-        self.lingers(connection)
+        self._end_reasons[reason] += 1
+        self.begin_linger(connection)
         connection.end()
         return True
 
-    def lingers(self, connection: ClientConnection) -> None:
-        """It ends, and has so long from now. Beyond the bound the one that has had longest is cut."""
-        self.closed(connection)
-        connection.phase, connection.since = Phase.ENDING, time.monotonic()
+    def begin_linger(self, connection: ClientConnection) -> None:
+        """Start the time limit of a connection that ends. Beyond the limit in number, the oldest such one is closed."""
+        self.remove(connection)
+        connection.phase, connection.phase_since = Phase.ENDING, time.monotonic()
         ending = self._phases[Phase.ENDING]
         ending[connection] = None
-        if len(ending) > (self._all if self._server.closing else self._most_ending):
-            first = next(iter(ending))
-            if first is not connection and first.gone:  # else it is still to be read out, or owed an answer
-                self._cut_one(first)
-
-    def _cut_one(self, connection: ClientConnection) -> None:
-        self._cut += connection.unheard
-        self.closed(connection)
+        if len(ending) > (self._total_limit if self._server.closing else self._ending_limit):
+            oldest = next(iter(ending))
+            if oldest is not connection and oldest.gone:  # otherwise input is still to be read, or an answer is owed
+                self._close_now(oldest)
+
+    def _close_now(self, connection: ClientConnection) -> None:
+        self._cut_off += connection.undelivered
+        self.remove(connection)
         connection.close()
 
-    def turn(self, connection: ClientConnection, phase: Phase) -> None:
-        """Into another phase. The first request must come whole in time from connecting."""
+    def set_phase(self, connection: ClientConnection, phase: Phase) -> None:
+        """Move a connection to another phase. The time limit of its first request counts from connecting."""
         if connection not in self._phases[connection.phase] or connection.phase is Phase.ENDING:
             return
         del self._phases[connection.phase][connection]
         if connection.phase is not Phase.SILENT:
-            connection.since = time.monotonic()
+            connection.phase_since = time.monotonic()
         connection.phase = phase
         self._phases[phase][connection] = None
 
-    def closed(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
+        """Forget a connection."""
         self._phases[connection.phase].pop(connection, None)
 
     def sweep(self) -> None:
-        """End what has owed a request, been idle or waited for too long, and close what has had its time to end."""
+        """Apply the time limits: end connections that exceed the one of their phase, and close those that linger."""
         if self.paused:
             return
         now = time.monotonic()
         for phase, connections in self._phases.items():
-            most_s = _MOST_S.get(phase, _ASK_S)
-            for connection in [connection for connection in connections if now - connection.since >= most_s]:
+            timeout_s = _PHASE_TIMEOUT_S.get(phase, _REQUEST_TIMEOUT_S)
+            for connection in [connection for connection in connections if now - connection.phase_since >= timeout_s]:
                 if connection.busy:
-                    connection.hurry()
+                    connection.cancel_wait()
                 elif phase is Phase.ENDING:
-                    self._cut_one(connection)
+                    self._close_now(connection)
                 else:
-                    self._end(connection, f"{phase.value} for {most_s:g} s")
+                    self._end(connection, f"{phase.value} for {timeout_s:g} s")
         self.report()
 
     def report(self) -> None:
-        """One line for each kind of what was ended early, and one for why connections were ended."""
-        if self._ended_for:
-            reasons = ", ".join(f"{count} {reason}" for reason, count in self._ended_for.items())
+        """Log the connections ended early since the last report: their reasons, and how many were cut or rejected."""
+        if self._end_reasons:
+            reasons = ", ".join(f"{count} {reason}" for reason, count in self._end_reasons.items())
             log.info("ended clients' connections: %s", reasons)
-            self._ended_for.clear()
-        if self._cut:
-            log.info("cut %d connections before their clients had taken their answers", self._cut)
-            self._cut = 0
-        if self._turned_away:
-            log.info("turned away %d connections", self._turned_away)
-            self._turned_away = 0
+            self._end_reasons.clear()
+        if self._cut_off:
+            log.info("cut %d connections before their clients had received their answers", self._cut_off)
+            self._cut_off = 0
+        if self._rejected:
+            log.info("rejected %d connections, no room", self._rejected)
+            self._rejected = 0
 
     def all(self) -> list[ClientConnection]:
-        """Every connection."""
+        """Return every connection."""
         return [connection for connections in self._phases.values() for connection in connections]
 
-    def end(self, silent: bool) -> None:
-        """The courier ends: those that rest, also the `silent` ones. What may take a minute is answered now."""
+    def end_idle(self, silent: bool) -> None:
+        """End idle connections when the courier shuts down, with `silent` also those that have sent nothing. Requests
+        that may wait for a minute are answered now."""
         for connection in [*self._phases[Phase.IDLE], *(self._phases[Phase.SILENT] if silent else ())]:
             self._end(connection, "shutdown")
         for connection in list(self._phases[Phase.HELD]):
-            connection.hurry()
+            connection.cancel_wait()
 
-    def hurry(self) -> None:
-        """What still waits for something is answered by what is known."""
+    def cancel_waits(self) -> None:
+        """Make all requests that wait be answered with what is known now."""
         for connection in self.all():
-            connection.hurry()
+            connection.cancel_wait()
 
-    def cut(self) -> None:
-        """Close all at once."""
+    def close_all(self) -> None:
+        """Close every connection at once."""
         for connection in self.all():
-            self._cut_one(connection)
+            self._close_now(connection)
         self.report()
--- a/wheelstep/courier/client_listener.py
+++ b/wheelstep/courier/client_listener.py
@@ -1,7 +1,8 @@
-"""Takes clients' connections from the kernel's queue, some in each turn of the loop.
+"""Accepts client connections from the kernel's queue, a limited number in each turn of the event loop.
 
-An `asyncio.Server` can't end without loss: a connection that it has accepted in the turn in which it is closed fails an
-assertion of its own, and its client is reset. What ends here is told apart: taking on, what was taken on, the socket.
+`asyncio.Server` can't be closed without losing connections: one that it has accepted in the turn in which it is closed
+fails an assertion of asyncio, and its client gets a reset. Here accepting, opening what was accepted, and the socket
+end separately.
 """
 
 from __future__ import annotations
@@ -13,38 +14,39 @@
 from collections.abc import Callable
 from typing import Any
 
-ACCEPT = 16  # connections taken on in one turn of the loop; their count may pass its limit by so many
-_RETRY_S = 0.1  # without descriptors the kernel goes on saying that one waits; its client waits 400 ms (PROTOCOL)
+MAX_ACCEPTS_PER_TURN = 16  # in one turn of the loop; the number of connections may exceed its limit by as many
+# Without free descriptors the kernel keeps reporting that a connection waits; its client waits 400 ms (PROTOCOL).
+_RETRY_S = 0.1
 
 log = logging.getLogger(__name__)
 
 
 class ClientListener:
-    """A listening socket; `made` gives the protocol of a new connection."""
+    """A listening socket; `protocol_factory` creates the protocol of a new connection."""
 
-    def __init__(self, listening: socket.socket, made: Callable[[], asyncio.Protocol]) -> None:
-        self.socket, self._made = listening, made
+    def __init__(self, listening: socket.socket, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
+        self.socket, self._protocol_factory = listening, protocol_factory
         self._opening: set[asyncio.Task[Any]] = set()  # accepted, and without a transport yet
         self._retry: asyncio.TimerHandle | None = None
         listening.setblocking(False)
 
     def resume(self) -> None:
-        """Take connections on."""
+        """Accept connections."""
         self._retry = None
         asyncio.get_running_loop().add_reader(self.socket.fileno(), self.accept)
 
     def pause(self) -> None:
-        """Leave them in the kernel's queue."""
+        """Accept nothing: connections stay in the kernel's queue."""
         if self._retry is not None:
             self._retry.cancel()
         if self.socket.fileno() >= 0:
             asyncio.get_running_loop().remove_reader(self.socket.fileno())
 
     def accept(self) -> bool:
-        """Take some on. False if nobody waits any more."""
+        """Accept up to `MAX_ACCEPTS_PER_TURN` connections. Return False if none is left, or none can be accepted."""
         if self.socket.fileno() < 0:
             return False
-        for _ in range(ACCEPT):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 client, _ = self.socket.accept()
             except (InterruptedError, ConnectionAbortedError):
@@ -52,7 +54,7 @@
             except BlockingIOError:
                 return False
             except OSError as error:
-                log.error("no connection can be accepted: %s", error)
+                log.error("can't accept a connection, trying again soon: %s", error)
                 self.pause()
                 self._retry = asyncio.get_running_loop().call_later(_RETRY_S, self.resume)
                 return False
@@ -62,15 +64,15 @@
         return True
 
     async def _open(self, client: socket.socket) -> None:
-        with contextlib.suppress(OSError):  # it has gone meanwhile
-            await asyncio.get_running_loop().connect_accepted_socket(self._made, client)
+        with contextlib.suppress(OSError):  # the client has disconnected meanwhile
+            await asyncio.get_running_loop().connect_accepted_socket(self._protocol_factory, client)
 
     @property
     def opening(self) -> bool:
-        """Was one accepted that is not served yet?"""
+        """Whether an accepted connection has no transport yet."""
         return bool(self._opening)
 
     def close(self) -> None:
-        """For good. What waits in the kernel's queue is reset."""
+        """Close the socket for good. Connections in the kernel's queue are reset."""
         self.pause()
         self.socket.close()
--- a/wheelstep/courier/client_phases.py
+++ b/wheelstep/courier/client_phases.py
@@ -1,4 +1,4 @@
-"""The phases of a client's connection, and what it asks of all of them together. No I/O."""
+"""Phases of a client connection, and the interface by which a connection reports to its manager. No I/O."""
 
 from __future__ import annotations
 
@@ -12,31 +12,49 @@
 
 
 class Phase(Enum):
-    SILENT = "silent"  # connected, and nothing came yet
-    ASKING = "asking"  # a request has begun
-    IDLE = "idle"  # the last request was answered
-    HELD = "held"  # its request waits for something that may take a minute
-    ENDING = "ending"  # what has come by now is answered, what comes later is thrown away
+    """Phase of a client connection. The values appear in log lines."""
 
+    SILENT = "silent"  # connected, nothing received yet
+    ASKING = "asking"  # a request has begun and is not answered yet
+    IDLE = "idle"  # the last request was answered, and no byte of another has come
+    HELD = "held"  # the answer waits for an event that may take up to a minute
+    ENDING = "ending"  # requests that have arrived are still answered, later input is discarded
 
-class Connections(Protocol):
-    """What a connection asks of all of them together: see `ClientConnections`."""
 
-    keep: bool
+class ConnectionManager(Protocol):
+    """What a connection needs from the manager of all connections, see `ClientConnections`."""
+
+    transferable: bool
     paused: bool
 
-    def opened(self, connection: ClientConnection) -> None: ...
+    def add(self, connection: ClientConnection) -> None:
+        """Register a connection that has just been opened."""
+        ...
 
-    def turn(self, connection: ClientConnection, phase: Phase) -> None: ...
+    def set_phase(self, connection: ClientConnection, phase: Phase) -> None:
+        """Move a connection to another phase."""
+        ...
 
-    def lingers(self, connection: ClientConnection) -> None: ...
+    def begin_linger(self, connection: ClientConnection) -> None:
+        """Start the time limit of a connection that is about to close."""
+        ...
 
-    def closed(self, connection: ClientConnection) -> None: ...
+    def remove(self, connection: ClientConnection) -> None:
+        """Forget a connection that is closed."""
+        ...
 
-    def serve(self, request: Request, connection: ClientConnection) -> None: ...
+    def serve(self, request: Request, connection: ClientConnection) -> None:
+        """Answer a request, or make its connection wait."""
+        ...
 
-    def refused(self) -> None: ...
+    def count_malformed(self) -> None:
+        """Count input that is no valid request."""
+        ...
 
-    def unanswered(self, connection: ClientConnection) -> None: ...
+    def report_unanswered(self, connection: ClientConnection) -> None:
+        """Report a connection that is closed while it owes an answer to a complete request."""
+        ...
 
-    def keeps(self) -> bool: ...
+    def may_keep_alive(self) -> bool:
+        """Return whether a connection may stay open after an answer."""
+        ...
--- a/wheelstep/courier/client_server.py
+++ b/wheelstep/courier/client_server.py
@@ -1,8 +1,8 @@
-"""The clients' side: hands messages in, and tells whether the courier is ready.
+"""HTTP server for clients: receives messages and answers the readiness check.
 
-`request` reads requests and makes answers; a request that nothing has to be waited for is answered in the turn of the
-loop in which it came whole, without a task. `client_connections` bounds how many connections clients hold and for how
-long one may owe a request; `reading` makes a message of one; `desk` is what is asked of whoever takes it on.
+`request` parses requests and formats answers; a request whose answer needs no waiting is answered without a task, in
+the turn of the event loop in which it is complete. `client_connections` limits the number of connections and the time
+until a request is complete; `reading` turns a request into a message; `desk` is the interface of what accepts messages.
 """
 
 from __future__ import annotations
@@ -24,78 +24,80 @@
 from wheelstep.courier.request import Request
 from wheelstep.journal import NoRoomError, Stored
 
-_COME_BACK = (("Retry-After", "1"),)
-_TURNS = 20  # of the loop, in which what has come whole gets its answer
-STOP_S = LINGER_S  # at the end, for requests under way and for clients to take their answers
-_SETTLE_S = 1.0  # for messages that are written down and not answered yet
+_RETRY_AFTER = (("Retry-After", "1"),)
+_LOOP_TURNS = 20  # turns of the event loop in which complete requests get their answers
+STOP_S = LINGER_S  # at shutdown, for current requests and for clients to read their answers
+_UNANSWERED_S = 1.0  # for messages that are in the journal and not answered yet
 _SWEEP_S = 0.25
 
 log = logging.getLogger(__name__)
 
 
 class ClientServer:
-    """The server for clients; they may hold about `most` connections."""
+    """Server for clients; it allows about `max_connections` connections."""
 
-    def __init__(self, desk: Desk, classes: Mapping[str, bool], most: int,
-                 find: Callable[[int], Desk] | None = None, keep: bool = False, front: Front | None = None) -> None:
-        """`find` gives the desk of a destination, where there are several; `desk` tells whether all are ready.
-        With `keep`, connections can be passed on to another process. `front` reads what clients hand in."""
+    def __init__(self, desk: Desk, classes: Mapping[str, bool], max_connections: int,
+                 find_desk: Callable[[int], Desk] | None = None, transferable: bool = False,
+                 front: Front | None = None) -> None:
+        """`find_desk` returns the desk of a destination where there are several; `desk` tells whether all are ready.
+        With `transferable`, connections can be passed on to another process. `front` interprets the requests."""
         self._front = front
-        self._desk, self._classes, self._most = desk, classes, most
-        self._find, self._keep = find, keep
-        self.closing = False  # answers end their connections from now on
-        self.refusing = False  # and messages are turned away
-        self.bad = self._no_room = 0
-        self.unanswered: Callable[[str], None] = functools.partial(log.warning, "no answer to a client: %s")
+        self._desk, self._classes, self._max_connections = desk, classes, max_connections
+        self._find_desk, self._transferable = find_desk, transferable
+        self.closing = False  # answers close their connections from now on
+        self.refusing = False  # new messages are refused
+        self.bad_requests = self._no_room_count = 0
+        self.on_unanswered: Callable[[str], None] = functools.partial(log.warning, "no answer to a client: %s")
         self._connections: ClientConnections | None = None
         self._listener: ClientListener | None = None
 
     async def start(self, listen: Address, listener: socket.socket | None = None) -> int:
-        """Listen, at `listener` if it is given, and return the port."""
-        connections = self._connections = self._connections or ClientConnections(self, self._most, self._keep)
+        """Listen on `listener`, or at the address `listen` without one, and return the port."""
+        connections = self._connections = self._connections or ClientConnections(
+            self, self._max_connections, self._transferable)
         listener = listener or bind(listen)
         listener.listen(QUEUE)  # another process may have had it
         self._listener = ClientListener(listener, lambda: ClientConnection(connections))
         self._listener.resume()
         return int(self._listener.socket.getsockname()[1])
 
-    # --- from one process to the next (wheelstep.upgrade) ---
+    # --- transfer from one process to the next (wheelstep.upgrade) ---
 
     async def pause(self) -> socket.socket:
-        """Take no connection on and read nothing; what has come whole gets its answer. The listener: its queue goes on
-        taking connections."""
+        """Accept and read nothing more, and answer the complete requests. Return the listener, whose queue in the
+        kernel goes on taking connections. Raises `TimeoutError` if answers take too long."""
         assert self._listener is not None and self._connections is not None
         self._listener.pause()
         self._connections.paused = True
         for connection in self._connections.all():
-            connection.flow()
-        async with asyncio.timeout(_SETTLE_S):
-            for _ in range(_TURNS):
+            connection.update_reading()
+        async with asyncio.timeout(_UNANSWERED_S):
+            for _ in range(_LOOP_TURNS):
                 await asyncio.sleep(0)
             while self._listener.opening or any(connection.taking for connection in self._connections.all()):
                 await asyncio.sleep(0.002)
         return self._listener.socket
 
     async def resume(self) -> None:
-        """After all: go on."""
+        """Undo `pause`, if it is in effect."""
         if self._listener is None or self._connections is None or not self._connections.paused:
             return
         self._listener.resume()
         self._connections.paused = False
         for connection in self._connections.all():
-            connection.flow()
+            connection.update_reading()
 
     def connections(self) -> list[tuple[int, bool, bytes]]:
-        """Those that another process can go on with: descriptor, whether a request is expected only by and by, and what
-        came of one."""
+        """Return the connections that another process can take over: descriptor, whether it is idle, and the bytes of
+        an incomplete request."""
         assert self._connections is not None
-        return [(client.transport.get_extra_info("socket").fileno(), client.phase is Phase.IDLE, client.raw)
+        return [(client.transport.get_extra_info("socket").fileno(), client.phase is Phase.IDLE, client.partial_request)
                 for client in self._connections.all()
-                if client.transport is not None and not client.gone and client.raw is not None
+                if client.transport is not None and not client.gone and client.partial_request is not None
                 and not client.taking and not client.transport.get_write_buffer_size()]
 
     def let_go(self) -> None:
-        """Another process has them: this one's handles are closed."""
+        """Close the handles of what another process has taken over."""
         if self._listener is not None:
             self._listener.close()
         if self._connections is not None:
@@ -105,36 +107,36 @@
                     connection.close()
 
     async def adopt(self, client: socket.socket, idle: bool, raw: bytes) -> None:
-        """Go on with one that another process had."""
+        """Take over a connection from another process; `raw` is what came of an incomplete request."""
         assert self._connections is not None
         connections = self._connections
         loop = asyncio.get_running_loop()
         _, connection = await loop.connect_accepted_socket(lambda: ClientConnection(connections), client)
         if idle:
-            connections.turn(connection, Phase.IDLE)
+            connections.set_phase(connection, Phase.IDLE)
         if raw:
             connection.data_received(raw)
 
     async def sweep(self) -> None:
-        """Keep clients to their time, for good."""
+        """Apply the time limits of connections and log what was refused, until cancelled."""
         while True:
             await asyncio.sleep(_SWEEP_S)
             if self._connections is not None:
                 self._connections.sweep()
-            if self.bad:
-                log.info("%d bad requests", self.bad)
-                self.bad = 0
-            if self._no_room:
-                log.warning("no room for %d messages", self._no_room)
-                self._no_room = 0
+            if self.bad_requests:
+                log.info("%d bad requests", self.bad_requests)
+                self.bad_requests = 0
+            if self._no_room_count:
+                log.warning("no room for %d messages", self._no_room_count)
+                self._no_room_count = 0
 
     def refuse(self) -> None:
-        """Turn messages away from now on."""
+        """Refuse new messages from now on."""
         self.refusing = True
 
     async def stop(self) -> None:
-        """Answer what is under way, what lies in the kernel's buffers and what stands in its queue, and end the
-        connections. Whoever has connected and not asked yet has half of the time for it."""
+        """Answer the current requests and those in the kernel's buffers and queue, then end the connections. Clients
+        that have connected and sent nothing have half of the time to do so."""
         self.closing = self.refusing = True
         if self._connections is None or self._listener is None:
             return
@@ -143,22 +145,21 @@
         queued = True
         while (left_s := began + STOP_S - loop.time()) > 0:
             if queued and not (queued := self._listener.accept()):
-                self._listener.close()  # in the turn in which its queue was seen empty
-            self._connections.end(silent=left_s < STOP_S / 2)
+                self._listener.close()  # in the same turn of the loop in which its queue was found empty
+            self._connections.end_idle(silent=left_s < STOP_S / 2)
             if not queued and not self._listener.opening and not self._connections.all():
                 break
             await asyncio.sleep(0 if queued or self._listener.opening else 0.01)
         self._listener.close()
-        self._connections.hurry()
-        for _ in range(_TURNS):
+        self._connections.cancel_waits()
+        for _ in range(_LOOP_TURNS):
             await asyncio.sleep(0)
-        self._connections.cut()
+        self._connections.close_all()
 
-    # --- what requests ask ---
+    # --- requests ---
 
     def serve(self, request: Request, connection: ClientConnection) -> None:
-        """Answer one, or let its connection wait for what has to come first. Whoever sent what can't be used has to
-        connect again."""
+        """Answer a request, or make its connection wait for the answer. A bad request ends its connection."""
         try:
             if request.method == "POST":
                 self._hand_in(request, connection)
@@ -172,23 +173,23 @@
                 raise BadRequestError("no such method; expected GET, or a message by POST")
             connection.say(request, 200 if self._desk.ready else 503)
         except BadRequestError as error:
-            self._bad(request, error, connection)
+            self._reject(request, error, connection)
         except RefusedError as error:
             connection.say(request, error.status, error.text, error.headers)
         except Exception:
             log.exception("a request failed unexpectedly")
-            connection.say(request, 500, keep=False)
+            connection.say(request, 500, keep_alive=False)
 
-    def _bad(self, request: Request, error: BadRequestError, connection: ClientConnection) -> None:
-        self.bad += 1
-        connection.say(request, 400, f"{error}\n", keep=False)
+    def _reject(self, request: Request, error: BadRequestError, connection: ClientConnection) -> None:
+        self.bad_requests += 1
+        connection.say(request, 400, f"{error}\n", keep_alive=False)
 
     def _hand_in(self, request: Request, connection: ClientConnection) -> None:
         message = self._front.message(request) if self._front is not None else read_message(request, self._classes)
-        desk = self._desk if self._find is None else self._find(message.destination)
-        if desk.holds(message.id):  # handed in once more after a connection that crossed
-            if desk.settles(message.id):  # guards against 202 for what its first client still may withdraw
-                self.unanswered(f"another client hands in {message.id} just now")
+        desk = self._desk if self._find_desk is None else self._find_desk(message.destination)
+        if desk.holds(message.id):  # handed in again, after the end of a connection crossed the first request
+            if desk.settles(message.id):  # guards against a 202 for a message that may still be withdrawn
+                self.on_unanswered(f"another client hands in {message.id} at the same time")
                 connection.close()
             else:
                 connection.say(request, 202)
@@ -198,39 +199,39 @@
             self._refuse(request, message, desk, connection)
         elif desk.full():
             self._refuse(request, message, desk, connection, "holds all it can")
-        elif not connection.gone:  # else nobody hears it
+        elif not connection.gone:  # otherwise the client could not receive the answer
             try:
                 desk.take(message)
             except NoRoomError:
-                self._turn_away(request, message, desk, connection)
+                self._refuse_no_room(request, message, desk, connection)
                 return
             if desk.syncs:
                 connection.taking = True
-                connection.wait(desk.durable(), functools.partial(self._settled, request, message, desk, connection))
+                connection.wait(desk.durable(), functools.partial(self._synced, request, message, desk, connection))
             else:
-                self._taken(request, message, desk, connection)
+                self._accept(request, message, desk, connection)
 
-    def _settled(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection,
-                 work: asyncio.Future[None]) -> None:
+    def _synced(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection,
+                work: asyncio.Future[None]) -> None:
         connection.taking = False
         error = None if work.cancelled() else work.exception()
         if not work.cancelled() and error is None:
-            self._taken(request, message, desk, connection)
+            self._accept(request, message, desk, connection)
             return
-        desk.withdraw(message.id)  # also where its client went meanwhile: nobody was told that it is taken on
+        desk.withdraw(message.id)  # also where its client has disconnected: no client was told that it is accepted
         if isinstance(error, NoRoomError):
-            self._turn_away(request, message, desk, connection)
+            self._refuse_no_room(request, message, desk, connection)
         elif isinstance(error, BadRequestError):
-            self._bad(request, error, connection)
+            self._reject(request, error, connection)
         elif isinstance(error, UnansweredError):
-            self.unanswered(str(error))
+            self.on_unanswered(str(error))
             connection.close()
         elif error is not None:
             raise error
-        elif not connection.gone:  # its time is up, or the courier's
+        elif not connection.gone:  # the time of the connection, or of the courier, is up
             self._refuse(request, message, desk, connection)
 
-    def _taken(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection) -> None:
+    def _accept(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection) -> None:
         if connection.say(request, 202, "", self._front.says(message) if self._front is not None else ()):
             desk.begin(message.id)
             desk.handed_in(message, 202)
@@ -239,11 +240,11 @@
         else:
             desk.withdraw(message.id)
 
-    def _turn_away(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection) -> None:
-        self._no_room += 1
+    def _refuse_no_room(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection) -> None:
+        self._no_room_count += 1
         self._refuse(request, message, desk, connection, "no room")
 
     def _refuse(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection,
                 why: str = "not now") -> None:
         desk.handed_in(message, 503)
-        connection.say(request, 503, f"{why}\n", _COME_BACK)
+        connection.say(request, 503, f"{why}\n", _RETRY_AFTER)
--- a/wheelstep/courier/desk.py
+++ b/wheelstep/courier/desk.py
@@ -1,4 +1,4 @@
-"""What the clients' side asks of whoever takes messages on, and the ways in which it does not. No I/O."""
+"""Interfaces between the client server and what accepts messages, and the errors by which it refuses them. No I/O."""
 
 from __future__ import annotations
 
@@ -11,51 +11,51 @@
 
 
 class Desk(Protocol):
-    """Who takes messages on."""
+    """What accepts messages from the client server."""
 
     @property
     def ready(self) -> bool:
-        """Does the courier take clients?"""
+        """Whether the courier is ready for clients."""
 
     @property
     def syncs(self) -> bool:
-        """Does `durable` ever wait?"""
+        """Whether a message is answered only after `durable` is done."""
 
     def full(self) -> bool:
-        """Is the hold limit reached?"""
+        """Return whether the hold limit is reached."""
 
     def serves(self, destination: int) -> bool:
-        """Has any list named it?"""
+        """Return whether discovery has ever listed the destination."""
 
     def take(self, message: Stored) -> None:
-        """Write it down, or raise `NoRoomError`."""
+        """Write a message to the journal. Raises `NoRoomError`."""
 
     def holds(self, message: str) -> bool:
-        """Was it taken on before, and is its end still owed?"""
+        """Return whether a message was accepted before and has not ended."""
 
     def settles(self, message: str) -> bool:
-        """Is it written down for a client that has not heard so yet, and may still be withdrawn?"""
+        """Return whether a message is written for a client that has no answer yet, so that it may be withdrawn."""
 
     def durable(self) -> asyncio.Future[None]:
-        """Done once what was written outlasts what the operator wants it to; or an error: `NoRoomError`,
-        `BadRequestError`, `UnansweredError`. Cancelled where nobody waits any more."""
+        """Return a future that is done once what was written is as durable as the operator's settings demand. It fails
+        with `NoRoomError`, `BadRequestError` or `UnansweredError`, and is cancelled when nobody waits any more."""
 
     def begin(self, name: str) -> None:
-        """Its client knows that it was taken on: act on it."""
+        """Start delivering a message, as its client has been told that it is accepted."""
 
     def withdraw(self, name: str) -> None:
-        """Its client went before the answer: forget it."""
+        """Forget a message that was written, as its client was not told that it is accepted."""
 
     def handed_in(self, message: Stored, status: int) -> None:
-        """It was handed in, and this is the answer."""
+        """Record the status with which a message was answered."""
 
 
 class BadRequestError(Exception):
-    """What is wrong with a request, for its client."""
+    """A request is invalid; the text tells the client why."""
 
 
 class RefusedError(Exception):
-    """Any other answer than that a message is taken on."""
+    """A request is answered with a status of its own instead of having its message accepted."""
 
     def __init__(self, status: int, text: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
         super().__init__(text)
@@ -63,32 +63,32 @@
 
 
 class Connection(Protocol):
-    """Where a request came in."""
+    """The connection on which a request came."""
 
     def say(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
-            keep: bool = True) -> bool:
-        """Answer; False if there is nobody any more to hear it."""
+            keep_alive: bool = True) -> bool:
+        """Write an answer. Return False if the client can no longer receive it."""
 
-    def wait(self, work: asyncio.Future[None], served: Callable[[asyncio.Future[None]], None],
+    def wait(self, work: asyncio.Future[None], on_done: Callable[[asyncio.Future[None]], None],
              held: bool = False) -> None:
-        """Read no further until the work is done; `served` answers. `held`: it may take a minute."""
+        """Stop reading until `work` is done, then call `on_done`, which answers. `held`: it may take a minute."""
 
 
 class Front(Protocol):
-    """What requests mean where it is not the platform's clients that send them (wheelstep.standalone)."""
+    """Interprets requests of other clients than the platform's, for example those of `wheelstep.standalone`."""
 
     def message(self, request: Request) -> Stored:
-        """What is handed in; raises `BadRequestError` and `RefusedError`."""
+        """Return the message that a request hands in. Raises `BadRequestError` and `RefusedError`."""
 
     def other(self, request: Request, connection: Connection) -> None:
-        """Answer what is neither that nor asks for health; raises the same."""
+        """Answer a request that neither hands in a message nor asks for readiness. Raises the same errors."""
 
     def says(self, message: Stored) -> tuple[tuple[str, str], ...]:
-        """Headers that go with its 202."""
+        """Return the headers of the 202 for a message."""
 
     def taken(self, message: Stored) -> None:
-        """Its client has heard 202."""
+        """Note that the 202 for a message was written."""
 
 
 class UnansweredError(Exception):
-    """Nobody knows whether it was taken on: no answer would be true."""
+    """It is unknown whether the message was accepted, so the connection is closed without an answer."""
--- a/wheelstep/courier/leaving.py
+++ b/wheelstep/courier/leaving.py
@@ -1,4 +1,4 @@
-"""How a courier ends: within some three seconds of SIGTERM."""
+"""Orderly shutdown of a courier: within about three seconds of SIGTERM."""
 
 from __future__ import annotations
 
@@ -10,46 +10,48 @@
 from wheelstep.courier.client_server import STOP_S, ClientServer
 from wheelstep.courier.core import Core
 
-_WORK_ON_S = 2.0  # from SIGTERM until no new attempt starts
-_CLOSE_S = 2.8  # until clients' connections are ended
-_TURN_AWAY_S = _CLOSE_S  # until messages get 503: what is taken from _WORK_ON_S on waits for the next process
-LEAVE_S = _CLOSE_S + STOP_S  # until calls still under way are left to the next process
+# Counted from SIGTERM:
+_ATTEMPTS_UNTIL_S = 2.0  # no new attempt starts from then on
+_CONNECTIONS_UNTIL_S = 2.8  # clients' connections are ended
+# Messages get 503. One that is accepted after _ATTEMPTS_UNTIL_S waits in the journal for the next process.
+_MESSAGES_UNTIL_S = _CONNECTIONS_UNTIL_S
+LEAVE_S = _CONNECTIONS_UNTIL_S + STOP_S  # calls that are still under way are left to the next process
 
 log = logging.getLogger(__name__)
 
 
 async def leave(core: Core, server: ClientServer, first: Awaitable[None] | None = None) -> None:
-    """Clients hear 503 from the health check, and go on being served on the connections that they have. `first`: what
-    is done meanwhile, and waited for."""
+    """Shut down after SIGTERM. The readiness check answers 503 from now on, while clients are still served on the
+    connections that they have. `first` is awaited before attempts stop."""
     began = asyncio.get_running_loop().time()
     core.ready = False
     if first is not None:
         await first
-        began = max(began, asyncio.get_running_loop().time() - _WORK_ON_S)
+        began = max(began, asyncio.get_running_loop().time() - _ATTEMPTS_UNTIL_S)
 
     async def until(after_s: float) -> None:
         await asyncio.sleep(max(0.0, began + after_s - asyncio.get_running_loop().time()))
 
-    await until(_WORK_ON_S)
+    await until(_ATTEMPTS_UNTIL_S)
     core.stop()
     log.info("no new attempt from now on")
-    turn = asyncio.get_running_loop().call_at(began + _TURN_AWAY_S, server.refuse)
-    await core.outlet.finish(_CLOSE_S - _WORK_ON_S)
+    refusal = asyncio.get_running_loop().call_at(began + _MESSAGES_UNTIL_S, server.refuse)
+    await core.outlet.finish(_CONNECTIONS_UNTIL_S - _ATTEMPTS_UNTIL_S)
     server.closing = True
-    await until(_CLOSE_S)
-    turn.cancel()
+    await until(_CONNECTIONS_UNTIL_S)
+    refusal.cancel()
     log.info("ending clients' connections")
     await server.stop()
     await core.outlet.finish(max(0.0, began + LEAVE_S - asyncio.get_running_loop().time()))
-    await core.outlet.abandon()  # before the folder is given back: a process that waits for it takes them for ended
+    await core.outlet.abandon()  # before the folder is unlocked: the next process takes these calls for ended
     log.info("stopped; invariants violated: %s", core.invariants.summary())
 
 
 def deafen() -> None:
-    """For the rest of the process. The loop gives signals back when it is closed, and one told to end a second time
-    would die of it in its last moments, in place of ending with 0."""
+    """Ignore SIGTERM, SIGINT and SIGHUP for the rest of the process. A closing event loop restores their default
+    actions, so a second SIGTERM in the last moments would kill the process, which has to exit with 0."""
     numbers = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
-    signal.pthread_sigmask(signal.SIG_BLOCK, numbers)  # between the two steps
+    signal.pthread_sigmask(signal.SIG_BLOCK, numbers)  # for a signal between the two steps below
     for number in numbers:
         asyncio.get_running_loop().remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
--- a/wheelstep/courier/opening.py
+++ b/wheelstep/courier/opening.py
@@ -1,4 +1,5 @@
-"""What a courier opens at its start: the journal, from another process if one has it, and what operators want."""
+"""What a courier opens at its start: the console, the journal (taken over from another process if one has it), and the
+recording and the account that the operator's file asks for."""
 
 from __future__ import annotations
 
@@ -13,24 +14,24 @@
 from wheelstep.journal.codec import FormatError
 from wheelstep.journal.promise import Sync
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # imported at run time only where the feature is on
     from wheelstep.account.writer import Account
     from wheelstep.console.front import Front
     from wheelstep.operator import Operator
     from wheelstep.recording.writer import Recorder
     from wheelstep.upgrade.target import HandoverTarget
 
-# What a disk, or the system, says where it can't for a while; anything else is for the operator to mend.
-_PASSING = frozenset({errno.EAGAIN, errno.EDQUOT, errno.EINTR, errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM,
-                      errno.ENOSPC})
-_DISK_S = 20.0  # a courier that takes over 30 s to be ready has failed (standing test)
-_DISK_AGAIN_S = 0.1
+# Errors of a disk, or of the system, that may pass by themselves; the operator has to fix any other.
+_TRANSIENT_ERRNOS = frozenset({errno.EAGAIN, errno.EDQUOT, errno.EINTR, errno.EIO, errno.EMFILE, errno.ENFILE,
+                               errno.ENOMEM, errno.ENOSPC})
+_DISK_TIMEOUT_S = 20.0  # a courier that takes over 30 s to be ready has failed (standing test)
+_DISK_RETRY_S = 0.1
 
 log = logging.getLogger(__name__)
 
 
 class _Starting:
-    """What operators hear before the courier is there."""
+    """What the console shows and does before the courier is there."""
 
     ready = False
 
@@ -46,7 +47,7 @@
 
 
 async def open_console(address: Address) -> Front:
-    """Where operators call."""
+    """Start the console for operators. Raises `ConfigError` if it can't listen."""
     from wheelstep.console.front import Front
     front = Front(_Starting())
     try:
@@ -56,57 +57,58 @@
     return front
 
 
-def _passes(error: ConfigError) -> bool:
-    """May opening the folder succeed by and by?"""
-    return isinstance(error.__cause__, OSError) and error.__cause__.errno in _PASSING
+def _is_transient(error: ConfigError) -> bool:
+    """Return whether opening the folder may succeed later."""
+    return isinstance(error.__cause__, OSError) and error.__cause__.errno in _TRANSIENT_ERRNOS
 
 
-async def open_patiently(config: Config, operator: Operator | None) -> Journal:
-    """The journal, also where the disk fails for a while. Raises `ConfigError` where it goes on failing, or can't be
-    used for any other reason."""
-    until_s = asyncio.get_running_loop().time() + _DISK_S
+async def open_journal_with_retry(config: Config, operator: Operator | None) -> Journal:
+    """Open the journal, and try again while the disk fails. Raises `ConfigError` if that takes too long, or if the
+    folder can't be used for another reason."""
+    until_s = asyncio.get_running_loop().time() + _DISK_TIMEOUT_S
     while True:
         try:
             return open_journal(config, operator)
         except ConfigError as error:
-            if not _passes(error) or asyncio.get_running_loop().time() >= until_s:
+            if not _is_transient(error) or asyncio.get_running_loop().time() >= until_s:
                 raise
             log.warning("the folder can't be opened yet: %s", error)
-        await asyncio.sleep(_DISK_AGAIN_S)
+        await asyncio.sleep(_DISK_RETRY_S)
 
 
-async def obtain(config: Config, operator: Operator | None,
-                 terminated: asyncio.Event) -> tuple[Journal, HandoverTarget | None] | None:
-    """The journal, from the process that has it if there is one; None if this one is to end meanwhile."""
+async def obtain_journal(config: Config, operator: Operator | None,
+                         terminated: asyncio.Event) -> tuple[Journal, HandoverTarget | None] | None:
+    """Open the journal, taken over from the process that has it if there is one. None if `terminated` was set while it
+    waited for that process. Raises `ConfigError`."""
     try:
-        return await open_patiently(config, operator), None
+        return await open_journal_with_retry(config, operator), None
     except ConfigError as error:
         if not isinstance(error.__cause__, FolderInUseError):
             raise
     from wheelstep.upgrade.target import take_over
-    found: list[Journal] = []
+    opened: list[Journal] = []
 
-    def free() -> bool:
+    def try_open() -> bool:
         try:
-            found.append(open_journal(config, operator))
+            opened.append(open_journal(config, operator))
         except ConfigError as error:
-            if not isinstance(error.__cause__, FolderInUseError) and not _passes(error):
+            if not isinstance(error.__cause__, FolderInUseError) and not _is_transient(error):
                 raise
-        return bool(found)
-    taking = asyncio.create_task(take_over(config.state, free))
-    ending = asyncio.create_task(terminated.wait())
-    await asyncio.wait({taking, ending}, return_when=asyncio.FIRST_COMPLETED)
-    ending.cancel()
-    if not taking.done():
-        taking.cancel()
+        return bool(opened)
+    takeover = asyncio.create_task(take_over(config.state, try_open))
+    termination = asyncio.create_task(terminated.wait())
+    await asyncio.wait({takeover, termination}, return_when=asyncio.FIRST_COMPLETED)
+    termination.cancel()
+    if not takeover.done():
+        takeover.cancel()
         return None
-    target = taking.result()
-    return (found[0] if found else await open_patiently(config, operator)), target
+    target = takeover.result()
+    return (opened[0] if opened else await open_journal_with_retry(config, operator)), target
 
 
 def open_journal(config: Config, operator: Operator | None) -> Journal:
-    """Raises `ConfigError` where the folder can't be used."""
-    if (config.state / "layout.json").exists():  # guards what workers owe against a courier that would not see it
+    """Open the journal in the state folder. Raises `ConfigError` if the folder can't be used."""
+    if (config.state / "layout.json").exists():  # a courier without workers would not see those messages
         raise ConfigError(f"{config.state}: laid out for workers; expected `umberchute serve --workers N`, or "
                           f"`umberchute workers merge {config.state}` first")
     part = operator.journal if operator is not None else None
@@ -120,7 +122,7 @@
 
 
 def recorder(operator: Operator, config: Config) -> Recorder | None:
-    """Where the operator's file asks for a record of what is handed in."""
+    """Return the recorder of messages that clients hand in; None if the operator's file does not ask for it."""
     recording = operator.recording
     if not recording.on or recording.file is None:
         return None
@@ -132,7 +134,7 @@
 
 
 def account(operator: Operator, config: Config) -> Account | None:
-    """Where the operator's file asks for the account's lines."""
+    """Return the writer of the account's log lines; None if the operator's file does not ask for them."""
     if not operator.account.on:
         return None
     from wheelstep.account.writer import Account
--- a/wheelstep/courier/request.py
+++ b/wheelstep/courier/request.py
@@ -1,7 +1,7 @@
-"""Clients' requests as bytes, and answers to them. No I/O: bytes in, requests out.
+"""Parses clients' requests and formats the answers to them. No I/O: bytes in, requests out.
 
-httptools' parser (llhttp) gives the framing and refuses what may hide another request: a length given twice, a length
-beside an encoding, odd chunks.
+httptools' parser (llhttp) does the framing and refuses input that may hide another request: a length given twice, a
+length beside a transfer encoding, malformed chunks.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 import httptools
 
-MOST_BODY = 64 * 1024
-MOST_HEAD = 32 * 1024
-_MOST_TARGET = 8 * 1024
-_MOST_FIELDS = 128
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 32 * 1024
+_MAX_TARGET_BYTES = 8 * 1024
+_MAX_HEADERS = 128
 
 
 @dataclass(slots=True)
 class Request:
-    """One whole request. `once` has each header's first value by its name in lower case, `twice` the names of those
-    that were given more than once."""
+    """A complete request. `once` maps each header's name in lower case to its first value; `twice` holds the names of
+    headers that were given more than once."""
 
     method: str = ""
     target: str = ""
@@ -31,157 +31,164 @@
     once: dict[str, str] = field(default_factory=dict)
     twice: set[str] = field(default_factory=set)
     body: bytes = b""
-    keep: bool = True  # may its connection go on?
+    keep_alive: bool = True  # whether its connection may stay open
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """What came can't be used, and nothing behind it is read."""
+    """Status and text of the answer to input that is no valid request; nothing after that input is read."""
 
     status: int
     text: str
 
 
 class RequestReader:
-    """One connection's bytes."""
+    """Parser for the input of one connection."""
 
     def __init__(self) -> None:
         self.refusal: Refusal | None = None
-        self.inside = False  # a request has begun and is not whole
-        self.wants_more = False  # its client waits to be told to go on (`Expect: 100-continue`)
-        self._found: list[Request] = []
-        self._begin()
+        self.in_request = False  # a request has begun and is not complete
+        self.expects_continue = False  # the client waits for `100 Continue` before it sends the body
+        self._complete: list[Request] = []
+        self._reset()
         self._parser = httptools.HttpRequestParser(self)
 
-    def _begin(self) -> None:
-        self._now, self._target, self._body = Request(), b"", bytearray()
-        self._head = self._fields = self._missing = 0
+    def _reset(self) -> None:
+        self._request, self._target, self._body = Request(), b"", bytearray()
+        self._head_bytes = self._header_count = self._body_bytes_left = 0
         self._in_head = True
 
     def feed(self, data: bytes) -> list[Request]:
-        """The requests that are whole by now. Once `refusal` is set, nothing more is read."""
-        self._found = []
+        """Parse more input and return the requests that it completes. Once `refusal` is set, nothing more is read."""
+        self._complete = []
         while data and self.refusal is None:
-            if self._missing:
-                data = self._fill(data)
+            if self._body_bytes_left:
+                data = self._read_body(data)
                 continue
             try:
                 self._parser.feed_data(data)
                 data = b""
-            except httptools.HttpParserUpgrade as error:  # not wanted here: the request itself counts
+            except httptools.HttpParserUpgrade as error:  # upgrades are not supported: the request itself is served
                 data = data[error.args[0]:]
                 self._parser = httptools.HttpRequestParser(self)
             except httptools.HttpParserCallbackError as error:
-                self._refuse(400, f"no HTTP that can be read: {error}")  # unless the callback has said why
+                self._refuse(400, f"no HTTP that can be read: {error}")  # unless the callback has refused it already
             except httptools.HttpParserError as error:
                 self._refuse(400, f"no HTTP that can be read: {error}")
-            if self.inside and self._in_head:
-                self._head += len(data) or 1
-        if self.refusal is None and self.inside and self._in_head and self._held() > MOST_HEAD:
+            if self.in_request and self._in_head:
+                self._head_bytes += len(data) or 1
+        if self.refusal is None and self.in_request and self._in_head and self._head_size() > MAX_HEAD_BYTES:
             self._refuse(431, "a head of more than 32 KiB")
-        return self._found
-
-    def _fill(self, data: bytes) -> bytes:
-        """The parser takes what asks for another protocol to have no body. Guards against one that passes for a
-        request of its own."""
-        self._body += data[:self._missing]
-        data, self._missing = data[self._missing:], max(0, self._missing - len(data))
-        if not self._missing:
-            self._complete()
+        return self._complete
+
+    def _read_body(self, data: bytes) -> bytes:
+        """Read the body of a request for an upgrade and return the rest. The parser takes such a request to have no
+        body; this guards against parsing the body as another request."""
+        self._body += data[:self._body_bytes_left]
+        data, self._body_bytes_left = data[self._body_bytes_left:], max(0, self._body_bytes_left - len(data))
+        if not self._body_bytes_left:
+            self._finish()
         return data
 
-    def _held(self) -> int:
-        return len(self._target) + self._head
+    def _head_size(self) -> int:
+        return len(self._target) + self._head_bytes
 
     def _refuse(self, status: int, text: str) -> None:
         if self.refusal is None:
             self.refusal = Refusal(status, text)
 
-    def _stop(self, status: int, text: str) -> None:
+    def _abort(self, status: int, text: str) -> None:
         self._refuse(status, text)
         raise ValueError(text)
 
-    # --- what httptools tells ---
+    # --- callbacks of httptools ---
 
     def on_message_begin(self) -> None:
-        self._begin()
-        self.inside = True
+        """Start a new request."""
+        self._reset()
+        self.in_request = True
 
     def on_url(self, url: bytes) -> None:
+        """Add a piece of the target."""
         self._target += url
-        if len(self._target) > _MOST_TARGET:
-            self._stop(414, "a target of more than 8 KiB")
+        if len(self._target) > _MAX_TARGET_BYTES:
+            self._abort(414, "a target of more than 8 KiB")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        now = self._now
-        self._fields += 1
-        self._head += len(name) + len(value)
-        if self._fields > _MOST_FIELDS or self._head > MOST_HEAD:
-            self._stop(431, "a head of more than 128 fields or 32 KiB")
+        """Add a header."""
+        request = self._request
+        self._header_count += 1
+        self._head_bytes += len(name) + len(value)
+        if self._header_count > _MAX_HEADERS or self._head_bytes > MAX_HEAD_BYTES:
+            self._abort(431, "a head of more than 128 fields or 32 KiB")
         key = name.decode("latin-1").lower()
-        if key in now.once:
-            now.twice.add(key)
+        if key in request.once:
+            request.twice.add(key)
         else:
-            now.once[key] = value.decode("utf-8", "surrogateescape")
+            request.once[key] = value.decode("utf-8", "surrogateescape")
 
     def on_headers_complete(self) -> None:
-        now = self._now
-        now.method, now.version = self._parser.get_method().decode("latin-1"), self._parser.get_http_version()
-        now.target, now.keep = self._target.decode("utf-8", "surrogateescape"), self._parser.should_keep_alive()
+        """Check the head, and refuse a body that is declared too large before any of it is read."""
+        request = self._request
+        request.method, request.version = self._parser.get_method().decode("latin-1"), self._parser.get_http_version()
+        request.target, request.keep_alive = (self._target.decode("utf-8", "surrogateescape"),
+                                              self._parser.should_keep_alive())
         self._in_head = False
-        if now.version not in ("1.0", "1.1"):
-            self._stop(400, "this version of HTTP is not spoken here; expected 1.0 or 1.1")
-        length = now.once.get("content-length", "0")
-        if length.isdigit() and int(length[:20]) > MOST_BODY:
-            self._stop(413, f"a body of {length[:20]} bytes; expected {MOST_BODY} at most")
-        if (expected := now.once.get("expect")) is not None:
+        if request.version not in ("1.0", "1.1"):
+            self._abort(400, "this version of HTTP is not spoken here; expected 1.0 or 1.1")
+        length = request.once.get("content-length", "0")
+        if length.isdigit() and int(length[:20]) > MAX_BODY_BYTES:
+            self._abort(413, f"a body of {length[:20]} bytes; expected {MAX_BODY_BYTES} at most")
+        if (expected := request.once.get("expect")) is not None:
             if expected.lower() != "100-continue":
-                self._stop(417, "only 100-continue can be expected here")
-            self.wants_more = now.version == "1.1"
+                self._abort(417, "only 100-continue can be expected here")
+            self.expects_continue = request.version == "1.1"
 
     def on_body(self, data: bytes) -> None:
+        """Add a piece of the body."""
         self._body += data
-        if len(self._body) > MOST_BODY:
-            self._stop(413, f"a body of more than {MOST_BODY} bytes")
+        if len(self._body) > MAX_BODY_BYTES:
+            self._abort(413, f"a body of more than {MAX_BODY_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        if self._parser.should_upgrade() and self._now.method != "CONNECT":
-            if "transfer-encoding" in self._now.once:
-                self._stop(400, "chunks and another protocol can't be asked for at once")
-            self._missing = int(self._now.once.get("content-length", "0"))
-        if not self._missing:
-            self._complete()
+        """Finish the request, unless the body of a request for an upgrade is still to be read."""
+        if self._parser.should_upgrade() and self._request.method != "CONNECT":
+            if "transfer-encoding" in self._request.once:
+                self._abort(400, "chunks and another protocol can't be asked for at once")
+            self._body_bytes_left = int(self._request.once.get("content-length", "0"))
+        if not self._body_bytes_left:
+            self._finish()
 
-    def _complete(self) -> None:
-        self._now.body = bytes(self._body)
-        self._found.append(self._now)
-        self.inside = self.wants_more = False
-        if self._now.method == "CONNECT":
-            self._stop(405, "no tunnels here")
+    def _finish(self) -> None:
+        self._request.body = bytes(self._body)
+        self._complete.append(self._request)
+        self.in_request = self.expects_continue = False
+        if self._request.method == "CONNECT":
+            self._abort(405, "no tunnels here")
 
 
-class _Dates:
-    """The time of an answer, made once a second."""
+class _DateHeader:
+    """The Date header, formatted once a second."""
 
     def __init__(self) -> None:
-        self._second, self._text = 0, b""
+        self._second, self._line = 0, b""
 
     def line(self) -> bytes:
         now = int(time.time())
         if now != self._second:
-            self._second, self._text = now, f"Date: {formatdate(now, usegmt=True)}\r\n".encode()
-        return self._text
+            self._second, self._line = now, f"Date: {formatdate(now, usegmt=True)}\r\n".encode()
+        return self._line
 
 
-_dates = _Dates()
-_STARTS = {status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode() for status in HTTPStatus}
+_date_header = _DateHeader()
+_STATUS_LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode() for status in HTTPStatus}
 
 
-def answer(status: int, text: str = "", headers: Sequence[tuple[str, str]] = (), keep: bool = True,
-           version: str = "1.1") -> bytes:
-    """One answer, ready to be written."""
-    parts = [_STARTS[status], _dates.line()]
-    if not keep:
+def format_response(status: int, text: str = "", headers: Sequence[tuple[str, str]] = (), keep_alive: bool = True,
+                    version: str = "1.1") -> bytes:
+    """Return the bytes of a response. `version` is that of the request."""
+    parts = [_STATUS_LINES[status], _date_header.line()]
+    if not keep_alive:
         parts.append(b"Connection: close\r\n")
     elif version == "1.0":
         parts.append(b"Connection: keep-alive\r\n")
--- a/wheelstep/courier/wall_clock.py
+++ b/wheelstep/courier/wall_clock.py
@@ -1,9 +1,9 @@
-"""Unix time that no step of the wall clock moves, and spans between now and moments that the journal keeps.
+"""Unix time that steps of the wall clock don't change, and spans between now and moments that the journal stores.
 
-Deadlines, and the moments of attempts, are kept as Unix milliseconds, since they outlast the process. What binds them
+Deadlines and the moments of attempts are stored as Unix milliseconds, since they outlast the process. What they bound
 is a span of real time: a wall clock that is set forward or back must not end a message early, nor keep it for an hour.
-So a process takes its Unix time from the monotonic clock and an offset, and the offset is kept in the journal for the
-processes that follow on the same boot of the machine, on which the monotonic clock runs on.
+So a process derives its Unix time from the monotonic clock and an offset. The offset is stored in the journal for later
+processes on the same boot of the machine, on which the monotonic clock runs on.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 from wheelstep.journal import Stored
 
-MARK = ":time"  # the journal's mark: the boot's id, and Unix time less monotonic time, in milliseconds
+MARK = ":time"  # the journal's mark: the boot's id, and Unix time minus monotonic time, in milliseconds
 _BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-_STEPPED_MS = 50  # a wall clock that is off by more is told of
+_STEPPED_MS = 50  # a larger difference from the wall clock is logged
 
 log = logging.getLogger(__name__)
 
 
 class UnixClock:
-    """Unix time; the wall clock's own until `follow` was called."""
+    """Unix time; that of the wall clock until `adopt_offset` is called."""
 
     def __init__(self) -> None:
         self._offset_s: float | None = None
@@ -37,9 +37,10 @@
         """Return the Unix time in whole milliseconds."""
         return int(self.now_s() * 1000)
 
-    def follow(self, marks: Mapping[str, Any], keep: Callable[[str, Any], None], boot: str | None = None) -> None:
-        """Go on with the offset of a process before on this boot, or keep this one's. `marks` are the journal's, `keep`
-        writes one; `boot` is the boot's id (default: as the system tells it)."""
+    def adopt_offset(self, marks: Mapping[str, Any], store: Callable[[str, Any], None],
+                     boot: str | None = None) -> None:
+        """Use the offset of an earlier process on this boot, or store a new one. `marks` are the journal's, `store`
+        writes one; `boot` is the boot's id (default: that of the system)."""
         boot = boot_id() if boot is None else boot
         self._offset_s = time.time() - time.monotonic()
         match marks.get(MARK):
@@ -49,11 +50,11 @@
                     log.warning("the wall clock was set by %+d ms; deadlines go on by the monotonic one", stepped_ms)
                 self._offset_s = offset_ms / 1000
             case _:
-                keep(MARK, [boot, int(self._offset_s * 1000)])
+                store(MARK, [boot, int(self._offset_s * 1000)])
 
 
 def boot_id() -> str:
-    """Return what names this boot of the machine, empty where the system does not tell."""
+    """Return the id of this boot of the machine, empty if the system has none."""
     try:
         return _BOOT_ID.read_text(encoding="ascii").strip()
     except (OSError, UnicodeDecodeError):
@@ -61,23 +62,24 @@
 
 
 clock = UnixClock()
-"""The process's one clock for moments that outlast it."""
+"""The process's clock for moments that outlast it."""
 
 
 def ago_us(at_ms: int) -> int:
-    """Return how long ago a moment was, in microseconds; 0 for one that is still to come."""
+    """Return the microseconds since a moment; 0 for one in the future."""
     return max(0, int(clock.now_s() * 1e6) - at_ms * 1000)
 
 
 def left_us(message: Stored) -> int:
-    """Return the time that a message may still be delivered in, in microseconds; 0 once it is up."""
+    """Return the microseconds until a message's deadline; 0 once that has passed."""
     return max(0, message.deadline_ms * 1000 - int(clock.now_s() * 1e6))
 
 
 def time_is_up(message: Stored, ahead_us: int) -> bool:
     """Return whether it is too late for a delivery.
 
-    A 200 that is written once the time is up delivers nothing to the platform, and when it was written can't be told
-    from here. The client's clock is ahead of ours by `ahead_us`, for the way of its request and steps of the loop. The
-    end of a message that came just in time is told as well, which the platform passes over (PROTOCOL, 'Notices')."""
+    For the platform a 200 that an endpoint writes after the deadline is no delivery, and the courier can't tell when it
+    was written. The client's deadline is `ahead_us` earlier than the courier's, for the transfer of its request and
+    turns of the event loop. A message whose answer came just in time gets a notice too, which the platform ignores
+    (PROTOCOL, 'Notices')."""
     return clock.now_s() * 1e6 >= message.deadline_ms * 1000 - ahead_us
