--- a/wheelstep/courier/config.py
+++ b/wheelstep/courier/config.py
@@ -1,4 +1,4 @@
-"""What the courier is told at its start, and again on SIGHUP; what makes no sense is one plain line."""
+"""Reads the courier's configuration, at its start and again on SIGHUP. Invalid input gives a one-line `ConfigError`."""
 
 from __future__ import annotations
 
@@ -29,15 +29,16 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
+        """Parse "host:port"; an IPv6 host may stand in brackets. Raises `ValueError`."""
         host, _, port = text.rpartition(":")
         if not host or not port.isdigit() or not 0 <= int(port) <= 65535:
-            raise ValueError(f"{text!r} is no host:port")
+            raise ValueError(f"{text!r} is no host:port address")
         return cls(host.strip("[]"), int(port))
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names that the settings list; on the sockets they stand where the module has numbers."""
+    """The names that the settings list; the protocol uses them where the decision module uses their indices."""
 
     classes: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -45,7 +46,7 @@
     report: tuple[str, ...]
 
     def entry(self, row: Mapping[str, Any]) -> tuple[api.EndpointInfo, Address]:
-        """One line of discovery's list; raises what `UNREADABLE` lists if it can't be read."""
+        """Parse one row of discovery's list. Raises one of `UNREADABLE` if that fails."""
         state = _STATES[row["health"]]
         info = api.EndpointInfo(
             endpoint=str(row["host"]), destination=int(row["block"]),
@@ -60,27 +61,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the courier is told."""
+    """The configuration of a courier."""
 
     name: str
     listen: Address
     discovery: Address
-    state: Path
+    state: Path  # the folder of the journal
     seed: int
     disk_bytes: int
-    sockets: int
-    known: Mapping[str, Any]
+    sockets: int  # limit on descriptors
+    known: Mapping[str, Any]  # the list of endpoints in the file, empty if there is none
     settings: api.Settings
     raw_settings: Mapping[str, Any]  # as they stand in the file
     names: Names
     dial_timeout_us: int
-    console: Address | None = None  # where operators call, if anywhere
+    console: Address | None = None  # where the console listens; None: there is none
     raw: Mapping[str, Any] = field(default_factory=dict, repr=False)  # the whole file
 
 
 def load(environ: Mapping[str, str], again: bool = False) -> Config:
-    """Read the file that `RELAY_CONFIG` names, and the folder that `RELAY_STATE` names. When the file is read
-    again it is newer than the environment, so its discovery counts."""
+    """Read the configuration file named by `RELAY_CONFIG`, with the state folder named by `RELAY_STATE`. A file that is
+    read `again` is newer than the environment, so its discovery address takes precedence. Raises `ConfigError`."""
     path, state = environ.get("RELAY_CONFIG"), environ.get("RELAY_STATE")
     if not path or not state:
         raise ConfigError("RELAY_CONFIG and RELAY_STATE must be set")
@@ -89,13 +90,13 @@
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from error
     if not Path(state).is_dir():
-        raise ConfigError(f"RELAY_STATE: {state} is no folder")
+        raise ConfigError(f"RELAY_STATE: {state} is no folder; expected an existing one")
     return from_data(data, Path(state), path, environ, again)
 
 
 def from_data(data: Mapping[str, Any], state: Path, source: str = "configuration",
               environ: Mapping[str, str] | None = None, again: bool = False) -> Config:
-    """The same from what a file holds; `source` names it in a `ConfigError`."""
+    """Return the configuration from the parsed content of a file. `source` names the file in a `ConfigError`."""
     try:
         return _config(data, state, environ or {}, again)
     except KeyError as error:
--- a/wheelstep/courier/flight_recorder.py
+++ b/wheelstep/courier/flight_recorder.py
@@ -1,7 +1,7 @@
 """The newest events of a courier in memory, written to its log when an invariant is violated. No I/O.
 
-The log of an incident seldom holds the seconds that matter: most events are too frequent for a line each. The recorder
-keeps them in a ring of a fixed size, and gives those that concern one message and its key.
+The log of an incident seldom covers the seconds that matter, as most events are too frequent for a line each. The
+recorder keeps them in a ring buffer, and returns those that concern one message and its key.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class EventKind(Enum):
-    """What happened."""
+    """Kind of an event; the values appear in log lines."""
 
     ACCEPTED = "accepted"
     RESTORED = "restored"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event. `at_s` is monotonic; `detail` says why, or how."""
+    """One event. `at_s` is monotonic time; `detail` gives the reason or the circumstances."""
 
     at_s: float
     kind: EventKind
@@ -42,16 +42,16 @@
 
 
 class FlightRecorder:
-    """A ring of events."""
+    """A ring buffer of events."""
 
     def __init__(self, capacity: int = CAPACITY) -> None:
         self._events: deque[Event] = deque(maxlen=capacity)
 
     def note(self, at_s: float, kind: EventKind, message: str = "", key: str | None = None, detail: str = "") -> None:
-        """Keep one event, and drop the oldest one where the ring is full."""
+        """Store an event; the oldest one is dropped if the buffer is full."""
         self._events.append(Event(at_s, kind, message, key, detail))
 
-    def about(self, message: str, key: str | None) -> list[Event]:
+    def related(self, message: str, key: str | None) -> list[Event]:
         """Return the events of a message, those of other messages of its key, and changes of state, oldest first."""
         return [event for event in self._events
                 if event.kind is EventKind.STATE or event.message == message
--- a/wheelstep/courier/listen.py
+++ b/wheelstep/courier/listen.py
@@ -1,4 +1,4 @@
-"""A socket that listens."""
+"""Opens listening sockets."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from wheelstep.courier.config import Address
 
-QUEUE = 512  # connections that wait in the kernel: a crowd may not make good clients dial again
+QUEUE = 512  # backlog in the kernel: many clients at once must not make others connect again
 
 
 def bind(listen: Address) -> socket.socket:
-    """A socket that listens there. Raises `OSError`."""
+    """Return a socket that listens at an address. Raises `OSError`."""
     family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
     listener = socket.create_server((listen.host, listen.port), family=family)
     listener.listen(QUEUE)
--- a/wheelstep/courier/notices.py
+++ b/wheelstep/courier/notices.py
@@ -1,4 +1,4 @@
-"""The notices of messages that ended undelivered."""
+"""Notices to the platform of messages that ended undelivered."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 from wheelstep.courier.config import Address
 
-_ANSWERED_S = 0.3  # after a message's time is up its notice must have been answered (PROTOCOL, 'The rules on sockets')
-_FIRST_TRY_S = _ANSWERED_S / 3  # it is answered at once; so the second try, twice as long, ends in time too
-_MOST_TRY_S = 2.0  # doubled from try to try up to this, for an agent that is only slow
-_AGAIN_S = 0.25  # between tries from the second on: the agent beside us takes them, at no cost
-_MOST_LINES = 200  # notices in one request
+# After a message's deadline its notice must have been answered within this time (PROTOCOL, 'The rules on sockets').
+_ANSWERED_WITHIN_S = 0.3
+_FIRST_TIMEOUT_S = _ANSWERED_WITHIN_S / 3  # a notice is answered at once; a second try, twice as long, is in time too
+_MAX_TIMEOUT_S = 2.0  # the timeout doubles from try to try up to this, for an agent that is only slow
+_RETRY_S = 0.25  # between tries from the second on: the agent is on the same host, so a try is cheap
+_MAX_BATCH = 200  # notices in one request
 
 log = logging.getLogger(__name__)
 
 
-class _Place:
-    """Where something of the platform is found, and the exchange that is under way with it."""
+class _Target:
+    """The URL of a service of the platform, and the exchange in progress with it."""
 
     def __init__(self, discovery: Address, path: str) -> None:
         self._path = path
@@ -32,15 +33,15 @@
         self.move(discovery)
 
     def move(self, discovery: Address) -> None:
-        """From now on it is there. Guards against waiting for one that has gone: what is under way ends with
-        `TimeoutError`."""
+        """Use another address from now on. An exchange in progress ends with `TimeoutError`, so that nothing waits for
+        an address that is gone."""
         self._url = f"http://{discovery.host}:{discovery.port}{self._path}"
         if self._exchange is not None:
             self._exchange.reschedule(asyncio.get_running_loop().time())
 
     @asynccontextmanager
     async def exchange(self) -> AsyncIterator[str]:
-        """Its address, for one exchange."""
+        """Return the URL for one exchange."""
         async with asyncio.timeout(None) as self._exchange:
             try:
                 yield self._url
@@ -49,52 +50,52 @@
 
 
 class Notices:
-    """Tells the platform of every message that ended undelivered, again and again until it is answered."""
+    """Notifies the platform of every message that ended undelivered, and repeats each notice until it is answered."""
 
     def __init__(self, http: aiohttp.ClientSession, discovery: Address,
-                 answered: Callable[[list[str]], None]) -> None:
-        self._http, self._answered = http, answered
-        self._place = _Place(discovery, "/v1/outcomes")
-        self._owed: dict[str, bytes] = {}
-        self._any = asyncio.Event()
+                 on_answered: Callable[[list[str]], None]) -> None:
+        self._http, self._on_answered = http, on_answered
+        self._target = _Target(discovery, "/v1/outcomes")
+        self._pending: dict[str, bytes] = {}
+        self._has_pending = asyncio.Event()
         self._failures = 0  # in a row
 
     def move(self, discovery: Address) -> None:
-        """What is unanswered goes to another address."""
-        self._place.move(discovery)
+        """Send what is not answered yet to another address."""
+        self._target.move(discovery)
 
     def owe(self, message: str, outcome: str, retry_ms: int) -> None:
-        """Tell of this one as soon as can be."""
+        """Queue a notice; it is sent as soon as possible."""
         notice: dict[str, Any] = {"message": message, "outcome": outcome}
         if retry_ms:
             notice["retry_in_ms"] = retry_ms
-        self._owed[message] = json.dumps(notice).encode() + b"\n"
-        self._any.set()
+        self._pending[message] = json.dumps(notice).encode() + b"\n"
+        self._has_pending.set()
 
     async def run(self) -> None:
-        """Send what is owed, for good."""
+        """Send queued notices, until cancelled."""
         while True:
-            await self._any.wait()
-            # Guards against one notice that is not taken holding up all others: alone, and last.
-            batch = list(islice(self._owed, _MOST_LINES if self._failures < 2 else 1))
-            if await self._post(b"".join(self._owed[message] for message in batch)):
+            await self._has_pending.wait()
+            # After a second failure notices go one by one, so that one that is never accepted does not hold up all.
+            batch = list(islice(self._pending, _MAX_BATCH if self._failures < 2 else 1))
+            if await self._post(b"".join(self._pending[message] for message in batch)):
                 self._failures = 0
                 for message in batch:
-                    del self._owed[message]
-                self._answered(batch)
+                    del self._pending[message]
+                self._on_answered(batch)
             else:
                 self._failures += 1
                 if self._failures == 1:
-                    continue  # a kept connection may have been gone: once more at once, on a fresh one
-                self._owed[batch[0]] = self._owed.pop(batch[0])
-                await asyncio.sleep(_AGAIN_S)
-            if not self._owed:
-                self._any.clear()
+                    continue  # the kept connection may have been closed: try again at once, on a new one
+                self._pending[batch[0]] = self._pending.pop(batch[0])  # to the end of the queue
+                await asyncio.sleep(_RETRY_S)
+            if not self._pending:
+                self._has_pending.clear()
 
     async def _post(self, body: bytes) -> bool:
         try:
-            limit = aiohttp.ClientTimeout(total=min(_FIRST_TRY_S * 2 ** min(self._failures, 8), _MOST_TRY_S))
-            async with self._place.exchange() as url, self._http.post(
+            limit = aiohttp.ClientTimeout(total=min(_FIRST_TIMEOUT_S * 2 ** min(self._failures, 8), _MAX_TIMEOUT_S))
+            async with self._target.exchange() as url, self._http.post(
                     url, data=body, timeout=limit) as answer:
                 if answer.status != 204:
                     log.warning("notices: status %d", answer.status)
--- a/wheelstep/courier/succession.py
+++ b/wheelstep/courier/succession.py
@@ -1,4 +1,4 @@
-"""What one process of a courier tells the next, as far as the order of keys and open calls go. No I/O."""
+"""What a process of a courier takes over from the one before: open calls and settling keys. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 
 def begun(calls: Sequence[Sequence[tuple[str, int]]], messages: Mapping[str, Stored]) -> list[CallsOut]:
-    """Return those calls of which an attempt was written down, and has no outcome yet."""
+    """Return the calls of which an attempt is in the journal without an outcome. `calls` has the messages and attempt
+    numbers of each."""
     found = []
     for attempts in calls:
         rows = [(name, number, held.out[number]) for name, number in attempts
@@ -23,10 +24,11 @@
 
 def follow(order: KeyOrder, settling: Mapping[str, int] | None, all_settled_s: float,
            now_s: float) -> api.KeysSettling | None:
-    """Go on with the settle periods of the process before, and return what the module has to know of them.
+    """Continue the settle periods of the process before, and return the event for the decision module, None if no key
+    settles.
 
-    `settling` has the keys that settle, with the microseconds left, as that process told. None: it could not tell, and
-    an attempt of any key may have ended with it, so that all keys have settled at `all_settled_s`.
+    `settling` has the settling keys and the microseconds left, as that process reported them. None: it could not
+    report, and any key may have had an attempt until its end, so that all keys settle until `all_settled_s`.
     """
     keys = tuple((settling or {}).items())
     order.settle(keys, now_s)
