--- a/tests/crossings_clients.py
+++ b/tests/crossings_clients.py
@@ -1,4 +1,4 @@
-"""Clients that hand messages in at one courier, in ways of their own; each byte is written when it is meant to be."""
+"""Clients that hand messages in at one courier, with control over when each byte is written."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 from crossings_judge import HandIn
 
 ANSWER_S = 8.0  # far beyond what any answer may take
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER for no time: a close resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s: a close sends a reset
 
 
 @dataclass(frozen=True)
 class Way:
-    """How one hand-in goes."""
+    """How a client sends one request."""
 
     fresh: bool = False  # on a new connection
-    held_s: float | None = None  # the last byte is held back so long
-    more: bytes = b""  # follows the request at once, and is no whole request
-    shut: bool = False  # the client ends its sending after the request
-    leave_s: float | None = None  # it goes so long after the last byte, with a reset
-    linger_s: float = 0.0  # how long it waits before it reads
+    held_s: float | None = None  # delay of the last byte
+    more: bytes = b""  # follows the request at once, and is no complete request
+    shut: bool = False  # the client half-closes after the request
+    leave_s: float | None = None  # the client resets this long after the last byte
+    linger_s: float = 0.0  # how long the client waits before it reads
 
 
 class Line:
-    """One connection."""
+    """One connection; `used` counts its answered requests."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.used = sock, 0
 
     @classmethod
     async def dial(cls, address: str) -> Line | None:
+        """Connect; None if that fails."""
         host, port = address.rsplit(":", 1)
         sock = socket.socket()
         sock.setblocking(False)
@@ -48,7 +49,7 @@
         return cls(sock)
 
     def rests(self) -> bool:
-        """Does it stand, with nothing to read?"""
+        """Return whether it is open and has nothing to read."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -58,12 +59,13 @@
         return False
 
     def reset(self) -> None:
+        """Close with a reset."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.sock.close()
 
     async def write(self, data: bytes, way: Way) -> bool:
-        """Was the last byte written?"""
+        """Write a request. Return whether the last byte was written."""
         loop = asyncio.get_running_loop()
         try:
             if way.held_s is not None:
@@ -79,7 +81,7 @@
         return True
 
     async def answer(self) -> tuple[int, bool]:
-        """The status, and whether the connection goes on; 0 where it ends with no answer. Raises `TimeoutError`."""
+        """Return the status, and whether the connection stays open; 0 if it ends unanswered. Raises `TimeoutError`."""
         raw, loop = b"", asyncio.get_running_loop()
         async with asyncio.timeout(ANSWER_S):
             while (end := raw.find(b"\r\n\r\n")) < 0 or len(raw) < end + 4 + _length(raw[:end]):
@@ -99,15 +101,15 @@
 
 
 class Clients:
-    """All of them. They keep connections, and take up the one that has rested longest."""
+    """All clients. They keep connections, and reuse the one that has been idle longest."""
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self._resting: list[Line] = []
+        self._idle: list[Line] = []
         self._keys: dict[str, asyncio.Lock] = {}
 
     async def hand_in(self, handed: HandIn, deadline_ms: int, way: Way) -> None:
-        """Messages of one key go in one after another."""
+        """Hand a message in; those of one key go one after another."""
         if not handed.key:
             await self._hand_in(handed, deadline_ms, way)
             return
@@ -116,14 +118,14 @@
 
     async def _hand_in(self, handed: HandIn, deadline_ms: int, way: Way) -> None:
         await self._try(handed, deadline_ms, way)
-        if handed.ended_at and not handed.fresh:  # it may have crossed the end of a connection that was kept
+        if handed.ended_at and not handed.fresh:  # the request may have crossed the end of a kept connection
             handed.tried, handed.whole_at, handed.ended_at = 2, 0.0, 0.0
             await self._try(handed, deadline_ms, Way(fresh=True))
 
     async def _try(self, handed: HandIn, deadline_ms: int, way: Way) -> None:
         line = None
-        while not way.fresh and self._resting and line is None:
-            line = self._resting.pop(0)
+        while not way.fresh and self._idle and line is None:
+            line = self._idle.pop(0)
             if not line.rests():
                 line.sock.close()
                 line = None
@@ -157,10 +159,11 @@
         else:
             handed.ended_at = time.monotonic()
         if status and on and not way.shut and not way.more:
-            self._resting.append(line)
+            self._idle.append(line)
         else:
             line.sock.close()
 
     def close(self) -> None:
-        for line in self._resting:
+        """Close the idle connections."""
+        for line in self._idle:
             line.sock.close()
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -1,4 +1,4 @@
-"""The courier's process on loopback sockets: what clients, endpoints and the platform see of it."""
+"""The courier's process on loopback sockets, as clients, endpoints and the platform see it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from wheelstep.journal import Journal
 
 
-async def hang(call: Call) -> None:
+async def _never_answer(call: Call) -> None:
     return None
 
 
-def journal_is_empty(folder: Path) -> bool:
+def _journal_is_empty(folder: Path) -> bool:
     journal = Journal(folder / "state", 3_000_000)
     try:
         return not journal.messages
@@ -28,6 +28,7 @@
 
 
 def test_a_message_is_delivered_unchanged(tmp_path: Path) -> None:
+    """Guards against a changed body or header, and against a journal that keeps a delivered message."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             body = bytes(range(256))
@@ -38,12 +39,12 @@
             assert call.headers["idempotency-key"] == "token-m1"
             assert int(call.headers["x-deadline-ms"]) > 0
             assert await s.courier.terminate() == 0
-            assert journal_is_empty(tmp_path)
+            assert _journal_is_empty(tmp_path)
     run(scene())
 
 
-def test_a_class_without_keys_comes_on_any_path(tmp_path: Path) -> None:
-    """Once, only paths with a key were routed, and all other classes got 404."""
+def test_a_class_without_keys_is_accepted_on_any_path(tmp_path: Path) -> None:
+    """Guards against routing only paths with a key, so that all other classes get 404."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             assert await s.courier.hand_in("m1", "once", body=b"") == 202
@@ -52,7 +53,7 @@
 
 
 def test_an_undelivered_message_ends_by_a_notice(tmp_path: Path) -> None:
-    """Once, the end was noted on a copy of the message, and no notice went out."""
+    """Guards against an end that is recorded on a copy of the message, so that no notice is sent."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             async def error(call: Call) -> Reply:
@@ -61,11 +62,12 @@
             assert await s.courier.hand_in("m1", "once") == 202
             assert (await s.platform.wait_notice("m1"))["outcome"] == "given_up"
             assert await s.courier.terminate() == 0
-            assert journal_is_empty(tmp_path)
+            assert _journal_is_empty(tmp_path)
     run(scene())
 
 
 def test_bad_input_gets_400_and_the_courier_goes_on(tmp_path: Path) -> None:
+    """Guards against a bad request that is accepted, or that ends or disturbs the courier."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             assert await s.courier.hand_in("m1", "no such class") == 400
@@ -85,10 +87,11 @@
     run(scene())
 
 
-def test_a_message_handed_in_once_more_is_sent_once(tmp_path: Path) -> None:
+def test_a_message_handed_in_twice_is_sent_once(tmp_path: Path) -> None:
+    """Guards against a second delivery when a client repeats a request without an answer."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
-            s.endpoint.reply = hang
+            s.endpoint.reply = _never_answer
             assert await s.courier.hand_in("m1") == 202
             await s.endpoint.wait(1)
             assert await s.courier.hand_in("m1") == 202
@@ -97,17 +100,17 @@
     run(scene())
 
 
-def test_after_sigkill_what_may_have_run_is_not_repeated_against_its_class(tmp_path: Path) -> None:
+def test_after_sigkill_a_message_that_may_have_run_is_repeated_only_if_its_class_allows(tmp_path: Path) -> None:
+    """The courier is killed during calls: `once` must not be sent again, `ordered` may, in the order of its key."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
-            s.endpoint.reply = hang
+            s.endpoint.reply = _never_answer
             assert await s.courier.hand_in("once", "once") == 202
             await s.endpoint.wait(1)
             assert await s.courier.hand_in("keyed", "ordered", key="k") == 202
             await s.endpoint.wait(2)
             assert await s.courier.hand_in("next", "ordered", key="k") == 202
             await s.courier.kill()
-
             async def fine(call: Call) -> Reply:
                 return 200, {}, b""
             s.endpoint.reply = fine
@@ -117,11 +120,12 @@
             assert [c.headers["x-request-id"] for c in calls] == ["once", "keyed", "keyed", "next"]
             assert calls[2].body == b"x" and calls[2].headers["idempotency-key"] == "token-keyed"
             assert await s.courier.terminate() == 0
-            assert journal_is_empty(tmp_path)
+            assert _journal_is_empty(tmp_path)
     run(scene())
 
 
-def test_a_notice_owed_outlasts_sigkill(tmp_path: Path) -> None:
+def test_an_unanswered_notice_is_sent_again_after_sigkill(tmp_path: Path) -> None:
+    """Guards against an end that the platform is never told of."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             async def error(call: Call) -> Reply:
@@ -141,10 +145,10 @@
 
 
 def test_sigterm_answers_clients_and_lets_running_calls_finish(tmp_path: Path) -> None:
+    """Guards against calls cut off at shutdown, and against a message accepted then that is lost."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             release = asyncio.Event()
-
             async def slow(call: Call) -> Reply:
                 await release.wait()
                 return 200, {}, b""
@@ -160,12 +164,13 @@
             sent = {c.headers["x-request-id"] for c in s.endpoint.calls}
             journal = Journal(tmp_path / "state", 3_000_000)
             assert "m1" in sent and "m1" not in journal.messages
-            assert ("m2" in sent) != ("m2" in journal.messages)  # done, or left to the next process
+            assert ("m2" in sent) != ("m2" in journal.messages)  # delivered, or left to the next process
             journal.close()
     run(scene())
 
 
 async def health(address: str) -> int:
+    """Return the status of the readiness check."""
     reader, writer = await asyncio.open_connection(*address.split(":"))
     writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     status = int((await reader.readline()).split()[1])
@@ -173,16 +178,16 @@
     return status
 
 
-def test_a_key_goes_on_only_once_the_notice_before_is_answered(tmp_path: Path) -> None:
+def test_the_next_message_of_a_key_waits_for_the_answer_to_a_notice(tmp_path: Path) -> None:
+    """Guards against a second message of a key at its endpoint before the platform knows that the first failed."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             s.platform.takes_notices = False
             seen: list[Any] = []
-
-            async def turn_away(call: Call) -> Reply:
+            async def reply(call: Call) -> Reply:
                 seen.append((call.headers["x-request-id"], "first" in s.platform.notices_heard))
                 return (500, {}, b"") if call.headers["x-request-id"] == "first" else (200, {}, b"")
-            s.endpoint.reply = turn_away
+            s.endpoint.reply = reply
             assert await s.courier.hand_in("first", "ordered", key="k", X_Deadline_Ms="900") == 202
             assert await s.courier.hand_in("second", "ordered", key="k") == 202
             while not any("notices: status 503" in line for line in s.courier.log):
@@ -195,7 +200,8 @@
     run(scene())
 
 
-def test_the_list_is_followed_through_garbage_and_drains(tmp_path: Path) -> None:
+def test_discovery_is_followed_through_invalid_rows_removals_and_a_broken_line(tmp_path: Path) -> None:
+    """Guards against an invalid row or line that ends the watch, or hides the valid rows beside it."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             await s.platform.wait_watches(1)
@@ -203,8 +209,7 @@
             s.platform.push(host("e1", other, block=8))
             assert await s.courier.hand_in("m1", X_Consignee="dest=8") == 202
             await s.endpoint.wait(1)
-            s.platform.push({"host": "junk"}, host("e1", other, block=8, health="DELETED"),
-                            host("e2", other, block=9))
+            s.platform.push({"host": "junk"}, host("e1", other, block=8, health="DELETED"), host("e2", other, block=9))
             assert await s.courier.hand_in("m2", X_Consignee="dest=9") == 202
             await s.endpoint.wait(2)
             assert await s.courier.hand_in("m3", X_Consignee="dest=8", X_Deadline_Ms="300") == 202
@@ -217,8 +222,8 @@
     run(scene())
 
 
-def test_what_was_seen_of_a_sick_endpoint_outlasts_sigkill(tmp_path: Path) -> None:
-    """Guards a destination that comes back cold against a courier that has just started again."""
+def test_the_health_of_a_failing_endpoint_is_kept_over_sigkill(tmp_path: Path) -> None:
+    """Guards a destination that has just come back against a restarted courier that sends it all messages at once."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             s.platform.list(host("e0", "127.0.0.1:1"))  # nobody listens there
@@ -233,26 +238,26 @@
             journal.close()
             s.platform.list(host("e0", s.endpoint.address))
             await s.courier.start()
-            calls = await s.endpoint.wait(2)  # one that knew nothing would send the message at once
+            calls = await s.endpoint.wait(2)  # without that knowledge the message would be sent without a probe
             assert [call.target for call in calls] == ["/healthz", "/inbox"]
     run(scene())
 
 
 def carried(call: Call) -> list[str]:
-    """The messages of a call."""
+    """Return the messages of a call."""
     if call.target == "/inbox":
         return [call.headers["x-request-id"]]
     return [line.split()[0].decode() for line in call.body.splitlines() if line.count(b" ") == 2]
 
 
-def test_nothing_is_lost_or_repeated_when_killed_in_full_flow(tmp_path: Path) -> None:
+def test_nothing_is_lost_or_repeated_when_killed_under_load(tmp_path: Path) -> None:
+    """Guards against messages lost, repeated against their class or out of the order of their key by a kill."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             delivered: set[str] = set()
             killed = asyncio.Event()
-
             async def answer(call: Call) -> Reply:
-                if len(s.endpoint.calls) % 2:  # every other call is still out when the process is killed
+                if len(s.endpoint.calls) % 2:  # every other call is still open when the process is killed
                     await killed.wait()
                 names = carried(call)
                 delivered.update(names)
@@ -260,7 +265,6 @@
                 return 200, {}, body.encode()
             s.endpoint.reply = answer
             names = [f"{'once' if n % 3 else 'ordered'}-{n}" for n in range(45)]
-
             async def hand_in(name: str) -> None:
                 cls, _, number = name.partition("-")
                 assert await s.courier.hand_in(name, cls, key=f"k{int(number) % 4}") == 202
@@ -285,7 +289,7 @@
 
 
 def test_sighup_moves_watch_and_notices_to_the_address_in_the_file(tmp_path: Path) -> None:
-    """Once, SIGHUP killed. Twice in a row, and with a notice that the old address does not take."""
+    """Guards against a SIGHUP that ends the process. It comes twice, with a notice that the old address refuses."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             async def error(call: Call) -> Reply:
@@ -319,9 +323,8 @@
         async with Scene(tmp_path) as s:
             await s.platform.wait_watches(1)
             text = s.courier.config(s.platform)
-            broken = [text[:len(text) // 2], "", "[" * 100_000, "null",
-                      text.replace('"per_call"', '"per_call": [Infinity], "x"'),
-                      text.replace(s.platform.address, "nowhere")]
+            broken = [text[:len(text) // 2], "", "[" * 100_000, "null", text.replace(
+                      '"per_call"', '"per_call": [Infinity], "x"'), text.replace(s.platform.address, "nowhere")]
             for count, bad in enumerate(broken, 1):
                 s.courier.renew(bad)
                 await s.courier.wait_log("the new configuration is not used", count)
@@ -334,8 +337,8 @@
     run(scene())
 
 
-def test_the_watch_outlasts_lists_that_make_no_sense(tmp_path: Path) -> None:
-    """Once, an Infinity or deep nesting ended the process."""
+def test_the_watch_outlasts_lists_that_cannot_be_parsed(tmp_path: Path) -> None:
+    """Guards against an Infinity or deep nesting that ends the process."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             row = host("e1", s.endpoint.address, block=8)
@@ -351,10 +354,9 @@
     run(scene())
 
 
-def test_a_journal_of_version_0_1_is_taken_over_by_the_daemon(tmp_path: Path) -> None:
-    """An upgrade in place: what the old version owed is delivered, and its file is gone."""
+def test_a_journal_of_version_0_1_is_converted_at_start(tmp_path: Path) -> None:
+    """An upgrade in place: the messages of the old version are delivered, and its file is removed."""
     from test_journal import old_message
-
     async def scene() -> None:
         s = Scene(tmp_path)
         (tmp_path / "state" / "journal.log").write_bytes(
@@ -363,11 +365,12 @@
             call = (await s.endpoint.wait(1))[0]
             assert (call.headers["x-request-id"], call.body) == ("m1", b"body of m1")
             assert await s.courier.terminate() == 0
-        assert not (tmp_path / "state" / "journal.log").exists() and journal_is_empty(tmp_path)
+        assert not (tmp_path / "state" / "journal.log").exists() and _journal_is_empty(tmp_path)
     run(scene())
 
 
-def test_a_second_courier_on_the_folder_is_refused_with_one_line(tmp_path: Path) -> None:
+def test_a_second_courier_on_the_same_folder_exits_with_one_line(tmp_path: Path) -> None:
+    """Guards against two processes on one journal, and against a traceback for the operator."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_STATE": str(tmp_path / "state")}
@@ -379,7 +382,7 @@
     run(scene())
 
 
-def test_group_sync_answers_delivers_and_ends_as_ever(tmp_path: Path) -> None:
+def test_with_group_sync_messages_are_answered_delivered_and_ended(tmp_path: Path) -> None:
     async def scene() -> None:
         (tmp_path / "operator.toml").write_text('[journal]\nsync = "group"\n')
         async with Scene(tmp_path, operator=tmp_path / "operator.toml") as s:
@@ -392,45 +395,42 @@
             while {name for call in await s.endpoint.wait(count) for name in carried(call)} != set(names):
                 count = len(s.endpoint.calls) + 1
             assert sum(len(carried(call)) for call in s.endpoint.calls) == len(names)
-
             async def error(call: Call) -> Reply:
                 return 500, {}, b""
             s.endpoint.reply = error
             assert await s.courier.hand_in("bad") == 202
             assert (await s.platform.wait_notice("bad"))["outcome"] == "given_up"
             assert await s.courier.terminate() == 0
-        assert journal_is_empty(tmp_path)
+        assert _journal_is_empty(tmp_path)
     run(scene())
 
 
-def test_an_operators_file_that_makes_no_sense_is_one_line(tmp_path: Path) -> None:
+def test_an_invalid_operator_file_gives_one_line_on_stderr(tmp_path: Path) -> None:
     (tmp_path / "operator.toml").write_text('[journal]\nsync = "sometimes"\n')
     words = [sys.executable, "-m", "wheelstep.cli", "serve", "--operator", str(tmp_path / "operator.toml")]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 1 and done.stderr.count("\n") == 1 and "journal.sync: 'sometimes'" in done.stderr
 
 
-def test_a_full_journal_turns_away_with_a_time_to_come_back_and_finishes_what_it_owes(tmp_path: Path) -> None:
+def test_a_full_journal_refuses_with_retry_after_and_delivers_what_it_holds(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Scene(tmp_path, disk_mb=0.3) as s:
             release = asyncio.Event()
-
             async def held(call: Call) -> Reply:
                 await release.wait()
                 return 200, {}, "".join(f"{name} delivered\r\n" for name in carried(call)).encode()
             s.endpoint.reply = held
             answers = [await s.courier.hand_in_answer(f"m{number}", body=b"x" * 20_000) for number in range(30)]
-            taken = [number for number, (status, _) in enumerate(answers) if status == 202]
+            taken = [number for number, (code, _) in enumerate(answers) if code == 202]
             assert 5 <= len(taken) < 30
-            assert {(status, headers.get("Retry-After")) for status, headers in answers if status != 202} == {
-                (503, "1")}
+            assert {(code, headers.get("Retry-After")) for code, headers in answers if code != 202} == {(503, "1")}
             release.set()
             sent: set[str] = set()
             while len(sent) < len(taken):
                 sent = {name for call in await s.endpoint.wait(1) for name in carried(call)}
                 await asyncio.sleep(0.01)
             assert sent == {f"m{number}" for number in taken}
-            async with asyncio.timeout(20):  # and once they are over there is room again
+            async with asyncio.timeout(20):  # once they have ended there is room again
                 while (await s.courier.hand_in_answer("more", body=b"x" * 20_000))[0] != 202:
                     await asyncio.sleep(0.05)
         used = sum(-(-path.stat().st_size // 512) * 512 for path in (tmp_path / "state").iterdir())
--- a/tests/test_crossings_restart.py
+++ b/tests/test_crossings_restart.py
@@ -1,4 +1,4 @@
-"""What a restart does with messages that were taken on: each crossing is forced on real processes."""
+"""What a restart does with accepted messages: each crossing of events is forced on real processes."""
 
 from __future__ import annotations
 
@@ -13,34 +13,35 @@
 import pytest
 from helpers import MS, Drive, S, finals, info, sends
 from loopback import LIMIT_S, Call, Courier, Reply, Scene, run
-from restart import Client, Town, fill, play, settings
+from restart import Client, PlatformWithEndpoints, fill, play, settings
 
 from wheelstep import interface as api
 from wheelstep.interface import Outcome
 from wheelstep.journal import Journal, Stored
 
 HOLD = 40
-OLD = HOLD - 1  # one more, and the first process hands one back by itself
-HERE = {**settings(HOLD), "rules": {**settings(HOLD)["rules"], "cold_us": 0}}  # what comes back takes all at once
+OLD = HOLD - 1  # with one more the first process would hand one back by itself
+HERE = {**settings(HOLD), "rules": {**settings(HOLD)["rules"], "cold_us": 0}}  # without a slow start after an outage
 
 
-async def until(there: Any) -> None:
+async def until(condition: Any) -> None:
+    """Wait until `condition` returns true."""
     async with asyncio.timeout(LIMIT_S):
-        while not there():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def full(folder: Path, endpoints: int = 2) -> AsyncIterator[tuple[Town, Courier, set[str]]]:
-    """A courier that was killed with its hold limit full of messages that nothing could be done about."""
-    async with Town(endpoints) as town:
-        town.say_health("DRAINING")
-        courier = Courier(folder, town, HERE)
+async def full(folder: Path, endpoints: int = 2) -> AsyncIterator[tuple[PlatformWithEndpoints, Courier, set[str]]]:
+    """Provide a courier that was killed while its hold limit was full of messages that could not be tried."""
+    async with PlatformWithEndpoints(endpoints) as platform:
+        platform.set_health("DRAINING")
+        courier = Courier(folder, platform, HERE)
         await courier.start()
         old = set(await fill(courier, OLD, 20_000))
         await courier.kill()
         try:
-            yield town, courier, old
+            yield platform, courier, old
         finally:
             if courier.process.returncode is None:
                 await courier.kill()
@@ -48,41 +49,46 @@
 
 @pytest.mark.parametrize("restarts", [1, 2])
 @pytest.mark.parametrize("known", ["all", "none"])
-def test_what_was_restored_untried_is_kept_at_the_limit_and_tried(tmp_path: Path, restarts: int, known: str) -> None:
-    """Fresh ones come before any of them can be tried; with an old list, discovery is silent at first."""
+def test_restored_untried_messages_are_kept_at_the_hold_limit_and_tried(
+        tmp_path: Path, restarts: int, known: str) -> None:
+    """New messages come before any restored one can be tried. `known`: what the courier knows of endpoints while
+    discovery is silent. Guards against restored messages that are handed back to make room for new ones."""
     async def scene() -> None:
-        async with full(tmp_path) as (town, courier, old):
+        async with full(tmp_path) as (platform, courier, old):
             if known == "none":
-                town.hosts, town.down = {}, True
+                platform.hosts, platform.down = {}, True
             for number in range(restarts):
                 if number:
                     await courier.kill()
                 await courier.start()
             client = Client(courier, 20_000)
             codes = [await client.hand_in(f"new{number}") for number in range(5)]
-            assert codes == [503] * 5 and not town.notices_heard
-            town.say_health("SERVING")
-            town.back() if town.down else town.push(*town.hosts.values())
-            await until(lambda: town.called >= old)
-            assert not town.notices_heard and town.called == old
-            await until(lambda: len(town.ended_at) >= OLD)
+            assert codes == [503] * 5 and not platform.notices_heard
+            platform.set_health("SERVING")
+            platform.back() if platform.down else platform.push(*platform.hosts.values())
+            await until(lambda: platform.called >= old)
+            assert not platform.notices_heard and platform.called == old
+            await until(lambda: len(platform.ended_at) >= OLD)
             assert await client.hand_in("after") == 202
     run(scene())
 
 
-def test_with_half_of_the_endpoints_hanging_and_fresh_traffic_all_are_tried(tmp_path: Path) -> None:
+def test_with_half_of_the_endpoints_hanging_and_new_traffic_all_restored_messages_are_tried(tmp_path: Path) -> None:
+    """Guards against restored messages that wait for hanging endpoints, or behind new messages, until their end."""
     async def scene() -> None:
-        share = await play(tmp_path, 60, 15_000, per_s=200, work_s=0.01, ends=False)
-        assert (share.called, share.early) == (59, 0), share.line()
+        result = await play(tmp_path, 60, 15_000, per_s=200, work_s=0.01, ends=False)
+        assert (result.called, result.early) == (59, 0), result.line()
     run(scene())
 
 
 def restored(drive: Drive, name: str, left_us: int = 20 * S, attempts: int = 0, cls: int = 0) -> list[api.Action]:
+    """Return the actions of the decision module when it is given a restored message."""
     return drive.at(drive.now, api.MessageRestored(
         api.MessageAccepted(name, cls, 7, left_us, resubmitted=True), attempts))
 
 
-def test_the_module_hands_back_what_came_last_and_not_what_was_restored() -> None:
+def test_at_the_hold_limit_the_newest_messages_are_handed_back_and_no_restored_ones() -> None:
+    """Guards against a choice by id or worth that gives restored, untried messages up."""
     drive = Drive(listed=False, hold_limit=4)
     for number in range(4):
         assert not finals(restored(drive, f"old{number}"))
@@ -93,23 +99,25 @@
     assert set(sends(drive.members(info("e0")))) <= {f"old{number}" for number in range(4)}
     drive.tick(19 * S)
     ended = [name for _, name in finals(drive.actions) if name.startswith("old")]
-    assert not ended  # their time is not up
+    assert not ended  # their deadlines have not passed
 
 
 @pytest.mark.parametrize("outcome", [Outcome.NOT_SENT, Outcome.CONNECT_FAILED])
-def test_the_retry_gate_lets_through_what_no_endpoint_has_heard_of(outcome: Outcome) -> None:
+def test_the_retry_limit_does_not_count_attempts_that_reached_no_endpoint(outcome: Outcome) -> None:
+    """Guards against a restored message that ends untried because repeats are denied after a failed connect."""
     drive = Drive(endpoints=1, max_attempts=100)
     restored(drive, "old")
     drive.sender._destination(7).loop.may_retry = lambda now_us: False  # type: ignore[method-assign]
     drive.end("old", outcome)
     drive.tick(10 * S)
     assert sends(drive.actions).count("old") >= 2 and not finals(drive.actions)
-    drive.end("old", Outcome.FULL, attempt=1)  # now it has been tried, and the gate counts
+    drive.end("old", Outcome.FULL, attempt=1)  # now it has been tried, and the limit applies
     drive.tick(15 * S)
     assert finals(drive.actions) == [("Refuse", "old")]
 
 
-def test_what_would_come_too_late_is_kept_until_its_time_is_up() -> None:
+def test_a_message_that_would_be_late_is_kept_until_its_deadline() -> None:
+    """Guards against a restored message that is given up early as its delivery is expected to take too long."""
     drive = Drive(endpoints=1, slots=1)
     drive.submit("slow")
     drive.tick(3 * S)
@@ -122,7 +130,7 @@
 
 
 def other(**changes: Any) -> dict[str, Any]:
-    """The settings with the class `once` otherwise; without it by `effect=None`."""
+    """Return the settings with the class `once` changed, or removed by `effect=None`."""
     new = copy.deepcopy(HERE)
     if changes["effect"] is None:
         new["services"] = [row for row in new["services"] if row["name"] != "once"]
@@ -132,25 +140,26 @@
 
 
 @pytest.mark.parametrize("marked", [True, False])
-def test_a_class_that_was_dropped_meanwhile_is_still_tried(tmp_path: Path, marked: bool) -> None:
-    """Also where the journal tells nothing of classes, as those of earlier versions don't."""
+def test_messages_of_a_class_that_was_removed_before_the_restart_are_tried(tmp_path: Path, marked: bool) -> None:
+    """Also when the journal has no classes, like those of earlier versions (`marked` is false)."""
     async def scene() -> None:
-        async with full(tmp_path) as (town, courier, old):
+        async with full(tmp_path) as (platform, courier, old):
             if not marked:
                 journal = Journal(tmp_path / "state", 3_000_000)
                 journal.mark(":classes", None)
                 journal.close()
             courier.settings = other(effect=None)
-            town.say_health("SERVING")
+            platform.set_health("SERVING")
             await courier.start()
-            await until(lambda: town.called >= old)
-            assert not town.notices_heard
+            await until(lambda: platform.called >= old)
+            assert not platform.notices_heard
     run(scene())
 
 
 @pytest.mark.parametrize("effect", ["repeatable", "by_key"])
-def test_what_may_have_run_keeps_the_effect_that_it_was_taken_on_with(tmp_path: Path, effect: str) -> None:
-    """Killed with an unsafe message's call out, and started with settings in which its class may be repeated."""
+def test_a_message_that_may_have_run_keeps_the_effect_it_was_accepted_with(tmp_path: Path, effect: str) -> None:
+    """The courier is killed during the call of an unsafe message, and restarted with settings in which its class may be
+    repeated: the message must not be sent again."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             async def hang(call: Call) -> Reply | None:
@@ -166,7 +175,8 @@
     run(scene())
 
 
-def test_a_journal_that_is_an_hour_old_is_ended_at_once_and_delays_nothing(tmp_path: Path) -> None:
+def test_messages_of_an_hour_old_journal_end_at_once_and_delay_nothing(tmp_path: Path) -> None:
+    """Guards against 5000 notices that block the event loop, or go in one request that is too large."""
     async def scene() -> None:
         async with Scene(tmp_path, disk_mb=8) as s:
             await s.courier.kill()
@@ -188,8 +198,8 @@
 
 @pytest.mark.parametrize("first", ["notice owed", "call out"])
 def test_a_key_keeps_its_order_over_a_restart(tmp_path: Path, first: str) -> None:
-    """The first of the key has ended by a notice that nobody has answered, or its call was out at the kill: the second
-    goes after that is over, and after the time in which the first may still run."""
+    """The first message of the key has ended by a notice that is not answered, or its call was open at the kill. The
+    second is sent only after that has ended, and after the time in which the first may still run."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             heard: list[tuple[str, float]] = []
