--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -215,13 +215,13 @@
     """Without a limit on connections, silent ones used up the descriptors."""
     async def work() -> None:
         async with Scene(max_connections=48) as s:
-            crowd = [await s.connect() for _ in range(200)]
+            connections = [await s.connect() for _ in range(200)]
             for number in range(20):
                 answer = await s.send(request(f"m{number}", b"x", {"Connection": "close"}))
                 assert b" 202 " in answer
-                crowd.append(await s.connect())
+                connections.append(await s.connect())
             # All but the permitted number were ended before their time limit.
-            ended = [asyncio.create_task(read_all(reader)) for reader, _ in crowd]
+            ended = [asyncio.create_task(read_all(reader)) for reader, _ in connections]
             left = set(ended)
             async with asyncio.timeout(LIMIT_S):
                 while len(left) > 48:
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -243,7 +243,7 @@
     run(scene())
 
 
-def carried(call: Call) -> list[str]:
+def messages_of(call: Call) -> list[str]:
     """Return the messages of a call."""
     if call.target == "/inbox":
         return [call.headers["x-request-id"]]
@@ -259,7 +259,7 @@
             async def answer(call: Call) -> Reply:
                 if len(s.endpoint.calls) % 2:  # every other call is still open when the process is killed
                     await killed.wait()
-                names = carried(call)
+                names = messages_of(call)
                 delivered.update(names)
                 body = "".join(f"{name} delivered\r\n" for name in names)
                 return 200, {}, body.encode()
@@ -279,7 +279,7 @@
             async with asyncio.timeout(30):
                 while not all(name in delivered or name in s.platform.notices_heard for name in names):
                     await asyncio.sleep(0.01)
-            sent = [name for call in s.endpoint.calls for name in carried(call)]
+            sent = [name for call in s.endpoint.calls for name in messages_of(call)]
             assert all(sent.count(name) <= 1 for name in names if name.startswith("once"))
             for key in range(4):
                 turns = [int(name.split("-")[1]) for name in sent if name.startswith("ordered")]
@@ -387,14 +387,14 @@
         (tmp_path / "operator.toml").write_text('[journal]\nsync = "group"\n')
         async with Scene(tmp_path, operator=tmp_path / "operator.toml") as s:
             async def fine(call: Call) -> Reply:
-                return 200, {}, "".join(f"{name} delivered\r\n" for name in carried(call)).encode()
+                return 200, {}, "".join(f"{name} delivered\r\n" for name in messages_of(call)).encode()
             s.endpoint.reply = fine
             names = [f"m{number}" for number in range(20)]
             assert set(await asyncio.gather(*(s.courier.hand_in(name) for name in names))) == {202}
             count = 1  # several messages may share a call
-            while {name for call in await s.endpoint.wait(count) for name in carried(call)} != set(names):
+            while {name for call in await s.endpoint.wait(count) for name in messages_of(call)} != set(names):
                 count = len(s.endpoint.calls) + 1
-            assert sum(len(carried(call)) for call in s.endpoint.calls) == len(names)
+            assert sum(len(messages_of(call)) for call in s.endpoint.calls) == len(names)
             async def error(call: Call) -> Reply:
                 return 500, {}, b""
             s.endpoint.reply = error
@@ -418,7 +418,7 @@
             release = asyncio.Event()
             async def held(call: Call) -> Reply:
                 await release.wait()
-                return 200, {}, "".join(f"{name} delivered\r\n" for name in carried(call)).encode()
+                return 200, {}, "".join(f"{name} delivered\r\n" for name in messages_of(call)).encode()
             s.endpoint.reply = held
             answers = [await s.courier.hand_in_answer(f"m{number}", body=b"x" * 20_000) for number in range(30)]
             taken = [number for number, (code, _) in enumerate(answers) if code == 202]
@@ -427,7 +427,7 @@
             release.set()
             sent: set[str] = set()
             while len(sent) < len(taken):
-                sent = {name for call in await s.endpoint.wait(1) for name in carried(call)}
+                sent = {name for call in await s.endpoint.wait(1) for name in messages_of(call)}
                 await asyncio.sleep(0.01)
             assert sent == {f"m{number}" for number in taken}
             async with asyncio.timeout(20):  # once they have ended there is room again
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -26,22 +26,22 @@
     socket: socket.socket
     sent: list[str] = field(default_factory=list)
     rest: bytes = b""  # the unsent part of a request
-    heard: bytes = b""
+    received: bytes = b""
     open: bool = True  # has not half-closed
-    over: bool = False  # has seen the end of the connection
-    gone: bool = False  # has sent a reset
+    ended: bool = False  # has seen the end of the connection
+    was_reset: bool = False  # has sent a reset
 
     def read(self) -> None:
         """Read all that has come."""
         with contextlib.suppress(BlockingIOError):
-            while not self.over and not self.gone:
+            while not self.ended and not self.was_reset:
                 data = self.socket.recv(65536)
-                self.heard, self.over = self.heard + data, not data
+                self.received, self.ended = self.received + data, not data
 
     def send(self, name: str, part: bool) -> None:
         """Send a request, a part or the rest of one, unless the connection is known to have ended."""
         self.read()
-        if not self.open or self.over or self.gone or self.heard.count(b"HTTP/1.1 ") < len(self.sent):
+        if not self.open or self.ended or self.was_reset or self.received.count(b"HTTP/1.1 ") < len(self.sent):
             return
         data = self.rest or request(name)
         cut = len(data) // 2 if part and not self.rest else len(data)
@@ -65,12 +65,12 @@
                     clients.append(Client(s.client()))
                 case "send" | "part" as how:
                     one.send(f"m{number}", how == "part")
-                case "shut" if one.open and not one.gone and not one.over:
+                case "shut" if one.open and not one.was_reset and not one.ended:
                     one.open = False
                     one.socket.shutdown(socket.SHUT_WR)
-                case "reset" if not one.gone and rng.random() < 0.3:
+                case "reset" if not one.was_reset and rng.random() < 0.3:
                     one.read()
-                    one.gone = True
+                    one.was_reset = True
                     reset(one.socket)
                 case "old":
                     s.age(rng.choice([Phase.SILENT, Phase.IDLE, Phase.ASKING]))
@@ -86,14 +86,14 @@
                         await asyncio.sleep(0)
         await s.server.stop()
         async with asyncio.timeout(LIMIT_S):
-            while not all(client.over or client.gone for client in clients):
+            while not all(client.ended or client.was_reset for client in clients):
                 for client in clients:
                     client.read()
                 await asyncio.sleep(0.001)
         for client in clients:
-            answers = re.findall(rb"HTTP/1\.1 (\d+)", client.heard)
-            if not client.gone:
-                assert len(answers) == len(client.sent), (client.sent, client.heard)
+            answers = re.findall(rb"HTTP/1\.1 (\d+)", client.received)
+            if not client.was_reset:
+                assert len(answers) == len(client.sent), (client.sent, client.received)
             for name, status in zip(client.sent, answers, strict=False):
                 assert (status == b"202") == (name in s.desk.begun), (name, status)
                 assert status in (b"202", b"503")
--- a/tests/test_crossings_restart.py
+++ b/tests/test_crossings_restart.py
@@ -20,8 +20,8 @@
 from wheelstep.journal import Journal, Stored
 
 HOLD = 40
-OLD = HOLD - 1  # with one more the first process would hand one back by itself
-HERE = {**settings(HOLD), "rules": {**settings(HOLD)["rules"], "cold_us": 0}}  # without a slow start after an outage
+OLD_COUNT = HOLD - 1  # with one more the first process would hand one back by itself
+SETTINGS = {**settings(HOLD), "rules": {**settings(HOLD)["rules"], "cold_us": 0}}  # no slow start after an outage
 
 
 async def until(condition: Any) -> None:
@@ -32,13 +32,14 @@
 
 
 @contextlib.asynccontextmanager
-async def full(folder: Path, endpoints: int = 2) -> AsyncIterator[tuple[PlatformWithEndpoints, Courier, set[str]]]:
+async def full_courier(folder: Path,
+                       endpoints: int = 2) -> AsyncIterator[tuple[PlatformWithEndpoints, Courier, set[str]]]:
     """Provide a courier that was killed while its hold limit was full of messages that could not be tried."""
     async with PlatformWithEndpoints(endpoints) as platform:
         platform.set_health("DRAINING")
-        courier = Courier(folder, platform, HERE)
+        courier = Courier(folder, platform, SETTINGS)
         await courier.start()
-        old = set(await fill(courier, OLD, 20_000))
+        old = set(await fill(courier, OLD_COUNT, 20_000))
         await courier.kill()
         try:
             yield platform, courier, old
@@ -54,7 +55,7 @@
     """New messages come before any restored one can be tried. `known`: what the courier knows of endpoints while
     discovery is silent. Guards against restored messages that are handed back to make room for new ones."""
     async def scene() -> None:
-        async with full(tmp_path) as (platform, courier, old):
+        async with full_courier(tmp_path) as (platform, courier, old):
             if known == "none":
                 platform.hosts, platform.down = {}, True
             for number in range(restarts):
@@ -68,7 +69,7 @@
             platform.back() if platform.down else platform.push(*platform.hosts.values())
             await until(lambda: platform.called >= old)
             assert not platform.notices_heard and platform.called == old
-            await until(lambda: len(platform.ended_at) >= OLD)
+            await until(lambda: len(platform.ended_at) >= OLD_COUNT)
             assert await client.hand_in("after") == 202
     run(scene())
 
@@ -129,9 +130,9 @@
     assert finals(drive.actions) == [("Refuse", "old")]
 
 
-def other(**changes: Any) -> dict[str, Any]:
+def changed_settings(**changes: Any) -> dict[str, Any]:
     """Return the settings with the class `once` changed, or removed by `effect=None`."""
-    new = copy.deepcopy(HERE)
+    new = copy.deepcopy(SETTINGS)
     if changes["effect"] is None:
         new["services"] = [row for row in new["services"] if row["name"] != "once"]
     else:
@@ -143,12 +144,12 @@
 def test_messages_of_a_class_that_was_removed_before_the_restart_are_tried(tmp_path: Path, marked: bool) -> None:
     """Also when the journal has no classes, like those of earlier versions (`marked` is false)."""
     async def scene() -> None:
-        async with full(tmp_path) as (platform, courier, old):
+        async with full_courier(tmp_path) as (platform, courier, old):
             if not marked:
                 journal = Journal(tmp_path / "state", 3_000_000)
                 journal.mark(":classes", None)
                 journal.close()
-            courier.settings = other(effect=None)
+            courier.settings = changed_settings(effect=None)
             platform.set_health("SERVING")
             await courier.start()
             await until(lambda: platform.called >= old)
@@ -168,7 +169,7 @@
             assert await s.courier.hand_in("fee") == 202
             await s.endpoint.wait(1)
             await s.courier.kill()
-            s.courier.settings = other(effect=effect, key_ttl_us=15_000_000)
+            s.courier.settings = changed_settings(effect=effect, key_ttl_us=15_000_000)
             await s.courier.start()
             assert (await s.platform.wait_notice("fee"))["outcome"] == "given_up"
             assert len(s.endpoint.calls) == 1
@@ -196,7 +197,7 @@
     run(scene())
 
 
-@pytest.mark.parametrize("first", ["notice owed", "call out"])
+@pytest.mark.parametrize("first", ["notice unanswered", "call open"])
 def test_a_key_keeps_its_order_over_a_restart(tmp_path: Path, first: str) -> None:
     """The first message of the key has ended by a notice that is not answered, or its call was open at the kill. The
     second is sent only after that has ended, and after the time in which the first may still run."""
@@ -208,13 +209,13 @@
                 name = call.headers["x-request-id"]
                 heard.append((name, time.monotonic()))
                 if name == "first":
-                    return (500, {}, b"") if first == "notice owed" else None
+                    return (500, {}, b"") if first == "notice unanswered" else None
                 return 200, {}, b""
             s.endpoint.reply, s.platform.takes_notices = reply, False
-            left = "900" if first == "notice owed" else "2500"
+            left = "900" if first == "notice unanswered" else "2500"
             assert await s.courier.hand_in("first", "ordered", key="k", X_Deadline_Ms=left) == 202
             assert await s.courier.hand_in("second", "ordered", key="k") == 202
-            if first == "notice owed":
+            if first == "notice unanswered":
                 await s.courier.wait_log("notices: status 503")
             else:
                 await s.endpoint.wait(1)
--- a/wheelstep/courier/client_connection.py
+++ b/wheelstep/courier/client_connection.py
@@ -164,8 +164,8 @@
 
     @property
     def undelivered(self) -> bool:
-        """Whether an immediate close could lose an answer: one is owed or not sent yet, or unread input would cause a
-        reset."""
+        """Whether an immediate close could lose an answer: one is not ready or not sent yet, or unread input would
+        cause a reset."""
         return (self.busy or self._discarded_bytes >= MAX_DISCARDED_BYTES
                 or (self.transport is not None and self.transport.get_write_buffer_size() > 0))
 
--- a/wheelstep/courier/client_connections.py
+++ b/wheelstep/courier/client_connections.py
@@ -63,7 +63,7 @@
         self._server.bad_requests += 1
 
     def report_unanswered(self, connection: ClientConnection) -> None:
-        """Report a connection that is closed while it owes an answer to a complete request."""
+        """Report a connection that is closed before a complete request was answered."""
         self._server.on_unanswered(f"its connection was closed in phase {connection.phase.value}")
 
     def may_keep_alive(self) -> bool:
@@ -112,7 +112,7 @@
         ending[connection] = None
         if len(ending) > (self._total_limit if self._server.closing else self._ending_limit):
             oldest = next(iter(ending))
-            if oldest is not connection and oldest.gone:  # otherwise input is still to be read, or an answer is owed
+            if oldest is not connection and oldest.gone:  # otherwise it still has requests to read or answer
                 self._close_now(oldest)
 
     def _close_now(self, connection: ClientConnection) -> None:
--- a/wheelstep/courier/client_phases.py
+++ b/wheelstep/courier/client_phases.py
@@ -52,7 +52,7 @@
         ...
 
     def report_unanswered(self, connection: ClientConnection) -> None:
-        """Report a connection that is closed while it owes an answer to a complete request."""
+        """Report a connection that is closed before a complete request was answered."""
         ...
 
     def may_keep_alive(self) -> bool:
--- a/wheelstep/courier/notices.py
+++ b/wheelstep/courier/notices.py
@@ -76,7 +76,7 @@
         """Send queued notices, until cancelled."""
         while True:
             await self._has_pending.wait()
-            # After a second failure notices go one by one, so that one that is never accepted does not hold up all.
+            # After a second failure notices go one by one, so that one that is never accepted can't block all.
             batch = list(islice(self._pending, _MAX_BATCH if self._failures < 2 else 1))
             if await self._post(b"".join(self._pending[message] for message in batch)):
                 self._failures = 0
