--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal on real files: any cut, a small disk, the old format, the tools. Crashes are in test_journal_crashes."""
+"""The journal on real files: truncation, a small disk, the old format, the tools. Crashes: test_journal_crashes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from wheelstep.journal import FolderInUseError, Journal, NoRoomError, Stored, tools
-from wheelstep.journal.segments import name_of
+from wheelstep.journal.segments import segment_file_name
 from wheelstep.rehearsal.faulty_disk import CrashError, FaultyDisk, Inode
 
 ROOT = Path(__file__).parent.parent
@@ -55,7 +55,7 @@
     folder = Path(tempfile.mkdtemp())
     try:
         journal = Journal(folder, LIMIT)
-        file = folder / name_of(1)
+        file = folder / segment_file_name(1)
         states, sizes = [copy.deepcopy(journal.messages)], [0]
         for step in steps:
             play(journal, step)
@@ -79,8 +79,8 @@
         shutil.rmtree(folder)
 
 
-def test_a_small_disk_is_never_overrun(tmp_path: Path) -> None:
-    """Bodies of 64 KiB until there is no room; then everything still has its attempts and its end."""
+def test_on_a_small_disk_the_size_limit_is_never_exceeded(tmp_path: Path) -> None:
+    """Accept 64 KiB bodies until refused; every accepted message must still get its attempts and end."""
     journal, taken = Journal(tmp_path, LIMIT), []
     most = 0
 
@@ -93,7 +93,7 @@
                 journal.take(Stored(f"{round_}-{number}", "cls", 7, 1000, body=b"x" * 65536))
                 taken.append(f"{round_}-{number}")
                 most = max(most, used())
-        assert len(journal.messages) >= 30  # about half of the disk, once
+        assert len(journal.messages) >= 30  # more than half of the disk
         for attempt in range(12):
             for name in taken:
                 journal.attempt(name, attempt, 5, "e0")
@@ -128,7 +128,7 @@
     assert again.messages == state and list(again.messages) == list(state)
 
 
-def test_a_full_disk_refuses_the_new_and_goes_on_with_the_old(
+def test_a_full_disk_refuses_new_messages_and_finishes_accepted_ones(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     journal = Journal(tmp_path, LIMIT)
     for name in ("a", "b"):
@@ -151,7 +151,7 @@
     monkeypatch.undo()
     journal.over("b")
     journal.close()
-    again = Journal(tmp_path, LIMIT)  # no half record hides what came after, and what was missing is written
+    again = Journal(tmp_path, LIMIT)  # half a record hides nothing behind it, and what was missing is written
     assert list(again.messages) == ["a"] and again.messages["a"].out == {}
 
 
@@ -163,7 +163,7 @@
         assert other.stdout is not None and other.stdout.readline() == "open\n"
         with pytest.raises(FolderInUseError):
             Journal(tmp_path, LIMIT)
-        with pytest.raises(tools.ToolError, match="a process has it"):
+        with pytest.raises(tools.ToolError, match="in use by another process"):
             tools.inspect(tmp_path)
     finally:
         other.kill()
@@ -189,7 +189,7 @@
        old_record({"t": "k", "i": "e0", "v": [1, True, False, 2.0, 0.0]})]
 
 
-def check_taken_over(journal: Journal) -> None:
+def check_migrated(journal: Journal) -> None:
     assert list(journal.messages) == ["a", "c"]
     a, c = journal.messages.values()
     assert (a.body, a.key, a.token, a.resubmitted, a.out) == (b"body of a", "key", "token", True, {0: (90, "e0")})
@@ -197,17 +197,17 @@
     assert journal.marks == {"e0": [1, True, False, 2.0, 0.0]}
 
 
-def test_a_journal_of_the_old_format_is_taken_over_in_place(tmp_path: Path) -> None:
+def test_an_old_format_journal_is_migrated_in_place(tmp_path: Path) -> None:
     (tmp_path / "journal.log").write_bytes(b"".join(OLD) + OLD[0][:20])  # and a torn record
     (tmp_path / "journal.new").write_bytes(b"half a")
     for _ in range(2):
         journal = Journal(tmp_path, LIMIT)
-        check_taken_over(journal)
+        check_migrated(journal)
         journal.close()
-        assert [path.name for path in tmp_path.iterdir()] == [name_of(1)]
+        assert [path.name for path in tmp_path.iterdir()] == [segment_file_name(1)]
 
 
-def test_a_takeover_that_is_cut_off_anywhere_loses_nothing() -> None:
+def test_a_migration_interrupted_at_any_point_loses_nothing() -> None:
     for power in (False, True):
         for point in range(1, 12):
             disk = FaultyDisk(point)
@@ -217,17 +217,17 @@
             disk.crash_at = disk.count + point
             with contextlib.suppress(CrashError):
                 Journal(disk, LIMIT)
-            check_taken_over(Journal(disk.after_crash(power), LIMIT))
+            check_migrated(Journal(disk.after_crash(power), LIMIT))
 
 
-def test_damage_in_an_old_journal_is_bridged(tmp_path: Path) -> None:
+def test_damage_in_an_old_format_journal_is_skipped(tmp_path: Path) -> None:
     data = bytearray(b"".join(OLD))
-    data[len(OLD[0]) + 30] ^= 0xFF  # in the message that is over anyway
+    data[len(OLD[0]) + 30] ^= 0xFF  # in a message that is finished anyway
     (tmp_path / "journal.log").write_bytes(bytes(data))
-    check_taken_over(Journal(tmp_path, LIMIT))
+    check_migrated(Journal(tmp_path, LIMIT))
 
 
-def test_what_the_old_version_took_on_after_a_way_back_is_not_lost(tmp_path: Path) -> None:
+def test_messages_accepted_by_the_old_version_after_a_downgrade_are_kept(tmp_path: Path) -> None:
     journal = Journal(tmp_path, LIMIT)
     journal.take(Stored("new", "cls", 7, 1000))
     journal.close()
@@ -238,7 +238,7 @@
     assert list(Journal(tmp_path, LIMIT).messages) == ["new", "old"]
 
 
-# --- the tools ---
+# --- the operator tools ---
 
 def filled(folder: Path) -> None:
     journal = Journal(folder, LIMIT)
@@ -256,7 +256,7 @@
                           text=True, timeout=60)
 
 
-def test_inspect_tells_what_is_owed_and_never_a_body(tmp_path: Path) -> None:
+def test_inspect_lists_unfinished_messages_without_bodies(tmp_path: Path) -> None:
     filled(tmp_path)
     done = call("inspect", str(tmp_path), "--messages", "--json")
     found = json.loads(done.stdout)
@@ -276,15 +276,15 @@
     assert Journal(tmp_path, LIMIT).messages == state
 
 
-def test_damage_is_told_by_verify_refused_by_compact_and_mended_by_repair(tmp_path: Path) -> None:
+def test_damage_is_reported_by_verify_refused_by_compact_and_fixed_by_repair(tmp_path: Path) -> None:
     filled(tmp_path)
     assert call("verify", str(tmp_path)).returncode == 0
-    file = tmp_path / name_of(1)
+    file = tmp_path / segment_file_name(1)
     data = bytearray(file.read_bytes())
     data[5_000] ^= 0xFF
     file.write_bytes(bytes(data))
     bad = call("verify", str(tmp_path), "--json")
-    assert bad.returncode == 1 and json.loads(bad.stdout)["damage"][0]["file"] == name_of(1)
+    assert bad.returncode == 1 and json.loads(bad.stdout)["damage"][0]["file"] == segment_file_name(1)
     refused = call("compact", str(tmp_path))
     assert refused.returncode == 2 and "repair" in refused.stderr and refused.stderr.count("\n") == 1
     mended = json.loads(call("repair", str(tmp_path), "--json").stdout)
@@ -293,13 +293,13 @@
 
 
 @pytest.mark.parametrize("verb", ["inspect", "verify", "repair", "compact"])
-def test_a_folder_that_is_none_is_one_line(verb: str) -> None:
+def test_a_missing_folder_is_reported_on_one_line(verb: str) -> None:
     done = call(verb, "/no/such/folder")
     assert done.returncode == 2 and "no folder" in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_closed_journal_takes_nothing(tmp_path: Path) -> None:
-    """Guards the folder's next owner: a message that came late would be written into a segment that is not ours."""
+def test_a_closed_journal_refuses_messages(tmp_path: Path) -> None:
+    """A late message must not be written into a segment that may already belong to the folder's next owner."""
     journal = Journal(tmp_path, LIMIT)
     journal.close()
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
--- a/tests/test_journal_crashes.py
+++ b/tests/test_journal_crashes.py
@@ -1,4 +1,4 @@
-"""Crashes at every boundary of random histories, and disks that fill, break and lie. Long runs of the same are
+"""Crashes at every operation of random histories, and disks that fill, fail and lie. Long runs:
 `benchmarks/journal_crashes.py`."""
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from wheelstep.journal import FolderInUseError, Journal, NoRoomError, Stored, codec
 from wheelstep.journal.codec import FormatError
 from wheelstep.journal.promise import Sync
-from wheelstep.journal.segments import name_of
+from wheelstep.journal.segments import segment_file_name
 from wheelstep.rehearsal.faulty_disk import FaultyDisk, Inode
 from wheelstep.rehearsal.journal_model import (
     LIMIT,
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("sync", [Sync.NONE, Sync.EACH])
 def test_a_crash_at_any_boundary_reloads_to_what_was_owed(sync: Sync) -> None:
-    """At least 2,000 crash points in all, recoveries that are cut off included."""
+    """At least 1,500 crash points per policy, with interrupted recoveries."""
     points, seed = 0, 0
     while points < 1_500:
         points += crash_everywhere(draw_history(random.Random(seed), 100), sync, seed)
@@ -49,7 +49,7 @@
 
 
 def test_a_power_loss_between_shared_syncs_keeps_what_was_synced() -> None:
-    """Once, the record that a segment counts no more could outlive the copies of what it held."""
+    """Regression: the record that retires a segment outlived the copies of its content."""
     points, seed = 0, 0
     while points < 3_000:
         points += crash_between_syncs(draw_history(random.Random(seed), 100), seed)
@@ -58,13 +58,13 @@
 
 @settings(max_examples=25, deadline=None)
 @given(STEPS, st.sampled_from([Sync.NONE, Sync.EACH]), st.integers(0, 1000))
-def test_histories_that_hypothesis_thinks_of(steps: list[tuple[str, int, int]], sync: Sync, seed: int) -> None:
+def test_random_histories_reload_to_what_was_owed(steps: list[tuple[str, int, int]], sync: Sync, seed: int) -> None:
     crash_everywhere(steps, sync, seed)
 
 
-def test_the_model_notices_a_journal_that_forgets(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the test itself: a segment that goes before all of it was copied must not pass."""
-    monkeypatch.setattr(Journal, "_copy", lambda self, oldest: oldest.messages.clear() or oldest.facts.clear())
+def test_the_model_detects_a_journal_that_loses_messages(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Checks the model: removing a segment before all of it was copied must be detected."""
+    monkeypatch.setattr(Journal, "_copy_batch", lambda self, oldest: oldest.messages.clear() or oldest.facts.clear())
     with pytest.raises(MismatchError, match="crash before operation"):
         for seed in range(40):
             crash_everywhere(draw_history(random.Random(seed), 100), Sync.NONE, seed)
@@ -77,7 +77,7 @@
 # --- room ---
 
 def test_most_of_the_disk_holds_live_messages_and_its_limit_is_never_passed() -> None:
-    """Once, compaction needed the old and the new file at once: half of the disk."""
+    """Regression: compaction needed old and new file at once, half of the disk."""
     limit = 3_000_000
     disk = FaultyDisk()
     journal = Journal(disk, limit)
@@ -89,7 +89,7 @@
     assert sum(len(one.body) for one in journal.messages.values()) >= 0.75 * limit and journal.live >= 0.85 * limit
     rng = random.Random(1)
     refused = 0
-    for number in range(20_000):  # churn at that level: one goes, another comes
+    for number in range(20_000):  # steady load at that level: one message ends, another is accepted
         gone = names.pop(rng.randrange(len(names)))
         journal.attempt(gone, 0, 1, "e0")
         journal.outcome(gone, 0, True)
@@ -138,12 +138,12 @@
 def test_a_record_at_the_limit_of_size_is_kept_and_a_longer_one_refused() -> None:
     disk = FaultyDisk()
     journal = Journal(disk, 100_000_000)
-    journal.take(message("m", codec.MOST_PAYLOAD - 200))
+    journal.take(message("m", codec.MAX_PAYLOAD - 200))
     with pytest.raises(ValueError, match="at most"):
-        journal.take(message("n", codec.MOST_PAYLOAD))
+        journal.take(message("n", codec.MAX_PAYLOAD))
     journal.close()
     again = Journal(disk.after_crash(power=False), 100_000_000)
-    assert list(again.messages) == ["m"] and len(again.messages["m"].body) == codec.MOST_PAYLOAD - 200
+    assert list(again.messages) == ["m"] and len(again.messages["m"].body) == codec.MAX_PAYLOAD - 200
 
 
 def test_marks_are_copied_forward_and_forgotten_ones_stay_forgotten() -> None:
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_any_damaged_byte_is_bridged_and_what_it_may_have_swallowed_counts_as_run(seed: int) -> None:
+def test_after_any_damaged_byte_reading_continues_and_affected_messages_may_have_run(seed: int) -> None:
     rng = random.Random(seed)
     journal = open_journal(disk := FaultyDisk(seed), Sync.NONE)
     for step in draw_history(rng, 60):
@@ -180,29 +180,29 @@
     disk = disk.after_crash(power=False)
     name = rng.choice(disk.names())
     data = disk.files[name].data
-    # The length of the very last record is spared: one that is too long can't be told from a torn record.
-    last = data.rfind(codec.MARK)
+    # The length field of the last record is left alone: too long a one looks like a torn record.
+    last = data.rfind(codec.MARKER)
     data[rng.choice([at for at in range(len(data)) if not last + 2 <= at < last + 6])] ^= 1 + rng.randrange(255)
     again = open_journal(disk, Sync.NONE)
     after = View.of(again)
     ran = {row[0] for row in before.messages if row[3]}
-    for row in after.messages:  # what had run may not look as if it had not
+    for row in after.messages:  # a message that may have run must still count as such
         assert row[0] not in ran or row[3] or row[4]
     assert len(after.messages) >= len(before.messages) - 1
     again.close()
-    # What recovery decided is the same at the next start, and stays so once it is copied forward.
+    # What recovery decided holds at the next start, and after copying forward.
     third = open_journal(disk.after_crash(power=False), Sync.NONE)
     assert [row[:5] for row in View.of(third).messages] == [row[:5] for row in after.messages]
     third.compact_all()
     assert [row[0] for row in View.of(third).messages] == [row[0] for row in after.messages]
 
 
-def test_damage_in_the_middle_loses_one_record_and_is_told_with_its_place(caplog: pytest.LogCaptureFixture) -> None:
-    """Once, all that followed the first damaged record was lost."""
+def test_damage_in_the_middle_loses_one_record_and_is_logged_with_its_offset(caplog: pytest.LogCaptureFixture) -> None:
+    """Regression: all records after the first damaged one were lost."""
     logging.getLogger("wheelstep.journal").setLevel(logging.NOTSET)
     disk = full().after_crash(power=False)
-    data = disk.files[name_of(2)].data
-    start = data.find(codec.MARK, 300)
+    data = disk.files[segment_file_name(2)].data
+    start = data.find(codec.MARKER, 300)
     data[start + 20] ^= 0xFF
     journal = open_journal(disk, Sync.NONE)
     assert len(journal.messages) == 29
@@ -211,16 +211,16 @@
     assert early.may_have_run() is not None and late.may_have_run() is None
 
 
-def test_a_message_whose_text_was_lost_still_has_its_end() -> None:
+def test_a_message_whose_body_was_lost_is_ended_as_failed() -> None:
     journal = open_journal(disk := FaultyDisk(), Sync.NONE)
     journal.take(message("m"))
     journal.take(message("other"))
     journal.attempt("m", 0, 5, "e0")
     journal.close()
     disk = disk.after_crash(power=False)
-    data = disk.files[name_of(1)].data
+    data = disk.files[segment_file_name(1)].data
     data[data.find(b'"m"')] ^= 0xFF
-    for _ in range(2):  # and again at the next start
+    for _ in range(2):  # also at the next start
         journal = open_journal(disk, Sync.NONE)
         assert journal.messages["m"].notice == ("given_up", 0)
         assert journal.messages["other"].notice is None
@@ -228,9 +228,9 @@
         disk = disk.after_crash(power=False)
 
 
-def test_a_missing_segment_casts_doubt_on_all_before_it() -> None:
+def test_after_a_missing_segment_all_earlier_messages_may_have_run() -> None:
     disk = full().after_crash(power=False)
-    del disk.files[name_of(2)]
+    del disk.files[segment_file_name(2)]
     journal = open_journal(disk, Sync.NONE)
     assert journal.messages["m0"].may_have_run() is not None
     assert journal.messages["m29"].may_have_run() is None
@@ -239,10 +239,10 @@
 def test_a_newer_format_is_refused_and_nothing_is_touched() -> None:
     disk = FaultyDisk()
     head = codec._frame(b'h{"format":"umberchute-journal","version":2}')
-    disk.files[name_of(1)] = Inode(bytearray(head), head)
+    disk.files[segment_file_name(1)] = Inode(bytearray(head), head)
     with pytest.raises(FormatError, match="version 2; expected umberchute-journal version 1"):
         open_journal(disk, Sync.NONE)
-    assert disk.read(name_of(1)) == head and disk.lock()
+    assert disk.read(segment_file_name(1)) == head and disk.lock()
 
 
 def test_a_second_process_on_the_folder_is_refused() -> None:
@@ -267,13 +267,13 @@
 
 # --- disk trouble ---
 
-def test_a_full_disk_turns_new_messages_away_and_forgets_nothing(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_full_disk_refuses_new_messages_and_loses_none(caplog: pytest.LogCaptureFixture) -> None:
     logging.getLogger("wheelstep.journal").setLevel(logging.NOTSET)
     journal = open_journal(disk := FaultyDisk(), Sync.NONE)
     journal.take(message("a"))
     journal.take(message("b"))
     journal.attempt("a", 0, 5, "e0")
-    disk.room = disk.used()  # somebody else has filled it
+    disk.room = disk.used()  # another program has filled it
     with pytest.raises(NoRoomError):
         journal.take(message("c", 2_000))
     journal.outcome("a", 0, True)
@@ -297,7 +297,7 @@
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC, errno.EROFS, errno.EDQUOT, errno.EINTR])
 def test_an_error_at_any_one_operation_loses_nothing(number: int) -> None:
-    """The same history with one error at each operation in turn: memory and disk agree in the end."""
+    """One history, with an error at each operation in turn: memory and disk must agree in the end."""
     history = draw_history(random.Random(number), 60)
     whole = open_journal(disk := FaultyDisk(1), Sync.NONE)
     for step in history:
@@ -314,7 +314,7 @@
                 play(journal, step)
             except OSError:  # an attempt that could not be written, and is not sent
                 assert step[0] == "attempt"
-        journal._catch_up()
+        journal._write_deferred()
         held = View.of(journal)
         again = View.of(open_journal(disk.after_crash(power=False), Sync.NONE))
         assert again.messages == held.messages
@@ -340,7 +340,7 @@
     journal.attempt("a", 0, 5, "e0")
     again = open_journal(disk.after_crash(power=False), Sync.NONE)
     assert list(again.messages) == ["a", "c"]
-    assert again.messages["c"].may_have_run() is None  # that was no damage
+    assert again.messages["c"].may_have_run() is None  # a torn record is not damage
 
 
 def test_a_sync_that_fails_once_is_never_trusted_again(caplog: pytest.LogCaptureFixture) -> None:
@@ -357,7 +357,7 @@
         disk.broken.clear()
         with pytest.raises(NoRoomError, match="until the next start"):
             journal.take(message("c"))
-        journal.attempt("a", 0, 1, "e0")  # what is owed is still finished and ended
+        journal.attempt("a", 0, 1, "e0")  # accepted messages are still finished and ended
         journal.outcome("a", 0, False)
         journal.end("a", "given_up", 0)
         journal.over("a")
@@ -368,7 +368,7 @@
 
 
 def test_a_message_whose_own_sync_failed_is_not_back_at_the_next_start() -> None:
-    """Its client heard 503 and may hand it in again."""
+    """Its client was answered 503 and may send it again."""
     journal = open_journal(disk := FaultyDisk(), Sync.EACH)
     journal.take(message("a"))
     disk.broken.add("sync")
@@ -378,7 +378,7 @@
     assert not open_journal(disk.after_crash(power=False), Sync.EACH).messages
 
 
-def test_all_that_wait_share_one_sync_and_a_slow_one_has_an_end() -> None:
+def test_all_waiters_share_one_sync_and_a_slow_sync_times_out() -> None:
     async def scene() -> None:
         disk = FaultyDisk()
         journal = Journal(disk, 3_000_000, Sync.GROUP)
--- a/wheelstep/journal/__init__.py
+++ b/wheelstep/journal/__init__.py
@@ -1,8 +1,10 @@
-"""The journal: what the courier has taken on, on disk before anything is answered or sent.
+"""The journal: a write-ahead log of the messages that the courier has accepted and not yet finished.
 
-Imports nothing of the courier. Reading order: `codec` (records), `state` (what they mean), `disk` (files),
-`segments` (the log), `recovery` (reading a folder; `oldformat`, `takeover`), `promise`, `writing`, `compaction`,
-`journal` (what the daemon uses), `tools`.
+A message is on disk before its client is answered, an attempt before its first byte is sent. The package imports
+nothing of the courier. Reading order: `codec` (record format), `state` (effect of each record), `disk` (file
+operations), `segments` (the log files), `recovery` (reading a folder; `oldformat` and `migration` for version 0.1),
+`promise` (sync policies and errors), `writing`, `compaction`, `journal` (the daemon's interface), `tools` (operator
+commands).
 """
 
 from wheelstep.journal.journal import Journal
--- a/wheelstep/journal/promise.py
+++ b/wheelstep/journal/promise.py
@@ -1,4 +1,4 @@
-"""What a journal promises: when it syncs, and the errors by which it says that it can't take something on."""
+"""The journal's durability policies, and the errors it raises when it cannot accept a message or open its folder."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class NoRoomError(Exception):
-    """The folder can't take this message: it is full, or in trouble."""
+    """The journal cannot accept this message: its space is used up, the disk fails, or it is closed."""
 
 
 class FolderInUseError(Exception):
-    """Another process has the folder."""
+    """Another process has locked the folder."""
 
 
 class Sync(StrEnum):
-    """When what is written is also synced."""
+    """When written records are also synced to the device."""
 
-    NONE = "none"  # written is kept over the process's end
-    GROUP = "group"  # one sync for all that wait
+    NONE = "none"  # never: records survive the end of the process, not a power loss
+    GROUP = "group"  # one sync for all callers that wait
     EACH = "each"  # after every record
--- a/wheelstep/journal/recovery.py
+++ b/wheelstep/journal/recovery.py
@@ -1,7 +1,7 @@
-"""Reading a journal's folder: replay, torn tails, damage, segments that count no more, and a file of the old format.
+"""Reading a journal's folder: replay, torn tails, damage, segments no longer in use, and an old-format file.
 
-`read` changes nothing; `mend` does what `read` found to be needed, in an order in which it may be cut off anywhere
-and done again.
+`read` changes nothing; `clean_up` then removes torn and unused data. Both can be interrupted at any point and run
+again.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from wheelstep.journal import codec
 from wheelstep.journal.codec import ATTEMPT, END, FACT, HEADER, LOW, OUTCOME, OVER, TAKE, FormatError, Gap, Header
 from wheelstep.journal.disk import Disk
-from wheelstep.journal.oldformat import OLD_LOG, OLD_NEW, TAKEOVER, fingerprint, old_state
-from wheelstep.journal.segments import Segment, name_of, number_of
+from wheelstep.journal.oldformat import MIGRATION, OLD_LOG, OLD_REWRITE, fingerprint, read_old_state
+from wheelstep.journal.segments import Segment, number_of, segment_file_name
 from wheelstep.journal.state import State, Stored
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Bytes of a segment that can't be read."""
+    """A range of bytes in a segment that cannot be read."""
 
     file: str
     start: int
@@ -27,69 +27,70 @@
 
 
 @dataclass(slots=True)
-class Found:
-    """What a folder holds."""
+class RecoveryResult:
+    """What reading a folder found."""
 
     state: State = field(default_factory=State)
     segments: list[Segment] = field(default_factory=list)
     damage: list[Damage] = field(default_factory=list)
-    torn: Damage | None = None  # half a record at the end: cut off, nothing is missing
-    stale: list[str] = field(default_factory=list)  # files that count no more
-    doubted: set[str] = field(default_factory=set)  # messages that may have run, for all that is known
-    bereft: set[str] = field(default_factory=set)  # messages of which only later records were found
+    torn: Damage | None = None  # an incomplete record at the end of the log, which loses nothing
+    stale: list[str] = field(default_factory=list)  # files no longer in use
+    doubted: set[str] = field(default_factory=set)  # messages that may have run, because damage may hide an attempt
+    bodies_lost: set[str] = field(default_factory=set)  # messages with only later records left
     records: int = 0
     size: int = 0
-    by_number: dict[int, Segment] = field(default_factory=dict)
-    fact_home: dict[str, int] = field(default_factory=dict)
-    old: State | None = None  # what a journal of the old format holds that is to be taken over
-    old_print: str = ""
+    segments_by_number: dict[int, Segment] = field(default_factory=dict)
+    fact_segments: dict[str, int] = field(default_factory=dict)
+    old: State | None = None  # content of an old-format journal that is to be migrated
+    old_fingerprint: str = ""
 
 
-def read(disk: Disk) -> Found:
-    """Replay a folder. Raises `FormatError` for a newer format, `OSError` from the disk."""
+def read(disk: Disk) -> RecoveryResult:
+    """Replay a folder. Raises `FormatError` for an unknown format or version, `OSError` from the disk."""
     names = disk.names()
     numbers = sorted(number for name in names if (number := number_of(name)) is not None)
     low = 0
-    while True:  # a later segment may tell that an earlier one counts no more: then once more without it
-        counted = [number for number in numbers if number >= low]
-        found, seen_low = _replay(disk, counted)
-        if seen_low <= low or not any(number < seen_low for number in counted):
+    while True:  # a later segment may state that an earlier one is not in use: repeat without it
+        in_use = [number for number in numbers if number >= low]
+        result, seen_low = _replay(disk, in_use)
+        if seen_low <= low or not any(number < seen_low for number in in_use):
             break
         low = seen_low
-    found.stale += [name_of(number) for number in numbers if number < low]
-    found.stale += [name for name in (OLD_NEW, TAKEOVER) if name in names]
+    result.stale += [segment_file_name(number) for number in numbers if number < low]
+    result.stale += [name for name in (OLD_REWRITE, MIGRATION) if name in names]
     if OLD_LOG in names:
-        _read_old(disk, found)
-    _lay_doubts(found)
-    found.state.in_order()
-    return found
+        _add_old_format(disk, result)
+    _apply_damage(result)
+    result.state.sort_by_seq()
+    return result
 
 
-def _replay(disk: Disk, numbers: list[int]) -> tuple[Found, int]:
-    found, low = Found(), 0
+def _replay(disk: Disk, numbers: list[int]) -> tuple[RecoveryResult, int]:
+    result, low = RecoveryResult(), 0
     numbers = list(numbers)
-    # A segment at the end with nothing whole in it was only just begun: the one before it is the newest.
-    while numbers and all(isinstance(item, Gap) for item in codec.scan(disk.read(name_of(numbers[-1])))):
-        found.stale.append(name_of(numbers.pop()))
-    data = disk.read(name_of(numbers[0])) if numbers else b""
-    for place, number in enumerate(numbers):
-        if place and number != numbers[place - 1] + 1:
-            _damaged(found, Damage(name_of(numbers[place - 1] + 1), 0, 0))
-        last = place + 1 == len(numbers)
-        # The header of the next one tells how much of this one counts.
-        following = b"" if last else disk.read(name_of(numbers[place + 1]))
-        # (It speaks of its neighbour only: where that one is missing, nothing is known of this one's length.)
-        neighbours = not last and numbers[place + 1] == number + 1
-        before = _before(following, len(data)) if neighbours else len(data)
-        low = max(low, _one(found, number, data[:before] if before < len(data) else data, last))
+    # A last segment without a valid record was only just started: the one before it is the newest.
+    while numbers and all(isinstance(item, Gap) for item in codec.scan(disk.read(segment_file_name(numbers[-1])))):
+        result.stale.append(segment_file_name(numbers.pop()))
+    data = disk.read(segment_file_name(numbers[0])) if numbers else b""
+    for index, number in enumerate(numbers):
+        if index and number != numbers[index - 1] + 1:
+            _add_damage(result, Damage(segment_file_name(numbers[index - 1] + 1), 0, 0))
+        last = index + 1 == len(numbers)
+        # The next segment's header states how many bytes of this one are valid,
+        next_data = b"" if last else disk.read(segment_file_name(numbers[index + 1]))
+        # but only if it directly follows: with a segment missing between, this one's length is not known.
+        neighbours = not last and numbers[index + 1] == number + 1
+        before = _stated_length(next_data, len(data)) if neighbours else len(data)
+        low = max(low, _replay_segment(result, number, data[:before] if before < len(data) else data, last))
         if before > len(data):
-            _damaged(found, Damage(name_of(number), len(data), before))
-        data = following
-    return found, low
+            _add_damage(result, Damage(segment_file_name(number), len(data), before))
+        data = next_data
+    return result, low
 
 
-def _before(data: bytes, unknown: int) -> int:
-    """What a segment's header says of the one before it."""
+def _stated_length(data: bytes, unknown: int) -> int:
+    """Return the valid length of the previous segment as a segment's header states it, or `unknown` without a
+    header."""
     for item in codec.scan(data[:4096]):
         if not isinstance(item, Gap) and isinstance(item[1][1], Header):
             return item[1][1].before
@@ -97,44 +98,45 @@
     return unknown
 
 
-def _one(found: Found, number: int, data: bytes, last: bool) -> int:
-    """Replay one segment; returns the lowest segment that it knows to count."""
+def _replay_segment(result: RecoveryResult, number: int, data: bytes, last: bool) -> int:
+    """Replay one segment; return the lowest segment number in use that its records state."""
     segment, low = Segment(number, len(data)), 0
-    found.segments.append(segment)
-    found.by_number[number] = segment
+    result.segments.append(segment)
+    result.segments_by_number[number] = segment
     for item in codec.scan(data):
         if isinstance(item, Gap):
-            where = Damage(name_of(number), item.start, item.stop)
+            where = Damage(segment_file_name(number), item.start, item.stop)
             if item.tail and last:
-                found.torn = where
+                result.torn = where
                 segment.size = item.start
             else:
-                _damaged(found, where)
+                _add_damage(result, where)
             continue
         kind, value = item[1]
-        found.records += 1
+        result.records += 1
         if kind == HEADER:
             low = max(low, value.low)
-            found.old_print = value.taken_over or found.old_print
+            result.old_fingerprint = value.taken_over or result.old_fingerprint
         elif kind == LOW:
             low = max(low, value)
         else:
-            _apply(found, segment, kind, value)
-    found.size += segment.size
+            _apply(result, segment, kind, value)
+    result.size += segment.size
     return low
 
 
-def _apply(found: Found, segment: Segment, kind: int, value: Any) -> None:
-    state, known = found.state, True
+def _apply(result: RecoveryResult, segment: Segment, kind: int, value: Any) -> None:
+    """Apply one record to the state, and track which segment holds each message and fact."""
+    state, known = result.state, True
     if kind == TAKE:
         old = state.messages.get(value.id)
         if old is not None:
-            found.by_number[old.home].messages.pop(value.id, None)
-        value.home = segment.number
+            result.segments_by_number[old.segment_number].messages.pop(value.id, None)
+        value.segment_number = segment.number
         segment.messages[value.id] = None
         state.take(value)
-        found.doubted.discard(value.id)  # it is whole again
-        found.bereft.discard(value.id)
+        result.doubted.discard(value.id)  # it is complete again
+        result.bodies_lost.discard(value.id)
     elif kind == ATTEMPT:
         known = state.attempt(*value)
     elif kind == OUTCOME:
@@ -142,70 +144,76 @@
     elif kind == END:
         known = state.end(*value)
     elif kind == OVER:
-        gone = state.over(value)
-        if gone is not None:
-            found.by_number[gone.home].messages.pop(value, None)
-        found.doubted.discard(value)
-        found.bereft.discard(value)
+        removed = state.over(value)
+        if removed is not None:
+            result.segments_by_number[removed.segment_number].messages.pop(value, None)
+        result.doubted.discard(value)
+        result.bodies_lost.discard(value)
     elif kind == FACT:
         state.mark(*value)
-        if (home := found.fact_home.pop(value[0], None)) is not None:
-            found.by_number[home].facts.pop(value[0], None)
+        if (segment_number := result.fact_segments.pop(value[0], None)) is not None:
+            result.segments_by_number[segment_number].facts.pop(value[0], None)
         if value[1] is not None:
             segment.facts[value[0]] = None
-            found.fact_home[value[0]] = segment.number
+            result.fact_segments[value[0]] = segment.number
     if not known:
-        found.bereft.add(value[0])
+        result.bodies_lost.add(value[0])
 
 
-def _damaged(found: Found, where: Damage) -> None:
-    """Whatever is owed at this point may have lost an attempt, or its end."""
-    found.damage.append(where)
-    found.doubted.update(found.state.messages)
+def _add_damage(result: RecoveryResult, where: Damage) -> None:
+    """Record damage: each message open at this point may have lost the record of an attempt or of its end."""
+    result.damage.append(where)
+    result.doubted.update(result.state.messages)
 
 
-def _lay_doubts(found: Found) -> None:
-    """What damage may have swallowed counts as having happened: the message may have run. Where the message itself is
-    gone and only later records speak of it, its end is still owed: it failed."""
-    if not found.damage:
-        found.bereft.clear()  # records that came before a copy forward, of messages that are over since
+def _apply_damage(result: RecoveryResult) -> None:
+    """Apply the consequences of damage.
+
+    A message whose attempt records may be lost counts as one that may have run. A message whose own record is lost,
+    with only later records left, is ended as failed, since its client is still owed an end.
+    """
+    if not result.damage:
+        result.bodies_lost.clear()  # records left from before a copy forward, of messages that have finished since
         return
-    for name in found.doubted:
-        if (message := found.state.messages.get(name)) is not None:
-            message.doubt()
-    for name in sorted(found.bereft):
-        found.state.take(Stored(name, "", 0, 0, attempts=1, ran_ms=0, ran_at="", notice=("given_up", 0),
-                                seq=found.state.next_seq))
+    for name in result.doubted:
+        if (message := result.state.messages.get(name)) is not None:
+            message.mark_possibly_run()
+    for name in sorted(result.bodies_lost):
+        result.state.take(Stored(name, "", 0, 0, attempts=1, ran_ms=0, ran_at="", notice=("given_up", 0),
+                                seq=result.state.next_seq))
 
 
-def _read_old(disk: Disk, found: Found) -> None:
+def _add_old_format(disk: Disk, result: RecoveryResult) -> None:
+    """Add an old-format file to the result, unless it was migrated already."""
     data = disk.read(OLD_LOG)
-    if found.old_print and fingerprint(data) == found.old_print:
-        found.stale.append(OLD_LOG)  # taken over already; only its removal is missing
+    if result.old_fingerprint and fingerprint(data) == result.old_fingerprint:
+        result.stale.append(OLD_LOG)  # migrated already, only its removal is missing
         return
-    old = old_state(data)
-    found.old, found.old_print = old, fingerprint(data)
+    old = read_old_state(data)
+    result.old, result.old_fingerprint = old, fingerprint(data)
     for message in old.messages.values():
-        if message.id not in found.state.messages:
-            message.seq = found.state.next_seq
-            found.state.take(message)
+        if message.id not in result.state.messages:
+            message.seq = result.state.next_seq
+            result.state.take(message)
     for name, value in old.marks.items():
-        found.state.marks.setdefault(name, value)
+        result.state.marks.setdefault(name, value)
 
 
-def mend(disk: Disk, found: Found) -> None:
-    """Cut a torn tail off and remove what counts no more. Done again after a crash it does the same."""
-    if found.torn is not None and found.segments and name_of(found.segments[-1].number) == found.torn.file:
-        handle = disk.append_to(found.torn.file)
+def clean_up(disk: Disk, result: RecoveryResult) -> None:
+    """Cut off a torn tail and remove files that are not in use. Idempotent, so that it can be repeated after a
+    crash."""
+    if (result.torn is not None and result.segments
+            and segment_file_name(result.segments[-1].number) == result.torn.file):
+        handle = disk.append_to(result.torn.file)
         try:
-            disk.truncate(handle, found.torn.start)
+            disk.truncate(handle, result.torn.start)
             disk.sync(handle)
         finally:
             disk.close(handle)
-    for name in found.stale:
+    for name in result.stale:
         disk.unlink(name)
-    if found.stale:
+    if result.stale:
         disk.sync_folder()
 
 
-__all__ = ["Damage", "FormatError", "Found", "mend", "read"]
+__all__ = ["Damage", "FormatError", "RecoveryResult", "clean_up", "read"]
--- a/wheelstep/journal/segments.py
+++ b/wheelstep/journal/segments.py
@@ -1,7 +1,7 @@
-"""The log: segments in the order of their numbers, appended to at the newest, dropped at the oldest.
+"""The log: numbered segment files, appended to at the newest and removed at the oldest.
 
-A segment is `NNNNNNNN.journal`. Its header is the manifest: the segments from `low` on count. Nothing is ever written
-in the middle of a file.
+A segment is a file `NNNNNNNN.journal`. Its header serves as the manifest: the segments from `low` on are in use. Files
+are only appended to, except that an incomplete last record is cut off.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 from wheelstep.journal import codec
 from wheelstep.journal.disk import Disk
 
-BLOCK = 512  # a file counts in whole ones
+BLOCK = 512  # allocation unit: a file's size counts rounded up to it
 _NAME = re.compile(r"(\d{8})\.journal")
 
 
-def name_of(number: int) -> str:
-    """A segment's file."""
+def segment_file_name(number: int) -> str:
+    """Return the file name of a segment."""
     return f"{number:08}.journal"
 
 
 def number_of(name: str) -> int | None:
-    """The segment that a file is, if it is one."""
+    """Return the segment number of a file name, or None if it is not a segment's."""
     found = _NAME.fullmatch(name)
     return int(found[1]) if found else None
 
 
-def rounded(size: int) -> int:
-    """As a file of this size counts."""
+def rounded_to_blocks(size: int) -> int:
+    """Return the size that a file of this many bytes takes in whole blocks."""
     return -(-size // BLOCK) * BLOCK
 
 
 @dataclass(slots=True)
 class Segment:
-    """One file, and which messages and facts it holds whole."""
+    """One log file, and the messages and facts whose current full record is in it."""
 
     number: int
     size: int
@@ -45,35 +45,39 @@
 
 
 class Log:
-    """The segments that count. Raises `OSError` from its disk; then nothing has changed but perhaps `spoilt`."""
+    """The segments in use.
 
-    def __init__(self, disk: Disk, target: int, syncs: bool) -> None:
-        self.disk, self.target, self.syncs = disk, target, syncs
+    Methods raise `OSError` from the disk; then nothing has changed, except that half a record may be left at the end of
+    the newest segment (`_partial_tail`).
+    """
+
+    def __init__(self, disk: Disk, target_bytes: int, syncs: bool) -> None:
+        self.disk, self.target_bytes, self.syncs = disk, target_bytes, syncs
         self.segments: list[Segment] = []  # oldest first
-        self.used = 0  # bytes, each file in whole blocks
-        self.dirty: list[int] = []  # handles with bytes that are not synced, oldest first
+        self.used = 0  # bytes on disk, each file in whole blocks
+        self.dirty: list[int] = []  # handles with unsynced bytes, oldest first
         self.folder_dirty = False
-        self.written = 0  # bytes appended so far, for whoever waits for a sync
-        self._syncing: list[int] = []  # a sync of these is under way elsewhere
-        self._retired: list[int] = []  # handles that are closed once they are synced
-        self._spoilt = False  # the head ends in half a record that could not be cut off
+        self.written = 0  # bytes appended so far: the offset that a waiter for a sync needs
+        self._syncing: list[int] = []  # handles of the sync in progress, which may run in another thread
+        self._retired: list[int] = []  # handles of full segments, closed once they are synced
+        self._partial_tail = False  # the newest segment ends in half a record that could not be cut off
 
     @property
     def head(self) -> Segment:
-        """Where appends go."""
+        """The newest segment, which appends go to."""
         return self.segments[-1]
 
     def adopt(self, segments: list[Segment]) -> None:
-        """Go on with what a recovery found."""
+        """Continue with the segments that recovery found."""
         self.segments = segments
-        self.used = sum(rounded(segment.size) for segment in segments)
-        if segments and segments[-1].size < self.target:
-            segments[-1].handle = self.disk.append_to(name_of(segments[-1].number))
+        self.used = sum(rounded_to_blocks(segment.size) for segment in segments)
+        if segments and segments[-1].size < self.target_bytes:
+            segments[-1].handle = self.disk.append_to(segment_file_name(segments[-1].number))
 
     def append(self, data: bytes) -> Segment:
-        """Append one record, or several, to one segment, which is returned."""
+        """Append one or several records to one segment, and return the segment."""
         segments = self.segments
-        if not segments or segments[-1].handle is None or self._spoilt or segments[-1].size >= self.target:
+        if not segments or segments[-1].handle is None or self._partial_tail or segments[-1].size >= self.target_bytes:
             self.roll()
         head = segments[-1]
         handle, size = head.handle, head.size
@@ -87,12 +91,12 @@
             if done:
                 try:
                     self.disk.truncate(handle, size)
-                except OSError:  # half a record stays: the next append begins a new segment behind it
-                    self._spoilt = True
+                except OSError:  # half a record stays: the next append starts a new segment
+                    self._partial_tail = True
             raise
         head.size = size + done
         if (size - 1) // BLOCK != (size + done - 1) // BLOCK:
-            self.used += rounded(size + done) - rounded(size)
+            self.used += rounded_to_blocks(size + done) - rounded_to_blocks(size)
         if self.syncs:
             self.written += done
             if not self.dirty or self.dirty[-1] != handle:
@@ -100,12 +104,12 @@
         return head
 
     def roll(self, taken_over: str = "") -> None:
-        """Begin a new segment."""
+        """Start a new segment."""
         number = self.segments[-1].number + 1 if self.segments else 1
         low = self.segments[0].number if self.segments else number
         before = self.segments[-1].size if self.segments else 0
         data = codec.header(codec.Header(number, low, before, taken_over))
-        name = name_of(number)
+        name = segment_file_name(number)
         handle = self.disk.create(name)
         done = 0
         try:
@@ -124,36 +128,36 @@
             else:
                 self.disk.close(old)
         self.segments.append(Segment(number, done, handle))
-        self.used += rounded(done)
+        self.used += rounded_to_blocks(done)
         if self.syncs:
             self.dirty.append(handle)
-        self.folder_dirty, self._spoilt = self.syncs, False
+        self.folder_dirty, self._partial_tail = self.syncs, False
 
     def drop_oldest(self) -> None:
-        """Remove the oldest segment, which nothing needs any more. What it held must be on disk elsewhere."""
+        """Remove the oldest segment. The caller must have the records that are still needed in newer segments."""
         oldest = self.segments[0]
-        self.disk.unlink(name_of(oldest.number))
+        self.disk.unlink(segment_file_name(oldest.number))
         self.segments.pop(0)
-        self.used -= rounded(oldest.size)
+        self.used -= rounded_to_blocks(oldest.size)
         self.folder_dirty = self.syncs
 
     def begin_sync(self) -> tuple[list[int], bool, int]:
-        """What a sync must cover: handles, the folder?, and up to which byte it then holds."""
-        work = (list(self.dirty), self.folder_dirty, self.written)
-        self._syncing = work[0]
+        """Return what a sync must cover: handles, whether the folder too, and the offset that is then synced."""
+        pending = (list(self.dirty), self.folder_dirty, self.written)
+        self._syncing = pending[0]
         self.dirty.clear()
         self.folder_dirty = False
-        return work
+        return pending
 
     def end_sync(self) -> None:
-        """The sync that was begun is over: close what was rolled meanwhile and before."""
+        """Finish the sync that was begun: close handles of full segments that are synced now."""
         handles, self._syncing = self._syncing, []
         for handle in [handle for handle in self._retired if handle in handles and handle not in self.dirty]:
             self._retired.remove(handle)
             self.disk.close(handle)
 
     def close(self) -> None:
-        """Give all handles back."""
+        """Close all handles."""
         handles = [*self._retired, *(one.handle for one in self.segments if one.handle is not None)]
         self._retired.clear()
         for segment in self.segments:
--- a/wheelstep/journal/writing.py
+++ b/wheelstep/journal/writing.py
@@ -1,6 +1,6 @@
-"""Writing to the log: appends, what the disk's trouble means, and syncing by the journal's promise.
+"""Writing to the log: appends, disk errors, and syncing by the journal's policy.
 
-Beneath `compaction.Compactor`. Its `_drop` removes the oldest segment, which only a sync may have to wait for.
+Base of `compaction.Compactor`. `_remove_oldest` removes the oldest segment, which may have to wait for a sync.
 """
 
 from __future__ import annotations
@@ -19,59 +19,65 @@
 
 
 class Writer:
-    """The log's end, and what of it is synced."""
+    """Appends records and tracks how far the log is synced."""
 
-    _log: Log  # whoever opens the folder sets it
+    _log: Log  # set when the folder is opened
 
     def __init__(self, disk: Disk, limit_bytes: int, sync: Sync, wait_s: float, clock: Callable[[], float]) -> None:
         self._disk = disk
-        self._limit, self._sync, self._wait_s, self._clock = limit_bytes, sync, wait_s, clock
-        self._by_number: dict[int, Segment] = {}
-        self._behind: dict[str, None] = {}  # messages and facts that memory knows better than the disk
-        self._trouble = ""  # what the disk said when it began
-        self._distrusted = False  # a sync has failed: nothing new is taken on until the next start
-        self._synced = 0  # bytes that a sync has covered
-        self._drops: list[tuple[int, int]] = []  # once so many bytes are synced, this segment goes
+        self._limit_bytes, self._sync, self._wait_s, self._clock = limit_bytes, sync, wait_s, clock
+        self._segments_by_number: dict[int, Segment] = {}
+        self._deferred: dict[str, None] = {}  # messages whose latest state could not be written yet
+        self._write_error = ""  # the first error since writing last worked; empty while it works
+        self._sync_failed = False  # a sync has failed: no new message is accepted until the next start
+        self._synced = 0  # offset up to which the log is synced
+        # (offset, segment): the segment is removed once the log is synced up to the offset
+        self._pending_removals: list[tuple[int, int]] = []
         self._syncing: asyncio.Task[None] | None = None
-        self._waiters: list[tuple[int, asyncio.Future[None]]] = []  # up to which byte each waits
+        # (offset, future): resolved once the log is synced up to the offset
+        self._waiters: list[tuple[int, asyncio.Future[None]]] = []
 
     def _append(self, record: bytes) -> Segment:
-        log_ = self._log
+        """Append records to the log, and sync them under `Sync.EACH`. Raises `OSError`."""
+        segment_log = self._log
         try:
-            segment = log_.append(record)
+            segment = segment_log.append(record)
         except OSError as error:
-            self._in_trouble(error)
+            self._report_write_error(error)
             raise
-        finally:  # also a segment that was begun though nothing more could be written to it
-            if log_.segments and log_.segments[-1].number not in self._by_number:
-                self._by_number[log_.segments[-1].number] = log_.segments[-1]
-        if self._sync is Sync.EACH and not self._distrusted:
-            with contextlib.suppress(OSError):  # it is written: what is owed goes on, nothing new is taken on
+        finally:  # also a segment that was started before the write failed
+            if segment_log.segments and segment_log.segments[-1].number not in self._segments_by_number:
+                self._segments_by_number[segment_log.segments[-1].number] = segment_log.segments[-1]
+        if self._sync is Sync.EACH and not self._sync_failed:
+            with contextlib.suppress(OSError):  # it is written: only new messages are refused
                 self.sync_now()
-        if self._trouble and not self._behind:
-            log.warning("journal: writes again, after: %s", self._trouble)
-            self._trouble = ""
+        if self._write_error and not self._deferred:
+            log.warning("journal: writes again; the error was: %s", self._write_error)
+            self._write_error = ""
         return segment
 
-    def _in_trouble(self, error: OSError) -> None:
-        """Said once, when it begins."""
-        if not self._trouble:
-            log.error("journal: can't write: %s; new messages are turned away", error)
-            self._trouble = str(error)
+    def _report_write_error(self, error: OSError) -> None:
+        """Log a write error once, when it first occurs."""
+        if not self._write_error:
+            log.error("journal: can't write: %s; new messages are refused", error)
+            self._write_error = str(error)
 
-    def _drop(self) -> None:
-        """Say that it counts no more, and remove it. Guards against a power loss that keeps this record and loses the
-        copies before it: they are synced by now. Its removal is synced with what is written next, before another."""
+    def _remove_oldest(self) -> None:
+        """Record that the oldest segment is no longer in use, and remove it.
+
+        Call this only once the copies of its records are synced: otherwise a power loss could keep this record and lose
+        the copies. The removal itself is synced with the next records, before another segment is removed.
+        """
         number = self._log.segments[0].number
         self._append(codec.low(number + 1))
         self._log.drop_oldest()
-        del self._by_number[number]
+        del self._segments_by_number[number]
 
     # --- syncing ---
 
     def sync_now(self) -> None:
-        """Sync all that is written, here and now. Raises `OSError`; then nothing new is taken on any more."""
-        handles, folder, upto = self._log.begin_sync()
+        """Sync all written records. On failure raises `OSError`, and no new message is accepted any more."""
+        handles, folder, end_offset = self._log.begin_sync()
         try:
             for handle in handles:
                 self._disk.sync(handle)
@@ -79,73 +85,80 @@
                 self._disk.sync_folder()
         except OSError as error:
             self._log.end_sync()
-            self._distrust(error)
+            self._report_sync_failure(error)
             raise
         self._log.end_sync()
-        self._have_synced(upto)
+        self._note_synced(end_offset)
 
-    def _have_synced(self, upto: int) -> None:
-        self._synced = max(self._synced, upto)
-        while self._drops and self._drops[0][0] <= self._synced:
-            self._drops.pop(0)
+    def _note_synced(self, end_offset: int) -> None:
+        """Note the synced offset, and remove the segments that waited for it."""
+        self._synced = max(self._synced, end_offset)
+        while self._pending_removals and self._pending_removals[0][0] <= self._synced:
+            self._pending_removals.pop(0)
             try:
-                self._drop()
+                self._remove_oldest()
             except OSError as error:
-                log.warning("journal: could not remove a segment: %s", error)
+                log.warning("journal: could not remove the oldest segment: %s", error)
+
+    def _report_sync_failure(self, error: OSError) -> None:
+        """Refuse new messages from now on.
 
-    def _distrust(self, error: OSError) -> None:
-        """A failed sync may have lost any byte since the one before, and a second one may claim that all is well."""
-        if not self._distrusted:
-            self._distrusted = True
-            log.error("journal: a sync has failed: %s; nothing new is taken on until the next start", error)
+        A failed sync may have lost any byte written since the last good one, and a later sync may report success
+        without them.
+        """
+        if not self._sync_failed:
+            self._sync_failed = True
+            log.error("journal: a sync has failed: %s; new messages are refused until the next start", error)
 
     async def durable(self) -> None:
-        """Wait until what was written so far outlasts what the policy promises. Raises `NoRoomError` if that takes
-        longer than the policy's bound, or can't be had."""
+        """Wait until the records written so far are as durable as the policy demands.
+
+        Raises `NoRoomError` if the sync takes longer than `wait_s`, or has failed.
+        """
         if self._sync is not Sync.GROUP or self._synced >= self._log.written:
             return
-        if self._distrusted:
+        if self._sync_failed:
             raise NoRoomError("a sync has failed")
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append((self._log.written, waiter))
         if self._syncing is None or self._syncing.done():
-            self._syncing = asyncio.create_task(self._sync_together())
+            self._syncing = asyncio.create_task(self._run_group_syncs())
         await waiter
 
-    async def _sync_together(self) -> None:
-        """One sync after another, off the loop, each for all that wait by then; until nobody waits."""
+    async def _run_group_syncs(self) -> None:
+        """Run syncs in a thread, each for all waiters at its start, until nobody waits."""
         loop = asyncio.get_running_loop()
         while self._waiters:
-            await asyncio.sleep(0)  # whoever is ready in this turn still comes along
-            handles, folder, upto = self._log.begin_sync()
+            await asyncio.sleep(0)  # include callers that are ready in this turn of the loop
+            handles, folder, end_offset = self._log.begin_sync()
 
-            def work(handles: list[int] = handles, folder: bool = folder) -> None:
+            def sync_all(handles: list[int] = handles, folder: bool = folder) -> None:
                 for handle in handles:
                     self._disk.sync(handle)
                 if folder:
                     self._disk.sync_folder()
 
-            late = loop.call_later(self._wait_s, self._tell, 1 << 62, f"no sync within {self._wait_s} s")
+            timeout = loop.call_later(self._wait_s, self._resolve_waiters, 1 << 62, f"no sync within {self._wait_s} s")
             try:
-                await loop.run_in_executor(None, work)
+                await loop.run_in_executor(None, sync_all)
             except OSError as error:
-                self._distrust(error)
-                self._tell(1 << 62, "a sync has failed")
+                self._report_sync_failure(error)
+                self._resolve_waiters(1 << 62, "a sync has failed")
                 return
             finally:
-                late.cancel()
+                timeout.cancel()
                 self._log.end_sync()
-            self._have_synced(upto)
-            self._tell(upto, "")
+            self._note_synced(end_offset)
+            self._resolve_waiters(end_offset, "")
 
-    def _tell(self, upto: int, trouble: str) -> None:
-        """Those who wait for no more than so many bytes hear that they are synced, or why not."""
+    def _resolve_waiters(self, end_offset: int, error: str) -> None:
+        """Resolve the waiters up to an offset: with success, or with `NoRoomError` if `trouble` is given."""
         waiting, self._waiters = self._waiters, []
-        for goal, waiter in waiting:
-            if goal > upto:
-                self._waiters.append((goal, waiter))
+        for offset, waiter in waiting:
+            if offset > end_offset:
+                self._waiters.append((offset, waiter))
             elif not waiter.done():
-                if trouble:
-                    waiter.set_exception(NoRoomError(trouble))
+                if error:
+                    waiter.set_exception(NoRoomError(error))
                 else:
                     waiter.set_result(None)
