--- a/tests/test_crossings_handover.py
+++ b/tests/test_crossings_handover.py
@@ -1,4 +1,4 @@
-"""Two events that cross while a process hands over: an outcome, the end of either process, SIGTERM, at each step."""
+"""Events that cross a handover: an outcome, the end of either process and SIGTERM, at each step."""
 
 from __future__ import annotations
 
@@ -21,37 +21,41 @@
 
 
 def own_address() -> str:
-    """Of this process alone: a port on 127.0.0.1 that is free now may be another's by the time it is bound."""
+    """Return an address that only this process uses: a free port on 127.0.0.1 may be taken by another before it is
+    bound."""
     with socket.socket() as found:
         found.bind((f"127.9.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}", 0))
         return "{}:{}".format(*found.getsockname())
 
 
 class Successor:
-    """A process that takes over step by step, in a test's hand."""
+    """A process that takes over step by step, driven by the test."""
 
     def __init__(self, folder: Path) -> None:
-        self.heard: list[dict[str, Any]] = []
+        self.packets: list[dict[str, Any]] = []
         self.lost = asyncio.Event()
-        self._news = asyncio.Event()
+        self._arrived = asyncio.Event()
         self.channel = Channel(connect(folder), self._note, self.lost.set)
 
     def _note(self, head: dict[str, Any], body: bytes, descriptors: list[int]) -> None:
         for descriptor in descriptors:
             os.close(descriptor)
-        self.heard.append(head)
-        self._news.set()
+        self.packets.append(head)
+        self._arrived.set()
 
     def rows(self, what: str) -> list[Any]:
-        return [row for head in self.heard if head["is"] == what for row in head["rows"]]
+        """Return the rows of all packets of one kind."""
+        return [row for head in self.packets if head["is"] == what for row in head["rows"]]
 
     async def wait(self, what: str) -> None:
+        """Wait for a packet of this kind."""
         async with asyncio.timeout(LIMIT_S):
-            while not any(head["is"] == what for head in self.heard):
-                self._news.clear()
-                await self._news.wait()
+            while not any(head["is"] == what for head in self.packets):
+                self._arrived.clear()
+                await self._arrived.wait()
 
     async def reach(self, step: str) -> None:
+        """Go through the handover up to this step."""
         for name, (says, hears) in STEPS.items():
             await self.channel.send({"do": says})
             await self.wait(hears)
@@ -61,7 +65,7 @@
 
 @contextlib.asynccontextmanager
 async def calling(folder: Path) -> AsyncIterator[tuple[Scene, asyncio.Event]]:
-    """A courier with the call of `m` out; its answer comes once the event is set."""
+    """Run a courier with the call of message `m` in flight; it is answered once the event is set."""
     scene, answer = Scene(folder, console=True), asyncio.Event()
     scene.courier.console = own_address()
     async with scene as s:
@@ -91,7 +95,7 @@
                 await successor.wait("ended")
                 assert [row[:3] for row in successor.rows("ended")] == [["m", 0, "ok"]]
                 assert [row[2] for row in successor.rows("calls")] == [[["m", 0]]]
-            journal = Journal(tmp_path / "state", 3_000_000)  # the folder is free
+            journal = Journal(tmp_path / "state", 3_000_000)  # the folder is unlocked
             assert ("m" in journal.messages) == (step == "given")
             journal.close()
             successor.channel.close()
@@ -100,13 +104,13 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_sigterm_during_a_handover_whose_successor_is_lost_ends_the_process(tmp_path: Path, step: str) -> None:
-    """Not ready again, nor begun anew: what it owes is the next process's."""
+    """It must not become ready again or restart: its unfinished messages are left to the next process."""
     async def play() -> None:
         async with calling(tmp_path) as (s, answer):
             successor = Successor(tmp_path / "state")
             await successor.reach(step)
             s.courier.process.send_signal(signal.SIGTERM)
-            with contextlib.suppress(OSError):  # so that SIGTERM has been heard before the loss
+            with contextlib.suppress(OSError):  # so that SIGTERM is processed before the loss
                 for _ in range(20):
                     await s.courier.call("readyz")
             successor.channel.close()
@@ -117,13 +121,13 @@
                     await asyncio.sleep(0.01)
             assert await asyncio.wait_for(s.courier.process.wait(), 5) == 0 and not any(ready)
             log = "".join(s.courier.log)
-            assert "Traceback" not in log and "beginning anew" not in log
+            assert "Traceback" not in log and "restarting from the folder" not in log
             await s.courier.start()
             assert (await s.platform.wait_notice("m"))["outcome"] == "given_up"  # it may have run
     run(play())
 
 
-def test_a_process_that_leaves_hands_nothing_over(tmp_path: Path) -> None:
+def test_a_terminating_process_refuses_a_handover(tmp_path: Path) -> None:
     async def play() -> None:
         async with calling(tmp_path) as (s, answer):
             s.courier.process.send_signal(signal.SIGTERM)
@@ -133,14 +137,14 @@
             with contextlib.suppress(Exception):
                 await successor.channel.send({"do": "take over"})
             await asyncio.wait_for(successor.lost.wait(), LIMIT_S)
-            assert not successor.heard
+            assert not successor.packets
             answer.set()
             assert await asyncio.wait_for(s.courier.process.wait(), LIMIT_S) == 0
     run(play())
 
 
-def test_a_successor_whose_giver_is_killed_goes_on_from_the_folder(tmp_path: Path) -> None:
-    """The giver is stopped before it answers the first step, and killed then."""
+def test_a_successor_whose_predecessor_is_killed_starts_from_the_folder(tmp_path: Path) -> None:
+    """The giver is stopped before it answers the first step, and then killed."""
     async def play() -> None:
         async with calling(tmp_path) as (s, answer):
             after = s.courier.successor()
@@ -161,13 +165,13 @@
 
 
 def _asked(link: Path) -> bool:
-    """Does a connection wait at the socket? The kernel lists one that was not accepted yet with its path."""
+    """Return whether an unaccepted connection waits at the socket; the kernel lists it with the socket's path."""
     lines = [line.split() for line in Path("/proc/net/unix").read_text().splitlines()]
     return sum(line[-1].endswith(f"/{link.name}") and line[5] != "01" for line in lines if len(line) == 8) > 0
 
 
-def test_a_wait_that_an_answer_to_a_probe_tells_after_the_handover_binds_the_successor(tmp_path: Path) -> None:
-    """The probe was out at the process before; nobody but its connection hears of the wait."""
+def test_a_wait_in_a_probe_answer_after_the_handover_binds_the_successor(tmp_path: Path) -> None:
+    """The probe was in flight at the old process, so only that process receives the wait."""
     async def play() -> None:
         scene, answer = Scene(tmp_path, console=True), asyncio.Event()
         scene.courier.console = own_address()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new version under load: everything goes over to it, and no message is lost, doubled or overtaken."""
+"""Upgrade under load: everything goes to the successor, and no message is lost, duplicated or reordered."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @contextlib.asynccontextmanager
 async def upgraded(scene: Scene) -> AsyncIterator[Courier]:
-    """The successor, once it serves; the process before it is still there."""
+    """Yield the successor once it serves; the previous process still runs."""
     after = scene.courier.successor()
     await after.begin()
     try:
@@ -68,8 +68,8 @@
 
 
 def test_connections_that_come_during_a_handover_end_at_the_successor(tmp_path: Path) -> None:
-    """Once, one that was accepted in the turn of the pause was read on by the process before, which answered 202 for
-    messages that nobody owned."""
+    """Regression: the old process kept reading a connection that was accepted in the loop turn in which it paused, and
+    answered 202 for messages that no process owned."""
     async def scene() -> None:
         async with Scene(tmp_path, console=True) as s:
             taken: list[str] = []
@@ -108,7 +108,7 @@
             request = (b"POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: cut\r\nX-Class: once\r\nX-Deadline-Ms: 9000\r\n"
                        b"X-Consignee: dest=7\r\nContent-Length: 10\r\n\r\n0123456789")
             writer.write(request[:-4])
-            await s.courier.hand_in("before")  # so that what was written has been read
+            await s.courier.hand_in("before")  # so that the partial request has been read
             async with upgraded(s) as after:
                 for number, (asks, part, hears) in enumerate([
                         (writer, request[-4:], reader), (idle_writer, request.replace(b"cut", b"idle"), idle_reader)]):
@@ -124,8 +124,8 @@
     run(scene())
 
 
-def test_order_waits_and_bans_hold_across(tmp_path: Path) -> None:
-    """A later message of a key waits for one whose call is out at the process before."""
+def test_key_order_and_exclusions_hold_across_a_handover(tmp_path: Path) -> None:
+    """A later message of a key must wait for one whose call is in flight at the previous process."""
     async def scene() -> None:
         async with Scene(tmp_path, console=True) as s:
             answer = asyncio.Event()
@@ -159,7 +159,7 @@
 
 
 def test_a_call_whose_process_is_killed_may_have_run(tmp_path: Path) -> None:
-    """The unsafe one fails and is not sent again; the keyed one is sent once more, under its key."""
+    """The unsafe message fails and is not sent again; the keyed one is sent once more with its key."""
     async def scene() -> None:
         async with Scene(tmp_path, console=True) as s:
             async def hang(call: Call) -> Reply | None:
@@ -182,10 +182,10 @@
 
 @pytest.mark.parametrize("step", ["take over", "received"])
 def test_a_successor_that_is_lost_leaves_one_courier_that_serves(tmp_path: Path, step: str) -> None:
-    """Before the journal is given the process goes on; after that it begins anew from the folder, in its place."""
+    """Before the journal is handed over the process resumes; after that it restarts from the folder."""
     async def play() -> None:
         scene = Scene(tmp_path, console=True)
-        scene.courier.listen = free_address()  # it comes back at the same one
+        scene.courier.listen = free_address()  # it restarts at the same address
         async with scene as s:
             link = connect(tmp_path / "state")
             heard: asyncio.Queue[str] = asyncio.Queue()
@@ -211,10 +211,11 @@
     run(play())
 
 
-@given(st.lists(st.tuples(st.sampled_from(("asked", "received", "mine", "lost")), st.integers(0, 2)), max_size=12))
-def test_never_two_owners(events: list[tuple[str, int]]) -> None:
-    """Whoever asks and is lost in whatever order: the journal is closed once at most, for the one that was paused for,
-    and nothing is resumed after that."""
+@given(st.lists(st.tuples(st.sampled_from(("requested", "received", "confirmed", "lost")), st.integers(0, 2)),
+                max_size=12))
+def test_a_handover_never_has_two_owners(events: list[tuple[str, int]]) -> None:
+    """For any order of requests and losses, the journal is closed at most once, for the target that the source paused
+    for, and the source does not resume after that."""
     handover, takers = Handover(), [object() for _ in range(3)]
     paused: object = None
     done: list[Action] = []
@@ -225,10 +226,10 @@
             paused = takers[number]
         if what is Action.RESUME:
             paused = None
-        if what in (Action.CLOSE, Action.LET_GO, Action.RESUME, Action.BEGIN_ANEW) and what is not Action.RESUME:
+        if what in (Action.CLOSE, Action.RELEASE, Action.RESUME, Action.RESTART) and what is not Action.RESUME:
             assert paused is takers[number]
         done.append(what)
-        if what is Action.BEGIN_ANEW:
+        if what is Action.RESTART:
             break
     if Action.CLOSE in done:
         assert Action.RESUME not in done[done.index(Action.CLOSE):] and done.count(Action.CLOSE) == 1
--- a/wheelstep/upgrade/channel.py
+++ b/wheelstep/upgrade/channel.py
@@ -1,6 +1,7 @@
-"""Packets between two processes of one courier, with descriptors: a Unix socket that keeps their bounds.
+"""Packets with file descriptors between two processes of one courier, over a Unix socket that preserves packet
+boundaries.
 
-A packet is a head in JSON, a line feed and bytes as they are. Long lists go in several packets.
+A packet is a JSON head, a line feed and raw bytes. Long lists are split into several packets.
 """
 
 from __future__ import annotations
@@ -14,33 +15,37 @@
 from pathlib import Path
 from typing import Any
 
-NAME = "successor"  # in the folder that lasts: where a new process finds the one that serves
-MOST = 96 * 1024  # bytes of a packet; the kernel's buffers hold more
-ROWS = 200  # entries of a long list in one packet
-_WRITE_S = 2.0
+SOCKET_NAME = "successor"  # socket in the state folder, where a new process finds the serving one
+MAX_PACKET_BYTES = 96 * 1024  # bytes of a packet; less than the kernel's socket buffers hold
+ROWS_PER_PACKET = 200  # entries of a list in one packet
+_WRITE_TIMEOUT_S = 2.0
 
 log = logging.getLogger(__name__)
 
 
-class LostError(Exception):
-    """The other process is gone or does not read."""
+class ConnectionLostError(Exception):
+    """The other process has ended or does not read."""
 
 
 class Channel:
-    """One connection. `heard` is called for each packet with the descriptors that came with it, `lost` once at its end;
-    descriptors that nobody takes are the caller's to close."""
+    """One connection.
 
-    def __init__(self, link: socket.socket, heard: Callable[[dict[str, Any], bytes, list[int]], None],
-                 lost: Callable[[], None]) -> None:
-        self._link, self._heard, self._lost = link, heard, lost
+    `on_packet` is called for each packet with the descriptors that came with it, which it must take or close;
+    `on_close` is called once when the connection ends.
+    """
+
+    def __init__(self, sock: socket.socket, on_packet: Callable[[dict[str, Any], bytes, list[int]], None],
+                 on_close: Callable[[], None]) -> None:
+        self._socket, self._on_packet, self._on_close = sock, on_packet, on_close
         self._order = asyncio.Lock()
         self.open = True
-        link.setblocking(False)
-        asyncio.get_running_loop().add_reader(link.fileno(), self._read)
+        sock.setblocking(False)
+        asyncio.get_running_loop().add_reader(sock.fileno(), self._read)
 
     def _read(self) -> None:
+        """Receive one packet and pass it on; close the connection if that fails."""
         try:
-            data, descriptors, _, _ = socket.recv_fds(self._link, MOST, 8)
+            data, descriptors, _, _ = socket.recv_fds(self._socket, MAX_PACKET_BYTES, 8)
         except BlockingIOError:
             return
         except OSError:
@@ -50,89 +55,92 @@
             return
         text, _, body = data.partition(b"\n")
         try:
-            self._heard(json.loads(text), body, descriptors)
+            self._on_packet(json.loads(text), body, descriptors)
         except Exception:
-            log.exception("a packet could not be used: %.200r", text)
+            log.exception("could not process a handover packet: %.200r", text)
             self.close()
 
     async def send(self, head: dict[str, Any], body: bytes = b"", descriptors: tuple[int, ...] = ()) -> None:
-        """In the order of the calls. Raises `LostError`."""
+        """Send one packet; concurrent calls are sent in their order. Raises `ConnectionLostError`."""
         data = json.dumps(head, separators=(",", ":")).encode() + b"\n" + body
         async with self._order:
             try:
-                async with asyncio.timeout(_WRITE_S):
-                    while not self._sent(data, descriptors):
+                async with asyncio.timeout(_WRITE_TIMEOUT_S):
+                    while not self._try_send(data, descriptors):
                         await self._writable()
             except (OSError, TimeoutError) as error:
                 self.close()
-                raise LostError(str(error)) from error
+                raise ConnectionLostError(str(error)) from error
 
-    def _sent(self, data: bytes, descriptors: tuple[int, ...]) -> bool:
+    def _try_send(self, data: bytes, descriptors: tuple[int, ...]) -> bool:
+        """Try to send. False if the socket is not writable yet; raises `OSError` if the connection has ended."""
         if not self.open:
             raise OSError("the connection has ended")
         try:
-            socket.send_fds(self._link, [data], list(descriptors))
+            socket.send_fds(self._socket, [data], list(descriptors))
         except BlockingIOError:
             return False
         return True
 
     async def _writable(self) -> None:
+        """Wait until the socket is writable."""
         loop, ready = asyncio.get_running_loop(), asyncio.Event()
-        loop.add_writer(self._link.fileno(), ready.set)
+        loop.add_writer(self._socket.fileno(), ready.set)
         try:
             await ready.wait()
         finally:
             if self.open:
-                loop.remove_writer(self._link.fileno())
+                loop.remove_writer(self._socket.fileno())
 
     async def send_list(self, head: dict[str, Any], rows: list[Any]) -> None:
-        """A list of any length under the key `rows`; an empty one too is heard of."""
-        for start in range(0, max(1, len(rows)), ROWS):
-            await self.send({**head, "rows": rows[start:start + ROWS]})
+        """Send a list of any length under the key `rows`; an empty list is sent as one packet."""
+        for start in range(0, max(1, len(rows)), ROWS_PER_PACKET):
+            await self.send({**head, "rows": rows[start:start + ROWS_PER_PACKET]})
 
     def close(self) -> None:
-        """At once."""
+        """Close the connection at once; `on_close` is called in the next turn of the loop."""
         if self.open:
             self.open = False
             loop = asyncio.get_running_loop()
-            loop.remove_reader(self._link.fileno())
-            loop.remove_writer(self._link.fileno())
-            self._link.close()
-            loop.call_soon(self._lost)
+            loop.remove_reader(self._socket.fileno())
+            loop.remove_writer(self._socket.fileno())
+            self._socket.close()
+            loop.call_soon(self._on_close)
 
 
 def listen(folder: Path) -> socket.socket:
-    """Where a successor asks. Only the process that has the journal's folder may call this. Raises `OSError`."""
-    (folder / NAME).unlink(missing_ok=True)
-    link = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
-    with _short(folder) as path:
-        link.bind(path)
-    os.chmod(folder / NAME, 0o600)
-    link.listen(4)
-    return link
+    """Listen for a successor. Only the process that has locked the journal's folder may call this. Raises `OSError`."""
+    (folder / SOCKET_NAME).unlink(missing_ok=True)
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
+    with _ShortSocketPath(folder) as path:
+        sock.bind(path)
+    os.chmod(folder / SOCKET_NAME, 0o600)
+    sock.listen(4)
+    return sock
 
 
 def connect(folder: Path) -> socket.socket:
-    """To the process that serves. Raises `OSError` where there is none."""
-    link = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    """Connect to the serving process. Raises `OSError` if there is none."""
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        with _short(folder) as path:
-            link.connect(path)
+        with _ShortSocketPath(folder) as path:
+            sock.connect(path)
     except OSError:
-        link.close()
+        sock.close()
         raise
-    return link
+    return sock
 
 
-class _short:
-    """A path to the socket that is short enough for its address (107 bytes), however long the folder's is."""
+class _ShortSocketPath:
+    """Context manager for a path to the socket that fits into a socket address (107 bytes), however long the folder's
+    path is."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
     def __enter__(self) -> str:
         self._handle = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        return f"/proc/self/fd/{self._handle}/{NAME}"
+        return f"/proc/self/fd/{self._handle}/{SOCKET_NAME}"
 
     def __exit__(self, *_: object) -> None:
         os.close(self._handle)
--- a/wheelstep/upgrade/target.py
+++ b/wheelstep/upgrade/target.py
@@ -1,4 +1,4 @@
-"""The new process: asks the one that serves for everything, and goes on where it stopped."""
+"""The new process's side of a handover: receives the state of the serving process and continues from it."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from wheelstep.courier.rows import Row, read_rows
 from wheelstep.interface import Outcome
 from wheelstep.upgrade import channel as channels
-from wheelstep.upgrade.channel import Channel, LostError
+from wheelstep.upgrade.channel import Channel, ConnectionLostError
 
-_AGAIN_S = 0.05
-_TAKES_S = 4.0
+_RETRY_S = 0.05
+_STEP_TIMEOUT_S = 4.0
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class TransferredState:
-    """What the earlier process handed over."""
+    """What the previous process handed over."""
 
     listener: socket.socket | None = None
     clients: list[tuple[socket.socket, bool, bytes]] = field(default_factory=list)
@@ -38,10 +38,10 @@
     seq: int = 0
     calls: list[CallsOut] = field(default_factory=list)
     waits: dict[str, int] = field(default_factory=dict)
-    settling: dict[str, int] | None = None  # keys, and for how many microseconds; None: it did not tell
+    settling: dict[str, int] | None = None  # keys, and for how many microseconds each settles; None if not sent
 
     def close(self) -> None:
-        """Give all descriptors back."""
+        """Close all received sockets."""
         if self.listener is not None:
             self.listener.close()
         for connection, _, _ in self.clients:
@@ -51,15 +51,17 @@
 class HandoverTarget:
     """One attempt to take over."""
 
-    def __init__(self, link: socket.socket) -> None:
+    def __init__(self, sock: socket.socket) -> None:
+        """Use a connected socket to the serving process."""
         self.transferred = TransferredState()
         self._core: Core | None = None
-        self._early: list[dict[str, Any]] = []  # outcomes that came before the core was there, one a call at most
-        self._out: dict[tuple[str, int], str] = {}  # attempts that are out there, and where
+        self._early_outcomes: list[dict[str, Any]] = []  # before the core was set, at most one per call
+        self._in_flight: dict[tuple[str, int], str] = {}  # attempts at the previous process -> endpoint
         self._steps: asyncio.Queue[str] = asyncio.Queue()
-        self._channel = Channel(link, self._heard, self._lost)
+        self._channel = Channel(sock, self._on_packet, self._on_lost)
 
-    def _heard(self, head: dict[str, Any], body: bytes, descriptors: list[int]) -> None:
+    def _on_packet(self, head: dict[str, Any], body: bytes, descriptors: list[int]) -> None:
+        """Process a packet of the serving process."""
         transferred = self.transferred
         match head["is"]:
             case "client":
@@ -74,20 +76,21 @@
                     CallsOut(str(endpoint), int(sent_ms), [(str(name), int(n)) for name, n in attempts])
                     for endpoint, sent_ms, attempts in head["rows"]]
             case "waits":
-                self._waits({str(endpoint): int(left_us) for endpoint, left_us in head["rows"]})
+                self._add_waits({str(endpoint): int(left_us) for endpoint, left_us in head["rows"]})
             case "settling":
                 transferred.settling = transferred.settling or {}
                 transferred.settling.update((str(key), int(left_us)) for key, left_us in head["rows"])
             case "ended" if self._core is None:
-                self._early.append(head)
+                self._early_outcomes.append(head)
             case "ended":
-                self._ended(head)
+                self._apply_outcomes(head)
             case "connections" | "yours" as step:
                 self._steps.put_nowait(step)
         for descriptor in descriptors:
             os.close(descriptor)
 
-    def _waits(self, waits: dict[str, int]) -> None:
+    def _add_waits(self, waits: dict[str, int]) -> None:
+        """Apply endpoint waits, or keep the longest of each until the core is set."""
         if self._core is None:
             for endpoint, left_us in waits.items():
                 self.transferred.waits[endpoint] = max(self.transferred.waits.get(endpoint, 0), left_us)
@@ -95,62 +98,69 @@
         for endpoint, left_us in waits.items():
             self._core.told_to_wait(endpoint, left_us)
 
-    def _lost(self) -> None:
-        """Guards messages whose outcome nobody will tell any more: they may have run."""
+    def _on_lost(self) -> None:
+        """Process the end of the connection: attempts whose outcome can no longer arrive may have run."""
         self._steps.put_nowait("lost")
         if self._core is not None:
-            if self._out:
-                log.warning("the earlier process ended with %d attempts out: they may have run", len(self._out))
-            for (name, number), endpoint in list(self._out.items()):
+            if self._in_flight:
+                log.warning("the previous process ended with %d attempts in flight: they may have run",
+                            len(self._in_flight))
+            for (name, number), endpoint in list(self._in_flight.items()):
                 self._core.ended(endpoint, [(Item(name, number, None, b""), Result(Outcome.RESET))])
-            self._out.clear()
+            self._in_flight.clear()
 
-    async def _step(self, wanted: str) -> None:
-        async with asyncio.timeout(_TAKES_S):
-            if await self._steps.get() != wanted:
-                raise LostError("the process that serves has gone")
+    async def _step(self, expected: str) -> None:
+        """Wait for a step's packet. Raises `ConnectionLostError` or `TimeoutError`."""
+        async with asyncio.timeout(_STEP_TIMEOUT_S):
+            if await self._steps.get() != expected:
+                raise ConnectionLostError("the serving process has closed the connection")
 
-    async def take(self) -> None:
-        """All but the journal, which is closed over there once this returns. Raises `LostError`."""
+    async def receive_state(self) -> None:
+        """Receive everything but the journal, which the serving process has closed once this returns. Raises
+        `ConnectionLostError`."""
         try:
             await self._channel.send({"do": "take over"})
             await self._step("connections")
             await self._channel.send({"do": "received"})
             await self._step("yours")
-        except (LostError, TimeoutError) as error:
+        except (ConnectionLostError, TimeoutError) as error:
             self.transferred.close()
             self._channel.close()
-            raise LostError(str(error)) from error
+            raise ConnectionLostError(str(error)) from error
 
     async def go_on(self, core: Core, server: ClientServer) -> None:
-        """The core has what the journal held and `server` listens: serve the connections, then hear outcomes."""
-        self._out = {attempt: call.endpoint for call in self.transferred.calls for attempt in call.attempts}
+        """Serve the received connections, then process outcomes.
+
+        Call this once the core holds the journal's content and `server` listens.
+        """
+        self._in_flight = {attempt: call.endpoint for call in self.transferred.calls for attempt in call.attempts}
         for endpoint, left_us in self.transferred.waits.items():
             core.told_to_wait(endpoint, left_us)
         for connection, idle, raw in self.transferred.clients:
-            with contextlib.suppress(OSError):  # its client has gone meanwhile
+            with contextlib.suppress(OSError):  # its client has disconnected meanwhile
                 await server.adopt(connection, idle, raw)
         self._core = core
-        for head in self._early:
-            self._ended(head)
-        self._early.clear()
+        for head in self._early_outcomes:
+            self._apply_outcomes(head)
+        self._early_outcomes.clear()
         if self._channel.open:
-            with contextlib.suppress(LostError):
+            with contextlib.suppress(ConnectionLostError):
                 await self._channel.send({"do": "mine"})
         else:
-            self._lost()
+            self._on_lost()
 
     def still_out(self) -> list[CallsOut]:
-        """Return the calls of the process before that have no outcome yet."""
-        calls = [replace(call, attempts=[attempt for attempt in call.attempts if attempt in self._out])
+        """Return the calls of the previous process that have no outcome yet."""
+        calls = [replace(call, attempts=[attempt for attempt in call.attempts if attempt in self._in_flight])
                  for call in self.transferred.calls]
         return [call for call in calls if call.attempts]
 
-    def _ended(self, head: dict[str, Any]) -> None:
+    def _apply_outcomes(self, head: dict[str, Any]) -> None:
+        """Apply the outcomes of calls that were in flight at the previous process."""
         assert self._core is not None
         endpoint, results = str(head["endpoint"]), []
         for name, number, outcome, spent_us, wait_us, limit, over, exhausted in head["rows"]:
-            if self._out.pop((name, number), None) is None:
+            if self._in_flight.pop((name, number), None) is None:
                 continue
             if wait_us:
                 self._core.told_to_wait(endpoint, wait_us)
@@ -162,14 +172,14 @@
 
 
 async def take_over(folder: Path, free: Callable[[], bool]) -> HandoverTarget | None:
-    """Take over from the process that has the folder; None once `free` says that none has it any more."""
+    """Take over from the process that has locked the folder; None once `free` returns that no process has."""
     while True:
         if free():
             return None
         try:
             target = HandoverTarget(channels.connect(folder))
-            await target.take()
+            await target.receive_state()
             return target
-        except (OSError, LostError) as error:
-            log.info("not taken over yet: %s", error)
-        await asyncio.sleep(_AGAIN_S)
+        except (OSError, ConnectionLostError) as error:
+            log.info("handover failed, trying again: %s", error)
+        await asyncio.sleep(_RETRY_S)
