--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""Records: whole ones are read as written, cut-off and damaged ones refused or read up to the damage."""
+"""Recordings: whole ones are read as written, truncated and damaged ones refused or read up to the damage."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
     (lambda made: [*made[:-1], made[-1][:-3]], "line 6: no whole line"),
     (lambda made: [*made[:3], made[3].replace(b"pay", b"pax"), *made[4:]], "line 4: the checksum"),
     (lambda made: [*made[:2], *made[3:]], "line 3: the checksum"),  # a line is missing
-    (lambda made: [*made[:2], made[3], made[2], *made[4:]], "line 3: the checksum"),  # two were swapped
-    (lambda made: [*made, made[-1]], "line 7: something follows"),
+    (lambda made: [*made[:2], made[3], made[2], *made[4:]], "line 3: the checksum"),  # two are swapped
+    (lambda made: [*made, made[-1]], "line 7: found a line after the last one"),
 ])
 def test_damage_is_refused_or_read_up_to_as_asked(spoil: Any, where: str) -> None:
     made = spoil(lines(4))
@@ -71,7 +71,7 @@
     recorder.note("pay", 7, None, False, b"x" * size, 6000, 202, False)
 
 
-def test_the_writer_never_grows_past_its_bound_and_ends_whole(tmp_path: Path) -> None:
+def test_the_recording_stays_within_its_size_and_ends_completely(tmp_path: Path) -> None:
     path = tmp_path / "day.record"
     recorder = Recorder(path, HEAD, 2_000, bodies=False)
     for _ in range(100):
@@ -100,8 +100,8 @@
     assert sorted(path.name for path in tmp_path.iterdir()) == ["day.1.record", "day.record"]
 
 
-def test_a_disk_that_fails_ends_the_record_and_nothing_else(tmp_path: Path) -> None:
-    """Guards against a full disk that would turn a message that was taken on into an error for its client."""
+def test_a_disk_error_ends_only_the_recording(tmp_path: Path) -> None:
+    """A full disk must not turn an accepted message into an error for its client."""
     recorder = Recorder(tmp_path / "day.record", HEAD, 100_000, False)
     assert recorder._file is not None
 
--- a/tests/test_renewal.py
+++ b/tests/test_renewal.py
@@ -1,4 +1,4 @@
-"""Settings that change under load: which files are taken, and whose rules bind."""
+"""Settings that change under load: which files are accepted, and which class rules apply."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from wheelstep import interface as api
 from wheelstep.interface import Effect, MessageClass, Outcome
-from wheelstep.renewal.classes import ClassTable, during, stricter
+from wheelstep.renewal.classes import ClassTable, during, stricter_rules
 from wheelstep.renewal.files import RenewalError, check
 
 FILE = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {"disk_mb": 3},
@@ -24,7 +24,7 @@
 
 
 def changed(where: str, value: Any) -> dict[str, Any]:
-    """The file with one thing in it changed; None takes it out."""
+    """Return the file with one value changed; None removes it."""
     new = copy.deepcopy(FILE)
     *path, last = [int(part) if part.isdigit() else part for part in where.split(".")]
     inside: Any = new
@@ -49,15 +49,15 @@
     ("settings.services.0.deadline_us", -1, "settings.services[0].deadline_us: -1; expected a positive number"),
     ("settings.services.0.deadline_us", True, "settings.services[0].deadline_us: True; expected a positive number"),
     ("settings.services.0.deadline_us", float("nan"), "settings.services[0].deadline_us: nan; expected"),
-    ("settings.services.1.name", "ordered", "settings.services[1].name: 'ordered'; expected a name of its own"),
+    ("settings.services.1.name", "ordered", "settings.services[1].name: 'ordered'; expected a unique, non-empty name"),
 ])
-def test_a_file_that_is_cut_off_or_makes_no_sense_is_turned_down(where: str, value: Any, said: str) -> None:
+def test_a_truncated_or_invalid_file_is_rejected(where: str, value: Any, said: str) -> None:
     with pytest.raises(RenewalError) as caught:
         check(changed(where, value), FILE)
     assert str(caught.value).startswith(said)
 
 
-def test_a_file_with_another_class_and_other_effects_is_taken() -> None:
+def test_a_file_with_another_class_and_other_effects_is_accepted() -> None:
     new = copy.deepcopy(FILE)
     services: list[dict[str, Any]] = new["settings"]["services"]
     services[1]["effect"] = "repeatable"
@@ -71,7 +71,7 @@
 
 @given(st.data())
 def test_every_message_stays_under_the_rules_that_it_was_taken_on_with(data: st.DataObject) -> None:
-    """Whatever changes, how often, and with restarts in between that count from less."""
+    """Any sequence of changes and restarts, after which sequence numbers start lower."""
     names = ("a", "b", "c")
 
     def classes() -> dict[str, MessageClass]:
@@ -79,7 +79,7 @@
         return {name: data.draw(st.sampled_from(CLASSES)) for name in names if name in chosen}
     now = classes()
     table = ClassTable(now)
-    held: dict[int, tuple[str, MessageClass]] = {}  # place in line -> class name, rules
+    held: dict[int, tuple[str, MessageClass]] = {}  # sequence number -> class name, rules
     seq = 1
     for _ in range(data.draw(st.integers(1, 12))):
         match data.draw(st.sampled_from(("take", "take", "end", "renew", "restart"))):
@@ -106,8 +106,8 @@
 
 
 @given(st.sampled_from(CLASSES), st.sampled_from(CLASSES))
-def test_until_clients_have_heard_neither_rules_are_broken(one: MessageClass, other: MessageClass) -> None:
-    both = stricter(one, other)
+def test_during_a_class_change_neither_rules_are_violated(one: MessageClass, other: MessageClass) -> None:
+    both = stricter_rules(one, other)
     order = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
     assert order.index(both.effect) == max(order.index(one.effect), order.index(other.effect))
     assert all((both.most_attempts or 99) <= (cls.most_attempts or 99) for cls in (one, other))
@@ -115,7 +115,7 @@
     assert during(ClassTable({"x": one}), {"x": other, "y": one})["y"] == one
 
 
-def test_the_module_keeps_a_held_message_under_its_old_class() -> None:
+def test_the_policy_module_keeps_a_held_message_under_its_old_class() -> None:
     drive = Drive()
     for name in ("old", "new"):
         if name == "new":
@@ -128,8 +128,8 @@
     assert len(sends(drive.actions)) == 2
 
 
-def test_sighup_brings_a_class_changes_an_effect_and_drops_one(tmp_path: Path) -> None:
-    """Once, a message of a class that was named by SIGHUP was answered 400."""
+def test_sighup_adds_a_class_changes_an_effect_and_removes_a_class(tmp_path: Path) -> None:
+    """Regression: a message of a class that SIGHUP had added was answered 400."""
     async def scene() -> None:
         async with Scene(tmp_path, console=True) as s:
             async def error(call: Call) -> Reply:
@@ -142,7 +142,7 @@
             s.courier.renew(json.dumps(config))
             await s.courier.wait_log("classes from now on: ordered, once, late-class")
             assert await s.courier.hand_in("m1", "late-class") == 202
-            assert (await s.platform.wait_notice("m1"))["outcome"] == "given_up"  # it may have run, and has one try
+            assert (await s.platform.wait_notice("m1"))["outcome"] == "given_up"  # it may have run: one attempt only
             s.courier.renew('{"cut": off')
             await s.courier.wait_log("the new configuration is not used")
             s.courier.renew(json.dumps({**config, "settings": {**settings, "services": settings["services"][:1]}}))
@@ -152,20 +152,20 @@
             s.courier.renew(json.dumps(config))
             await s.courier.wait_log("classes from now on", 3)
             assert await s.courier.hand_in("m3", "once") == 202
-            await s.endpoint.wait(3)  # tried again, which m1 was not
+            await s.endpoint.wait(3)  # attempted again, which m1 was not
             figures = await s.courier.figures()
             assert (figures["loads"], figures["load_errors"]) == (3, 1)
     run(scene())
 
 
 def test_a_class_that_was_dropped_is_known_to_the_next_process(tmp_path: Path) -> None:
-    """Once, a message of a class that the file did not name any more failed at the start, though it had not run."""
+    """Regression: at a restart, a message of a class that was no longer in the file failed although it had not run."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             async def hang(call: Call) -> None:
                 return None
             s.endpoint.reply = hang
-            for number in range(4):  # the window: the rest waits
+            for number in range(4):  # fills the window, so that the rest waits
                 assert await s.courier.hand_in(f"out{number}", "ordered", key=f"k{number}") == 202
             assert await s.courier.hand_in("m", "once") == 202
             settings = {**SETTINGS, "services": SETTINGS["services"][:1]}
--- a/wheelstep/recording/writer.py
+++ b/wheelstep/recording/writer.py
@@ -1,4 +1,5 @@
-"""The daemon's side of a record: a bounded file that nothing waits for. A failure ends the record, never a message."""
+"""The daemon's side of a recording: a size-limited file. A failure to write ends the recording and affects no message.
+"""
 
 from __future__ import annotations
 
@@ -9,74 +10,78 @@
 
 from wheelstep.recording.format import Encoder, Head, Row
 
-_BUFFER = 64 * 1024
+_BUFFER_BYTES = 64 * 1024
 _FLUSH_S = 1.0
-_MOST_FILES = 16
-_END_ROOM = 64  # bytes kept for the last line
+_MAX_FILES = 16
+_END_RESERVE_BYTES = 64  # bytes reserved for the last line
 
 log = logging.getLogger(__name__)
 
 
 class Recorder:
-    """One file, from the courier's start until it is full or closed. Each start has a file of its own."""
+    """One recording, from the courier's start until the file is full or closed. Each start uses a new file."""
 
-    def __init__(self, path: Path, head: Head, most_bytes: int, bodies: bool) -> None:
-        self._most, self._bodies = most_bytes, bodies
-        self._encoder, self._size, self._written = Encoder(), 0, 0
+    def __init__(self, path: Path, head: Head, max_bytes: int, bodies: bool) -> None:
+        """Create the file and write its first line. If that fails, it is logged and nothing is recorded."""
+        self._max_bytes, self._bodies = max_bytes, bodies
+        self._encoder, self._size, self._written_state = Encoder(), 0, 0
         self._began_ns, self._flushed_at = time.monotonic_ns(), 0.0
         self._file: BinaryIO | None = None
         try:
             self._path, self._file = _create(path)
         except OSError as error:
-            log.error("recording: not begun: %s", error)
+            log.error("recording: could not start: %s", error)
             return
-        log.info("recording to %s, %d bytes at most", self._path, most_bytes)
+        log.info("recording to %s, %d bytes at most", self._path, max_bytes)
         self._write(self._encoder.head(head))
 
     def note(self, message_class: str, destination: int, key: str | None, keyed: bool, body: bytes, deadline_ms: int,
              status: int, again: bool) -> None:
-        """A message was handed in and answered with this status."""
+        """Record a message that was received and answered with this HTTP status."""
         if self._file is None:
             return
         line = self._encoder.row(Row(
             (time.monotonic_ns() - self._began_ns) // 1000, message_class, destination, key, keyed, len(body),
             deadline_ms, status, again, body if self._bodies else None))
-        if self._size + len(line) + _END_ROOM > self._most:
+        if self._size + len(line) + _END_RESERVE_BYTES > self._max_bytes:
             self._finish("full")
             return
         self._write(line)
 
     def _write(self, data: bytes) -> None:
+        """Write a line; flush at most once per `_FLUSH_S` seconds."""
         assert self._file is not None
         try:
             self._file.write(data)
             self._size += len(data)
-            self._written = self._encoder.state()
+            self._written_state = self._encoder.state()
             if time.monotonic() - self._flushed_at >= _FLUSH_S:
                 self._file.flush()
                 self._flushed_at = time.monotonic()
         except OSError as error:
             log.error("recording: ended by an error: %s", error)
-            self._drop()
+            self._close_file()
 
     def close(self) -> None:
-        """The courier stops."""
+        """End the recording because the courier stops."""
         if self._file is not None:
             self._finish("closed")
 
-    def _finish(self, why: str) -> None:
-        self._encoder.rewind(self._written)  # a row that found no room is part of the sum already
+    def _finish(self, reason: str) -> None:
+        """Write the last line and close the file."""
+        self._encoder.rewind(self._written_state)  # the checksum already includes a row that did not fit
         assert self._file is not None
         try:
-            self._file.write(self._encoder.end(why))
+            self._file.write(self._encoder.end(reason))
             self._file.flush()
         except OSError as error:
             log.error("recording: ended by an error: %s", error)
-        if why == "full":
-            log.warning("recording: %s is full, nothing more is recorded", self._path)
-        self._drop()
+        if reason == "full":
+            log.warning("recording: %s is full, recording ends", self._path)
+        self._close_file()
 
-    def _drop(self) -> None:
+    def _close_file(self) -> None:
+        """Close the file."""
         file, self._file = self._file, None
         if file is not None:
             try:
@@ -86,11 +91,11 @@
 
 
 def _create(path: Path) -> tuple[Path, BinaryIO]:
-    """A new file; one that is there already is never written over."""
-    for number in range(_MOST_FILES):
+    """Create a new file, numbered if the name exists; an existing file is never overwritten. Raises `OSError`."""
+    for number in range(_MAX_FILES):
         name = path if not number else path.with_name(f"{path.stem}.{number}{path.suffix}")
         try:
-            return name, open(name, "xb", buffering=_BUFFER)
+            return name, open(name, "xb", buffering=_BUFFER_BYTES)
         except FileExistsError:
             continue
-    raise FileExistsError(f"{path} and {_MOST_FILES - 1} more are there already; expected room for a new one")
+    raise FileExistsError(f"{path} and {_MAX_FILES - 1} numbered files exist already; expected a free file name")
--- a/wheelstep/renewal/__init__.py
+++ b/wheelstep/renewal/__init__.py
@@ -1,4 +1,4 @@
-"""New settings under load: may a renewed file be used, and which class's rules bind which message.
+"""Changing settings under load: validating a new file, and which class rules apply to which message.
 
 No I/O; only imported at the first SIGHUP, or where an earlier process had such a change. Reading order: `files`,
 `classes`.
--- a/wheelstep/renewal/classes.py
+++ b/wheelstep/renewal/classes.py
@@ -1,8 +1,8 @@
-"""Which class's rules bind which message, while settings change under load and over restarts. No I/O.
+"""Which class rules apply to which message while settings change, under load and across restarts. No I/O.
 
-A message stays under the rules that its class had when it was taken on. The module gets a list of classes in which a
-place keeps its meaning as long as any message is held under it. Clients learn of new settings a little later than the
-courier, so for a while a class that changes has the stricter rules of both.
+A message keeps the rules that its class had when it was accepted. The policy module gets a list of classes in which an
+index keeps its meaning as long as any unfinished message uses it. Clients learn of new settings a little later than the
+courier, so for a while a changed class has the stricter of the old and new rules.
 """
 
 from __future__ import annotations
@@ -13,119 +13,134 @@
 
 from wheelstep.interface import Effect, MessageClass
 
-SETTLE_S = 1.5  # from SIGHUP until only the new rules bind
+SETTLE_S = 1.5  # from SIGHUP until only the new rules apply
 _STRICTNESS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
 
 
-def stricter(one: MessageClass, other: MessageClass) -> MessageClass:
-    """Rules that break neither one's; aims and worth are the second's."""
-    life_us = [cls.key_ttl_us for cls in (one, other) if cls.effect is Effect.KEYED]
+def stricter_rules(one: MessageClass, other: MessageClass) -> MessageClass:
+    """Return rules that violate neither class's; times and worth are the second one's."""
+    key_lifetimes_us = [cls.key_ttl_us for cls in (one, other) if cls.effect is Effect.KEYED]
     return replace(
-        other, effect=max(one.effect, other.effect, key=_STRICTNESS.index), key_ttl_us=min(life_us, default=0),
+        other, effect=max(one.effect, other.effect, key=_STRICTNESS.index), key_ttl_us=min(key_lifetimes_us, default=0),
         zone_keys=one.zone_keys or other.zone_keys, ordered=one.ordered or other.ordered,
         most_attempts=min((most for most in (one.most_attempts, other.most_attempts) if most), default=0))
 
 
 class ClassTable:
-    """Places for the module, and which of them a message's class has, by name and by its place among all taken on."""
+    """The policy module's list of classes, and which index applies to a message, by its class name and sequence
+    number."""
 
     def __init__(self, classes: Mapping[str, MessageClass]) -> None:
+        """Start with these classes, without a history."""
         self.places: list[MessageClass] = list(classes.values())
-        self._now = {name: place for place, name in enumerate(classes)}
-        self._past: dict[str, list[tuple[int, int]]] = {}  # class -> (taken before, place), the oldest first
+        self._current = {name: place for place, name in enumerate(classes)}
+        # class -> (index applies to messages accepted before this number, index), oldest first
+        self._history: dict[str, list[tuple[int, int]]] = {}
 
     @property
     def names(self) -> list[str]:
         """The classes that clients may name."""
-        return list(self._now)
+        return list(self._current)
 
     def current(self, name: str) -> MessageClass:
-        """The rules for new messages of a class; `KeyError` where there is none."""
-        return self.places[self._now[name]]
+        """Return the rules for new messages of a class. Raises `KeyError` for an unknown class."""
+        return self.places[self._current[name]]
 
     def place(self, name: str, taken: int) -> int | None:
-        """The place for a message of this class that was taken on as so-manieth; None where nobody knows it."""
-        for before, place in self._past.get(name, ()):
+        """Return the index for the message of this class with sequence number `taken`, or None if no rules are known
+        for it."""
+        for before, place in self._history.get(name, ()):
             if taken < before:
                 return place
-        return self._now.get(name)
+        return self._current.get(name)
 
     def renew(self, classes: Mapping[str, MessageClass], taken: int, held: Iterable[tuple[str, int]]) -> None:
-        """From the `taken`-th message on, these bind; `held` are class and place in line of the messages held now.
-        What nobody is held under any more is forgotten, and its place given anew."""
-        used: dict[int, int] = {}  # place -> the last one held there
+        """Apply `classes` to messages from sequence number `taken` on.
+
+        `held` gives class and sequence number of each unfinished message. Rules that no unfinished message uses are
+        dropped, and their index is reused.
+        """
+        used: dict[int, int] = {}  # index -> the last unfinished message that uses it
         for name, number in held:
             if (place := self.place(name, number)) is not None:
                 used[place] = max(number, used.get(place, 0))
         past: dict[str, list[tuple[int, int]]] = {}
-        for name in dict.fromkeys([*self._past, *self._now]):
-            rows = [*self._past.get(name, ())]
-            if name in self._now and (name not in classes or self.places[self._now[name]] != classes[name]):
-                rows.append((taken, self._now[name]))
-            # Up to the last one that is held, so that a later process which counts from less takes no new message
-            # for an old one.
+        for name in dict.fromkeys([*self._history, *self._current]):
+            rows = [*self._history.get(name, ())]
+            if name in self._current and (name not in classes or self.places[self._current[name]] != classes[name]):
+                rows.append((taken, self._current[name]))
+            # Only up to the last unfinished message: a later process whose sequence numbers start lower then does not
+            # take a new message for an old one.
             if rows := [(min(before, used[place] + 1), place) for before, place in rows if place in used]:
                 past[name] = rows
         kept = {place for rows in past.values() for _, place in rows}
         now: dict[str, int] = {}
         for name, cls in classes.items():
-            place = self._now.get(name)
+            place = self._current.get(name)
             if place is None or self.places[place] != cls:
                 place = next((free for free in range(len(self.places))
                               if free not in kept and free not in now.values()
-                              and free not in self._still(classes)), len(self.places))
+                              and free not in self._unchanged(classes)), len(self.places))
                 if place == len(self.places):
                     self.places.append(cls)
                 self.places[place] = cls
             now[name] = place
         for place in range(len(self.places)):
             if place not in kept and place not in now.values():
-                self.places[place] = next(iter(classes.values()))  # nobody is held under it
-        self._past, self._now = past, now
+                self.places[place] = next(iter(classes.values()))  # unused: any class will do
+        self._history, self._current = past, now
 
-    def _still(self, classes: Mapping[str, MessageClass]) -> set[int]:
-        """Places of classes that go on as they are."""
-        return {place for name, place in self._now.items() if classes.get(name) == self.places[place]}
+    def _unchanged(self, classes: Mapping[str, MessageClass]) -> set[int]:
+        """Return the indexes of classes that do not change."""
+        return {place for name, place in self._current.items() if classes.get(name) == self.places[place]}
 
     def store(self) -> dict[str, Any]:
-        """For a later process."""
-        return {"places": [_plain(cls) for cls in self.places], "now": self._now,
-                "past": {name: [list(row) for row in rows] for name, rows in self._past.items()}}
+        """Return the table as JSON-ready values for a later process."""
+        return {"places": [_to_json(cls) for cls in self.places], "now": self._current,
+                "past": {name: [list(row) for row in rows] for name, rows in self._history.items()}}
 
     @classmethod
     def restored(cls, stored: Mapping[str, Any], classes: Mapping[str, MessageClass], taken: int,
                  held: Iterable[tuple[str, int]]) -> ClassTable:
-        """What an earlier process stored, with the classes that bind now. Raises what bad data raises."""
+        """Restore what an earlier process stored, and apply the current classes.
+
+        Invalid data raises whatever error it causes (`KeyError`, `TypeError`, `ValueError` or `IndexError` among them).
+        """
         table = cls({})
-        table.places = [_read(row) for row in stored["places"]]
-        table._now = {str(name): int(place) for name, place in stored["now"].items()}
-        table._past = {str(name): [(int(before), int(place)) for before, place in rows]
+        table.places = [_from_json(row) for row in stored["places"]]
+        table._current = {str(name): int(place) for name, place in stored["now"].items()}
+        table._history = {str(name): [(int(before), int(place)) for before, place in rows]
                        for name, rows in stored["past"].items()}
-        for place in [*table._now.values(), *(place for rows in table._past.values() for _, place in rows)]:
+        for place in [*table._current.values(), *(place for rows in table._history.values() for _, place in rows)]:
             table.places[place]
         table.renew(classes, taken, held)
         return table
 
 
 def during(before: ClassTable, classes: Mapping[str, MessageClass]) -> dict[str, MessageClass]:
-    """The classes that bind until clients have heard: all of both, a changed one under the stricter rules."""
+    """Return the classes that apply until clients know the new ones: all old and new, changed ones with the stricter
+    rules."""
     both = {name: before.current(name) for name in before.names}
-    return {**both, **{name: stricter(both[name], cls) if name in both and both[name] != cls else cls
+    return {**both, **{name: stricter_rules(both[name], cls) if name in both and both[name] != cls else cls
                        for name, cls in classes.items()}}
 
 
 def unknown(classes: Iterable[MessageClass]) -> MessageClass:
-    """For what was taken on under a class that nobody knows any more: it breaks no class's rules, and moves none of the
-    times that the module makes from all classes."""
+    """Return rules for messages whose class is no longer known.
+
+    They violate no class's rules, and do not change the times that the policy module derives from all classes.
+    """
     known = list(classes)
     return MessageClass(min(cls.promise_us for cls in known), max(cls.deadline_us for cls in known), Effect.UNSAFE,
                         max(cls.worth for cls in known), ordered=True)
 
 
-def _plain(cls: MessageClass) -> list[Any]:
+def _to_json(cls: MessageClass) -> list[Any]:
+    """Return a class as a list of JSON-ready values."""
     return [value.value if isinstance(value, Effect) else value for value in astuple(cls)]
 
 
-def _read(row: list[Any]) -> MessageClass:
+def _from_json(row: list[Any]) -> MessageClass:
+    """Restore a class from such a list."""
     promise_us, deadline_us, effect, *rest = row
     return MessageClass(promise_us, deadline_us, Effect(effect), *rest)
--- a/wheelstep/renewal/files.py
+++ b/wheelstep/renewal/files.py
@@ -1,4 +1,4 @@
-"""May a renewed file of settings take the place of the one in force? No I/O."""
+"""Validation of a new settings file against the one in force. No I/O."""
 
 from __future__ import annotations
 
@@ -6,59 +6,63 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-_OF_ALL = frozenset({"name", "promise_us", "deadline_us", "effect"})  # what every class must have
-_OF_SOME = frozenset({"by_arrival", "aim_stretch"})  # keys that a class may have or not
-_OF_KEYED = frozenset({"group", "key_ttl_us"})
+_REQUIRED_KEYS = frozenset({"name", "promise_us", "deadline_us", "effect"})  # keys that every class must have
+_OPTIONAL_KEYS = frozenset({"by_arrival", "aim_stretch"})  # keys that are optional even if all classes have them
+_KEYED_ONLY_KEYS = frozenset({"group", "key_ttl_us"})
 
 
 class RenewalError(ValueError):
-    """The file can't be used: where, what was found, what was expected."""
+    """The file cannot be used: key, what was found, what was expected."""
 
 
 def check(new: Mapping[str, Any], old: Mapping[str, Any]) -> None:
-    """Raise `RenewalError` at the first thing that makes `new` unusable in place of `old`, both whole files.
-    Guards against files that were cut off or half filled in: what stands in the one in force must stand in the new one,
-    as the same kind of thing."""
+    """Raise `RenewalError` at the first reason why `new` cannot replace `old`; both are whole files.
+
+    Rejects files that were cut off or half filled in: every key of the old file must be in the new one with the same
+    kind of value.
+    """
     for where, found in _missing(new, old, ""):
         raise RenewalError(f"{where}: {found}")
     settings = new["settings"]
     rows, before = settings["services"], old["settings"]["services"]
     if not rows:
         raise RenewalError("settings.services: empty; expected at least one class")
-    common = set.intersection(*(set(row) for row in before)) - _OF_SOME
+    common = set.intersection(*(set(row) for row in before)) - _OPTIONAL_KEYS
     names: set[str] = set()
     for index, row in enumerate(rows):
         where = f"settings.services[{index}]"
         if not isinstance(row, Mapping):
-            raise RenewalError(f"{where}: {row!r:.60}; expected a class")
-        expected = _OF_ALL | (common if row.get("effect") == "by_key" else common - _OF_KEYED)
+            raise RenewalError(f"{where}: {row!r:.60}; expected a table with a class's settings")
+        expected = _REQUIRED_KEYS | (common if row.get("effect") == "by_key" else common - _KEYED_ONLY_KEYS)
         for key in sorted(expected - set(row)):
             raise RenewalError(f"{where}.{key}: missing; expected a value")
         for key in ("promise_us", "deadline_us"):
-            _positive(row[key], f"{where}.{key}")
+            _require_positive(row[key], f"{where}.{key}")
         if not isinstance(row["name"], str) or not row["name"] or row["name"] in names:
-            raise RenewalError(f"{where}.name: {row['name']!r:.60}; expected a name of its own")
+            raise RenewalError(f"{where}.name: {row['name']!r:.60}; expected a unique, non-empty name")
         names.add(row["name"])
     if "most_tries" in settings.get("caps", {}):
-        _positive(settings["caps"]["most_tries"], "settings.caps.most_tries")
+        _require_positive(settings["caps"]["most_tries"], "settings.caps.most_tries")
 
 
 def _missing(new: Any, old: Any, where: str) -> Iterator[tuple[str, str]]:
+    """Yield key and error for each key that is missing, or is not a table or list as before."""
     for key, value in old.items():
-        here = f"{where}.{key}".lstrip(".")
+        path = f"{where}.{key}".lstrip(".")
         if key not in new:
-            yield here, "missing; expected a value"
+            yield path, "missing; expected a value"
         elif isinstance(value, Mapping):
-            if here == "known":
-                continue  # a list that may be old or none
+            if path == "known":
+                continue  # the last known endpoint list, which may be outdated or absent
             if not isinstance(new[key], Mapping):
-                yield here, f"{new[key]!r:.60}; expected a table"
+                yield path, f"{new[key]!r:.60}; expected a table"
             else:
-                yield from _missing(new[key], value, here)
+                yield from _missing(new[key], value, path)
         elif isinstance(value, list) != isinstance(new[key], list):
-            yield here, f"{new[key]!r:.60}; expected {'a list' if isinstance(value, list) else 'no list'}"
+            yield path, f"{new[key]!r:.60}; expected {'a list' if isinstance(value, list) else 'no list'}"
 
 
-def _positive(value: object, where: str) -> None:
+def _require_positive(value: object, where: str) -> None:
+    """Raise `RenewalError` unless the value is a finite positive number."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value <= 0:
         raise RenewalError(f"{where}: {value!r:.60}; expected a positive number")
