--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""The account: what holds messages up, what their time went on, and the sums over couriers."""
+"""The account: what holds messages up, the causes of their time, and the sums over couriers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return [why for _, why, _ in drive.sender.holdups(drive.now)]
 
 
-def test_the_module_says_what_holds_messages_up() -> None:
+def test_the_policy_module_reports_what_holds_messages_up() -> None:
     drive = Drive(slots=8)
     assert drive.sender.holdups(0) == []
     drive.members(info("e0", state=EndpointState.DRAINING))
@@ -70,23 +70,23 @@
     assert held(drive) == [Holdup.DOUBT]
 
 
-class Story:
-    """Logs as couriers would write them."""
+class FakeLogs:
+    """Builds logs as couriers write them."""
 
     def __init__(self) -> None:
         self.book = Book()
         self.takes: dict[str, Any] = {}
 
-    def say(self, courier: str, at_ms: int, kind: str, *fields: Any) -> Story:
+    def line(self, courier: str, at_ms: int, kind: str, *fields: Any) -> FakeLogs:
         if courier not in self.takes:
             self.takes[courier] = self.book.courier(courier)
             self.takes[courier](write(0, "head", courier, HEAD))
         self.takes[courier]("2026-12-01 10:00:00,000 INFO wheelstep.account " + write(at_ms, kind, *fields))
         return self
 
-    def held(self, courier: str, until_ms: int, why: Holdup, from_ms: int = 0) -> Story:
+    def held(self, courier: str, until_ms: int, why: Holdup, from_ms: int = 0) -> FakeLogs:
         for at_ms in range(from_ms + 250, until_ms + 1, 250):
-            self.say(courier, at_ms, "gauge", 0, 0, 0, 0, [[7, why.value, 1]])
+            self.line(courier, at_ms, "gauge", 0, 0, 0, 0, [[7, why.value, 1]])
         return self
 
     def account(self) -> Account:
@@ -99,9 +99,9 @@
     (Holdup.DOUBT, "no endpoint that it may go to"), (Holdup.SLOTS, "slots or window"),
     (Holdup.WINDOW, "slots or window"), (Holdup.NOTHING, "connection not to be had")])
 def test_a_late_delivery_is_put_on_what_held_its_destination_up(why: Holdup, cause: str) -> None:
-    story = Story().say("n0", 0, "take", "m", "once", 7, None, 10_000, False).held("n0", 6000, why)
-    story.say("n0", 6000, "go", "m", 0, "e0").say("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, 0.5, 10.0)
-    account = story.account()
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False).held("n0", 6000, why)
+    logs.line("n0", 6000, "go", "m", 0, "e0").line("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, 0.5, 10.0)
+    account = logs.account()
     assert account.how == {"late": 1} and account.lost == pytest.approx(0.25)
     assert dict(account.causes) == {cause: pytest.approx(0.25)}
     assert sum(sum(row.values()) for row in account.seconds.values()) == pytest.approx(0.25)
@@ -109,12 +109,12 @@
 
 
 def test_a_refused_message_is_followed_from_courier_to_courier() -> None:
-    story = Story().say("n0", 0, "take", "m", "once", 7, None, 10_000, False)
-    story.say("n0", 100, "go", "m", 0, "e0").say("n0", 200, "out", "m", 0, "e0", "full", 100, False, None, None)
-    story.say("n0", 1000, "end", "m", "handed_back").say("n1", 2000, "door", "m", "once", 503)
-    story.say("n2", 4000, "take", "m", "once", 7, None, 6000, True)
-    story.say("n2", 5000, "go", "m", 0, "e1").say("n2", 6000, "out", "m", 0, "e1", "ok", 1000, True, 0.5, 10.0)
-    account = story.account()
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False)
+    logs.line("n0", 100, "go", "m", 0, "e0").line("n0", 200, "out", "m", 0, "e0", "full", 100, False, None, None)
+    logs.line("n0", 1000, "end", "m", "handed_back").line("n1", 2000, "door", "m", "once", 503)
+    logs.line("n2", 4000, "take", "m", "once", 7, None, 6000, True)
+    logs.line("n2", 5000, "go", "m", 0, "e1").line("n2", 6000, "out", "m", 0, "e1", "ok", 1000, True, 0.5, 10.0)
+    account = logs.account()
     assert account.how == {"late": 1} and account.lost == pytest.approx(0.25)
     assert {name: round(lost / 0.25 * 6, 3) for name, lost in account.causes.items()} == {
         "connection not to be had": 1.1, "refused": 0.9, "with its client": 1.0, "refused at the door": 2.0,
@@ -125,61 +125,61 @@
 
 
 def test_what_was_taken_on_and_never_ended_is_lost_whole_once_its_time_is_over() -> None:
-    story = Story().say("n0", 0, "take", "m", "once", 7, None, 10_000, False)
-    story.say("n0", 10_400, "probe", "e0", "ok")
-    assert (story.account().pending, story.account().lost) == (1, 0)
-    story.say("n0", 10_600, "probe", "e0", "ok")
-    assert story.account().how == {"never": 1} and dict(story.account().causes) == {"never answered": 1.0}
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False)
+    logs.line("n0", 10_400, "probe", "e0", "ok")
+    assert (logs.account().pending, logs.account().lost) == (1, 0)
+    logs.line("n0", 10_600, "probe", "e0", "ok")
+    assert logs.account().how == {"never": 1} and dict(logs.account().causes) == {"never answered": 1.0}
 
 
 def test_another_courier_ending_it_does_not_end_what_the_first_owes() -> None:
-    story = Story().say("n0", 0, "take", "m", "once", 7, None, 10_000, False)
-    story.say("n1", 10, "take", "m", "once", 7, None, 9990, True).say("n1", 500, "end", "m", "handed_back")
-    story.say("n1", 11_000, "probe", "e0", "ok")
-    assert story.account().how == {"never": 1}
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False)
+    logs.line("n1", 10, "take", "m", "once", 7, None, 9990, True).line("n1", 500, "end", "m", "handed_back")
+    logs.line("n1", 11_000, "probe", "e0", "ok")
+    assert logs.account().how == {"never": 1}
 
 
 def test_the_time_between_two_processes_is_put_on_the_courier_that_was_down() -> None:
-    story = Story().say("n0", 0, "take", "m", "once", 7, None, 10_000, False).held("n0", 1000, Holdup.LIMIT)
-    story.say("n0", 5000, "head", "n0", HEAD).say("n0", 5100, "back", "m", "once", 7, None, 4900, False)
-    story.say("n0", 6000, "go", "m", 0, "e0").say("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, 0.5, 10.0)
-    causes = story.account().causes
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False).held("n0", 1000, Holdup.LIMIT)
+    logs.line("n0", 5000, "head", "n0", HEAD).line("n0", 5100, "back", "m", "once", 7, None, 4900, False)
+    logs.line("n0", 6000, "go", "m", 0, "e0").line("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, 0.5, 10.0)
+    causes = logs.account().causes
     assert causes["courier down"] == pytest.approx(0.25 * 4 / 6)
     assert causes["limit waited for"] == pytest.approx(0.25 / 6)
 
 
 def test_a_message_behind_another_of_its_key_waits_in_order() -> None:
-    story = Story().say("n0", 0, "take", "first", "ordered", 7, "k", 10_000, False)
-    story.say("n0", 0, "take", "then", "ordered", 7, "k", 10_000, False).held("n0", 6000, Holdup.LIMIT)
-    story.say("n0", 4000, "out", "first", 0, "e0", "ok", 0, True, None, None)
-    story.say("n0", 6000, "out", "then", 0, "e0", "ok", 0, True, None, None)
-    rows = {row.message: row for row in story.account().losses}
+    logs = FakeLogs().line("n0", 0, "take", "first", "ordered", 7, "k", 10_000, False)
+    logs.line("n0", 0, "take", "then", "ordered", 7, "k", 10_000, False).held("n0", 6000, Holdup.LIMIT)
+    logs.line("n0", 4000, "out", "first", 0, "e0", "ok", 0, True, None, None)
+    logs.line("n0", 6000, "out", "then", 0, "e0", "ok", 0, True, None, None)
+    rows = {row.message: row for row in logs.account().losses}
     parts = {name: sum(lost for span, lost in rows["then"].parts if span.cause.value == name)
              for name in ("order", "limit waited for")}
     assert parts["order"] == pytest.approx(2 * parts["limit waited for"]) and rows["then"].lost == pytest.approx(1.0)
     assert {span.cause.value for span, _ in rows["first"].parts} == {"limit waited for"}
-    assert dict(story.account().behind) == {"limit waited for": pytest.approx(parts["order"])}
+    assert dict(logs.account().behind) == {"limit waited for": pytest.approx(parts["order"])}
 
 
-def test_behind_many_of_a_key_the_first_one_s_cause_is_told_and_no_stack_grows() -> None:
-    story = Story()
+def test_messages_behind_many_of_a_key_get_the_first_ones_cause_without_recursion() -> None:
+    logs = FakeLogs()
     for number in range(3000):
-        story.say("n0", number, "take", f"m{number}", "ordered", 7, "k", 10_000, False)
-    story.held("n0", 6000, Holdup.SICK)
+        logs.line("n0", number, "take", f"m{number}", "ordered", 7, "k", 10_000, False)
+    logs.held("n0", 6000, Holdup.SICK)
     for number in range(3000):
-        story.say("n0", 6000 + number, "out", f"m{number}", 0, "e0", "ok", 0, True, None, None)
-    account = story.account()
+        logs.line("n0", 6000 + number, "out", f"m{number}", 0, "e0", "ok", 0, True, None, None)
+    account = logs.account()
     assert account.how == {"late": 3000}
     assert account.behind["sick destination"] >= 0.6 * account.causes["order"] > 0
 
 
 def test_what_was_in_time_costs_nothing_and_a_failed_call_costs_its_length() -> None:
-    story = Story().say("n0", 0, "take", "good", "once", 7, None, 10_000, False)
-    story.say("n0", 1500, "out", "good", 0, "e0", "ok", 0, True, None, None)
-    story.say("n0", 0, "take", "bad", "once", 7, None, 10_000, False).say("n0", 0, "go", "bad", 0, "e0")
-    story.say("n0", 3000, "out", "bad", 0, "e0", "timeout", 3000, False, None, None)
-    story.say("n0", 3000, "end", "bad", "given_up")
-    account = story.account()
+    logs = FakeLogs().line("n0", 0, "take", "good", "once", 7, None, 10_000, False)
+    logs.line("n0", 1500, "out", "good", 0, "e0", "ok", 0, True, None, None)
+    logs.line("n0", 0, "take", "bad", "once", 7, None, 10_000, False).line("n0", 0, "go", "bad", 0, "e0")
+    logs.line("n0", 3000, "out", "bad", 0, "e0", "timeout", 3000, False, None, None)
+    logs.line("n0", 3000, "end", "bad", "given_up")
+    account = logs.account()
     assert account.how == {"in time": 1, "given_up": 1} and dict(account.causes) == {"sick destination": 1.0}
     assert [row.message for row in account.losses] == ["bad"]
 
@@ -190,28 +190,28 @@
 def test_damaged_lines_are_counted_and_passed_over(text: str) -> None:
     with pytest.raises(LineError, match="expected"):
         read(text)
-    story = Story().say("n0", 0, "take", "m", "once", 7, None, 10_000, False)
-    story.takes["n0"](text)
-    story.takes["n0"]("a plain line of the log\n")
-    assert (story.book.damaged, story.account().messages) == (1, 1)
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False)
+    logs.takes["n0"](text)
+    logs.takes["n0"]("a plain line of the log\n")
+    assert (logs.book.damaged, logs.account().messages) == (1, 1)
 
 
 def test_a_gauge_of_a_later_version_spoils_nothing() -> None:
-    story = Story().say("n0", 0, "take", "m", "once", 7, None, 10_000, False)
-    story.say("n0", 250, "gauge", 0, 0, 0, 0, [[7, "a new holdup", 1]])
-    story.say("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, None, None)
-    assert story.book.damaged == 1 and story.account().lost == pytest.approx(0.25)
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False)
+    logs.line("n0", 250, "gauge", 0, 0, 0, 0, [[7, "a new holdup", 1]])
+    logs.line("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, None, None)
+    assert logs.book.damaged == 1 and logs.account().lost == pytest.approx(0.25)
 
 
 def test_handshakes_and_list_calls_add_up_over_restarts() -> None:
-    story = Story().say("n0", 100, "gauge", 0, 3, 5, 1, []).say("n0", 350, "gauge", 0, 4, 7, 1, [])
-    story.say("n0", 2000, "head", "n0", HEAD).say("n0", 2250, "gauge", 0, 2, 2, 1, [])
-    fleet = story.account().fleet
+    logs = FakeLogs().line("n0", 100, "gauge", 0, 3, 5, 1, []).line("n0", 350, "gauge", 0, 4, 7, 1, [])
+    logs.line("n0", 2000, "head", "n0", HEAD).line("n0", 2250, "gauge", 0, 2, 2, 1, [])
+    fleet = logs.account().fleet
     assert sum(row.handshakes for row in fleet.values()) == 9 and sum(row.lists for row in fleet.values()) == 2
     assert [fleet[second].links for second in (0, 2)] == [4, 2]
 
 
-def test_a_real_courier_tells_and_the_command_shows(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_account_command_reads_a_couriers_log(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     operator = tmp_path / "operator.toml"
     operator.write_text("[account]\non = true\n")
     logs = tmp_path / "logs"
@@ -245,7 +245,7 @@
         "taken", "attempt", "attempt"]
 
 
-def test_the_command_says_in_one_line_what_it_can_t_read(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_reports_unreadable_logs_on_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "plain.log").write_text("nothing of that kind\n")
     for words in (["show", str(tmp_path / "none")], ["show", str(tmp_path)], ["trace", "m1", str(tmp_path)]):
         assert main(["account", *words]) == 2
@@ -253,7 +253,7 @@
         assert error.count("\n") == 1 and "expected" in error
 
 
-def test_off_it_is_not_imported_and_writes_nothing(tmp_path: Path) -> None:
+def test_without_the_account_nothing_is_imported_or_written(tmp_path: Path) -> None:
     async def work() -> None:
         async with Scene(tmp_path) as scene:
             assert await scene.courier.hand_in("m1") == 202
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The second address: calls, figures, and endpoints out by hand."""
+"""The console: commands, metrics, and endpoints excluded by hand."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from wheelstep.console.commands import reply
 from wheelstep.console.figures import Figures, Gauges, render
-from wheelstep.console.front import MOST, Front
+from wheelstep.console.front import MAX_CONNECTIONS, Front
 from wheelstep.courier.config import Address
 
 
@@ -61,20 +61,20 @@
                 await asyncio.sleep(0.005)
             async with asyncio.timeout(LIMIT_S):
                 return await reader.read()
-        slow = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2 * MOST)]
+        slow = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2 * MAX_CONNECTIONS)]
         for _, writer in slow:
             writer.write(b"read")
         assert await call(b"rea", b"dyz\n") == b"+OK ready\n"
         assert await call(b"x" * 4000) == b"-ERR expected one of: readyz, telemetry, exclude ID, include ID\n"
-        assert len(front._callers) <= MOST
+        assert len(front._connections) <= MAX_CONNECTIONS
         front.stop()
         for _, writer in slow:
             writer.close()
     run(scene())
 
 
-def test_an_endpoint_out_by_hand_gets_nothing_until_it_is_put_back(tmp_path: Path) -> None:
-    """Whatever the list says, and over SIGKILL."""
+def test_an_excluded_endpoint_gets_no_message_until_it_is_included(tmp_path: Path) -> None:
+    """Whatever the endpoint list says, and after SIGKILL."""
     async def scene() -> None:
         async with Scene(tmp_path, console=True) as s:
             other = Endpoint()
@@ -99,9 +99,9 @@
             await s.courier.start()
             for number in range(3):
                 assert await s.courier.hand_in(f"b{number}") == 202
-            await passed(3)  # counted anew by each process
+            await passed(3)  # each process counts from 0
             assert s.endpoint.calls == []
-            assert (await s.courier.call("include e0")).startswith("+OK")  # one call puts back what two took out
+            assert (await s.courier.call("include e0")).startswith("+OK")  # one command undoes two exclusions
             s.platform.change(host("e1", other.address, health="DELETED"))
             assert await s.courier.hand_in("c") == 202
             await s.endpoint.wait(1)
--- a/tests/test_crossings_handover.py
+++ b/tests/test_crossings_handover.py
@@ -43,14 +43,14 @@
         self.packets.append(head)
         self._arrived.set()
 
-    def rows(self, what: str) -> list[Any]:
+    def rows(self, kind: str) -> list[Any]:
         """Return the rows of all packets of one kind."""
-        return [row for head in self.packets if head["is"] == what for row in head["rows"]]
+        return [row for head in self.packets if head["is"] == kind for row in head["rows"]]
 
-    async def wait(self, what: str) -> None:
+    async def wait(self, kind: str) -> None:
         """Wait for a packet of this kind."""
         async with asyncio.timeout(LIMIT_S):
-            while not any(head["is"] == what for head in self.packets):
+            while not any(head["is"] == kind for head in self.packets):
                 self._arrived.clear()
                 await self._arrived.wait()
 
--- a/tests/test_journal_crashes.py
+++ b/tests/test_journal_crashes.py
@@ -161,7 +161,7 @@
 
 # --- damage ---
 
-def full(count: int = 30) -> FaultyDisk:
+def full_disk(count: int = 30) -> FaultyDisk:
     journal = open_journal(disk := FaultyDisk(), Sync.NONE)
     for number in range(count):
         journal.take(message(f"m{number}"))
@@ -200,7 +200,7 @@
 def test_damage_in_the_middle_loses_one_record_and_is_logged_with_its_offset(caplog: pytest.LogCaptureFixture) -> None:
     """Regression: all records after the first damaged one were lost."""
     logging.getLogger("wheelstep.journal").setLevel(logging.NOTSET)
-    disk = full().after_crash(power=False)
+    disk = full_disk().after_crash(power=False)
     data = disk.files[segment_file_name(2)].data
     start = data.find(codec.MARKER, 300)
     data[start + 20] ^= 0xFF
@@ -229,7 +229,7 @@
 
 
 def test_after_a_missing_segment_all_earlier_messages_may_have_run() -> None:
-    disk = full().after_crash(power=False)
+    disk = full_disk().after_crash(power=False)
     del disk.files[segment_file_name(2)]
     journal = open_journal(disk, Sync.NONE)
     assert journal.messages["m0"].may_have_run() is not None
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -27,8 +27,8 @@
 
 def lines(count: int, end: str = "closed") -> list[bytes]:
     encoder = Encoder()
-    made = [encoder.head(HEAD), *(encoder.row(row(number)) for number in range(count))]
-    return [*made, encoder.end(end)]
+    encoded = [encoder.head(HEAD), *(encoder.row(row(number)) for number in range(count))]
+    return [*encoded, encoder.end(end)]
 
 
 def test_a_record_is_read_as_it_was_written() -> None:
@@ -38,26 +38,26 @@
     assert (record.head, record.rows, record.ended, record.damage) == (HEAD, rows, "full", "")
 
 
-@pytest.mark.parametrize("spoil,where", [
-    (lambda made: made[:-1], "cut off after line 5"),
-    (lambda made: [*made[:-1], made[-1][:-3]], "line 6: no whole line"),
-    (lambda made: [*made[:3], made[3].replace(b"pay", b"pax"), *made[4:]], "line 4: the checksum"),
-    (lambda made: [*made[:2], *made[3:]], "line 3: the checksum"),  # a line is missing
-    (lambda made: [*made[:2], made[3], made[2], *made[4:]], "line 3: the checksum"),  # two are swapped
-    (lambda made: [*made, made[-1]], "line 7: found a line after the last one"),
+@pytest.mark.parametrize("corrupt,where", [
+    (lambda encoded: encoded[:-1], "cut off after line 5"),
+    (lambda encoded: [*encoded[:-1], encoded[-1][:-3]], "line 6: no whole line"),
+    (lambda encoded: [*encoded[:3], encoded[3].replace(b"pay", b"pax"), *encoded[4:]], "line 4: the checksum"),
+    (lambda encoded: [*encoded[:2], *encoded[3:]], "line 3: the checksum"),  # a line is missing
+    (lambda encoded: [*encoded[:2], encoded[3], encoded[2], *encoded[4:]], "line 3: the checksum"),  # two are swapped
+    (lambda encoded: [*encoded, encoded[-1]], "line 7: found a line after the last one"),
 ])
-def test_damage_is_refused_or_read_up_to_as_asked(spoil: Any, where: str) -> None:
-    made = spoil(lines(4))
+def test_damage_is_refused_or_read_up_to_as_asked(corrupt: Any, where: str) -> None:
+    encoded = corrupt(lines(4))
     with pytest.raises(RecordError, match=where):
-        read(made)
-    partly = read(made, up_to_damage=True)
+        read(encoded)
+    partly = read(encoded, up_to_damage=True)
     assert where in partly.damage and partly.rows == tuple(row(number) for number in range(len(partly.rows)))
 
 
-@pytest.mark.parametrize("made", [[], [b"garbage\n"], [Encoder().end("closed")]])
-def test_without_a_head_nothing_can_be_read(made: list[bytes]) -> None:
+@pytest.mark.parametrize("encoded", [[], [b"garbage\n"], [Encoder().end("closed")]])
+def test_without_a_head_nothing_can_be_read(encoded: list[bytes]) -> None:
     with pytest.raises(RecordError, match="line 1"):
-        read(made, up_to_damage=True)
+        read(encoded, up_to_damage=True)
 
 
 def test_a_newer_version_is_refused_with_one_line() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -216,20 +216,20 @@
 def test_a_handover_never_has_two_owners(events: list[tuple[str, int]]) -> None:
     """For any order of requests and losses, the journal is closed at most once, for the target that the source paused
     for, and the source does not resume after that."""
-    handover, takers = Handover(), [object() for _ in range(3)]
+    handover, targets = Handover(), [object() for _ in range(3)]
     paused: object = None
     done: list[Action] = []
     for name, number in events:
-        what = getattr(handover, name)(takers[number])
-        if what is Action.PAUSE:
+        action = getattr(handover, name)(targets[number])
+        if action is Action.PAUSE:
             assert paused is None
-            paused = takers[number]
-        if what is Action.RESUME:
+            paused = targets[number]
+        if action is Action.RESUME:
             paused = None
-        if what in (Action.CLOSE, Action.RELEASE, Action.RESUME, Action.RESTART) and what is not Action.RESUME:
-            assert paused is takers[number]
-        done.append(what)
-        if what is Action.RESTART:
+        if action in (Action.CLOSE, Action.RELEASE, Action.RESUME, Action.RESTART) and action is not Action.RESUME:
+            assert paused is targets[number]
+        done.append(action)
+        if action is Action.RESTART:
             break
     if Action.CLOSE in done:
         assert Action.RESUME not in done[done.index(Action.CLOSE):] and done.count(Action.CLOSE) == 1
--- a/wheelstep/account/__init__.py
+++ b/wheelstep/account/__init__.py
@@ -1,5 +1,6 @@
-"""The account: where worth was lost, made from what couriers write into their logs. Off unless an operator asks for it.
+"""The loss account: where messages lost value, computed from lines in the couriers' logs. Off unless an operator
+enables it.
 
-`lines` (the lines' form) and `writer` (the daemon's side) are all that a courier imports. `course` (with `spans` and
-`log`) decides what a message's time went on, `tally` adds up; they know no I/O. `umberchute account` reads the logs.
+A courier imports only `lines` (the line format) and `writer` (the daemon's side). `course` (with `spans` and `log`)
+attributes a message's time to causes, `tally` sums over messages; these do no I/O. `umberchute account` reads the logs.
 """
--- a/wheelstep/account/course.py
+++ b/wheelstep/account/course.py
@@ -1,8 +1,8 @@
-"""What a message's time went on, from the lines of all couriers that had it. Decisions only: no I/O, no clock.
+"""Attributes each message's time to causes, from the lines of all couriers that had it. No I/O, no clock.
 
-A course runs from the moment at which the first courier was asked until the message was delivered, or had its last end.
-It falls into spans, each with one cause. What the message lost of its worth is put on the spans by their length: who
-made it wait twice as long has cost twice as much. `spans` has the causes, `log` what a courier tells of itself.
+A message's timeline runs from its client's first request until its delivery or its last end. It is divided into spans
+with one cause each. The value that the message lost is distributed over the spans by their length: a cause that delayed
+it twice as long has cost twice as much. `spans` has the causes, `log` the state of each courier.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 from wheelstep.account.lines import Line
 from wheelstep.account.log import Class, Log, Turns
-from wheelstep.account.spans import Cause, Span, behind, joined, share
+from wheelstep.account.spans import Cause, Span, behind, merged, share
 
-SLACK_MS = 500  # an end may be told so long after its time (the rules' slack); later ones count as never told
-_CALLED = {"ok": Cause.ANSWERING, "full": Cause.REFUSED, "connect_failed": Cause.CONNECTION,
+SLACK_MS = 500  # an end may be logged this long after the deadline (the rules' slack); later ones count as missing
+_CAUSE_BY_OUTCOME = {"ok": Cause.ANSWERING, "full": Cause.REFUSED, "connect_failed": Cause.CONNECTION,
            "not_sent": Cause.CONNECTION}
 
 
 @dataclass(slots=True)
 class Course:
-    """One message's lines over all couriers."""
+    """One message's lines from all couriers."""
 
     message: str
     cls: str = ""
     destination: int = -1
-    lines: list[tuple[int, int, str, Line]] = field(default_factory=list)  # when, which, courier, line
+    lines: list[tuple[int, int, str, Line]] = field(default_factory=list)  # time, index, courier, line
 
     def add(self, courier: str, line: Line) -> None:
-        """One more line with this message."""
+        """Add a line about this message."""
         if line.kind in ("take", "back"):
             self.cls, self.destination = line.fields[1], line.fields[2]
         elif line.kind == "door":
@@ -37,18 +37,18 @@
         self.lines.append((line.at_ms, len(self.lines), courier, line))
 
     def began_ms(self, classes: dict[str, Class]) -> int:
-        """When its client first asked anybody, also where that was before the first line."""
+        """Return when the client sent its first request, which may be before the first line."""
         first = self.lines[0][3]
         if first.kind in ("take", "back") and first.fields[5] and self.cls in classes:
             return first.at_ms - max(0, classes[self.cls].deadline_ms - int(first.fields[4]))
         return first.at_ms
 
     def delivered_ms(self) -> int | None:
-        """When it was, by what couriers heard."""
+        """Return when the message was delivered as far as couriers know, or None."""
         return next((at_ms for at_ms, _, _, line in self.lines if line.kind == "out" and line.fields[5]), None)
 
     def answered(self) -> bool:
-        """Has the last courier that took it on told an end?"""
+        """Return whether each courier that accepted the message has logged its end."""
         owed: set[str] = set()
         for _, _, courier, line in self.lines:
             if line.kind in ("take", "back"):
@@ -59,88 +59,96 @@
 
     def spans(self, logs: dict[str, Log], turns: dict[str, Turns], until_ms: int,
               front: Callable[[str], Sequence[Span]]) -> list[Span]:
-        """All its time, up to its delivery or `until_ms`. `front` gives the spans of a message before it."""
+        """Return the spans up to the delivery or `until_ms`. `front` returns the spans of the message before it in its
+        key's order."""
         found: list[Span] = []
-        over_ms = min(self.delivered_ms() or until_ms, until_ms)
-        for at, (at_ms, _, courier, line) in enumerate(self.lines):
-            if at_ms >= over_ms:
+        end_ms = min(self.delivered_ms() or until_ms, until_ms)
+        for index, (at_ms, _, courier, line) in enumerate(self.lines):
+            if at_ms >= end_ms:
                 break
-            later = self.lines[at + 1] if at + 1 < len(self.lines) else None
-            to_ms = min(later[0] if later is not None else over_ms, over_ms)
+            later = self.lines[index + 1] if index + 1 < len(self.lines) else None
+            to_ms = min(later[0] if later is not None else end_ms, end_ms)
             turn = turns[courier].get(self.message, (0, ""))
-            found += self._after(line, at, Span(at_ms, to_ms, Cause.UNKNOWN), logs[courier], turn, front)
-        return joined(found)
+            found += self._spans_after(line, index, Span(at_ms, to_ms, Cause.UNKNOWN), logs[courier], turn, front)
+        return merged(found)
 
-    def _after(self, line: Line, at: int, span: Span, log: Log, turn: tuple[int, str],
+    def _spans_after(self, line: Line, index: int, span: Span, log: Log, turn: tuple[int, str],
                front: Callable[[str], Sequence[Span]]) -> Iterable[Span]:
-        """What the time from this line to the next went on."""
+        """Return the spans between this line and the next."""
         match line.kind:
             case "door":
                 return [Span(span.from_ms, span.to_ms, Cause.DOOR)]
             case "end":
                 return [Span(span.from_ms, span.to_ms, Cause.CLIENT)]
             case "go":
-                out = next((row[3] for row in self.lines[at + 1:]
+                out = next((row[3] for row in self.lines[index + 1:]
                             if row[3].kind == "out" and row[3].fields[:3] == line.fields[:3]), None)
-                cause = Cause.UNKNOWN if out is None else _CALLED.get(out.fields[3], Cause.SICK)
-                return log.without_downs(Span(span.from_ms, span.to_ms, cause))
+                cause = Cause.UNKNOWN if out is None else _CAUSE_BY_OUTCOME.get(out.fields[3], Cause.SICK)
+                return log.split_by_downtime(Span(span.from_ms, span.to_ms, cause))
             case "out":
-                cause = _CALLED.get(line.fields[3], Cause.SICK)
+                cause = _CAUSE_BY_OUTCOME.get(line.fields[3], Cause.SICK)
             case _:
-                cause = Cause.CONNECTION  # on its way to one: nothing holds its destination up
+                cause = Cause.CONNECTION  # being connected: nothing holds its destination up
         parts: list[Span] = []
         turn_ms = min(turn[0], span.to_ms)
         if turn_ms > span.from_ms:
             parts += behind(front(turn[1]), span.from_ms, turn_ms)
         start_ms = max(span.from_ms, turn_ms)
-        parts += log.waited(Span(start_ms, span.to_ms, cause), self.destination)
-        return [piece for part in parts for piece in log.without_downs(part)]
+        parts += log.split_by_holdup(Span(start_ms, span.to_ms, cause), self.destination)
+        return [piece for part in parts for piece in log.split_by_downtime(part)]
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """What one message lost, and on what."""
+    """What one message lost, by cause."""
 
     message: str
     cls: str
     worth: float
     lost: float
-    how: str  # in time, late, handed_back, given_up, never
-    courier: str  # the last that had it
+    how: str  # one of: in time, late, handed_back, given_up, never, refused at the door
+    courier: str  # the last courier that had it
     parts: list[tuple[Span, float]]
 
 
 class Courses:
-    """All of them, with the spans of each worked out once. `until_ms`: when the logs end."""
+    """All messages, with the spans of each computed once."""
 
     def __init__(self, courses: dict[str, Course], logs: dict[str, Log]) -> None:
+        """Prepare the lines of all messages. The logs count as complete up to their last line."""
         self._courses, self._logs, self._spans = courses, logs, dict[str, list[Span]]()
         self._turns = {name: log.turns() for name, log in logs.items()}
         self._until_ms = max((log.last_ms for log in logs.values()), default=0)
         self.classes: dict[str, Class] = {}
         for log in logs.values():
             self.classes.update(log.classes)
-        for course in courses.values():  # by time: its lines came courier by courier
+        for course in courses.values():  # the lines were added courier by courier; sort them by time
             course.lines.sort(key=lambda row: row[:2])
 
     def _due_ms(self, course: Course) -> int:
+        """Return the message's deadline."""
         return course.began_ms(self.classes) + self.classes[course.cls].deadline_ms
 
-    def _fronts(self, course: Course) -> set[str]:
+    def _predecessors(self, course: Course) -> set[str]:
+        """Return the messages that were directly before this one in its key's order, one per courier."""
         return {turn[1] for _, _, courier, _ in course.lines
                 if (turn := self._turns[courier].get(course.message)) is not None}
 
     def spans(self, message: str) -> list[Span]:
-        """What its time went on. Those in front come first; a stack of its own, since a key may have thousands."""
+        """Return a message's spans.
+
+        Computes the messages before it in its key's order first, with an explicit stack, since a key may have
+        thousands.
+        """
         stack = [message]
-        opened: set[str] = set()
+        visited: set[str] = set()
         while stack:
             course = self._courses[stack[-1]]
             if course.message in self._spans or course.cls not in self.classes:
                 stack.pop()
-            elif course.message not in opened:
-                opened.add(course.message)
-                stack += [front for front in self._fronts(course) if front not in opened]
+            elif course.message not in visited:
+                visited.add(course.message)
+                stack += [front for front in self._predecessors(course) if front not in visited]
             else:
                 until_ms = min(self._until_ms, self._due_ms(course))
                 self._spans[stack.pop()] = course.spans(
@@ -148,7 +156,7 @@
         return self._spans.get(message, [])
 
     def loss(self, course: Course) -> Loss | None:
-        """What became of it; None while its time has not passed, or where no log tells its class."""
+        """Return what the message lost, or None while its deadline has not passed or if no log states its class."""
         cls = self.classes.get(course.cls)
         if cls is None:
             return None
--- a/wheelstep/account/log.py
+++ b/wheelstep/account/log.py
@@ -1,4 +1,6 @@
-"""What one courier's log tells of itself: its classes, when it ran, what held it up, whose turn a key was. No I/O."""
+"""What one courier's log states about the courier: its classes, when it ran, what held messages up, the order within
+keys. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,7 @@
 from wheelstep.account.spans import Cause, Span
 from wheelstep.interface import Holdup
 
-_HELD = {
+_CAUSE_BY_HOLDUP = {
     Holdup.SLOTS: Cause.SLOTS, Holdup.WINDOW: Cause.SLOTS, Holdup.LIMIT: Cause.LIMIT, Holdup.SICK: Cause.SICK,
     Holdup.RETURNING: Cause.RETURNING, Holdup.CROWDED: Cause.CONNECTION, Holdup.GONE: Cause.GONE,
     Holdup.DOUBT: Cause.DOUBT}
@@ -18,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Class:
-    """A message class as a courier's first line tells it."""
+    """A message class as the first line of a courier's log states it."""
 
     worth: float
     promise_ms: int
@@ -27,7 +29,7 @@
     halves: bool
 
     def worth_after(self, taken_ms: int) -> float:
-        """What a delivery after so long earns."""
+        """Return the worth of a delivery this long after the client's first request."""
         if taken_ms >= self.deadline_ms:
             return 0.0
         late_ms = taken_ms - self.promise_ms
@@ -42,68 +44,72 @@
 
 
 class Log:
-    """What one courier's log tells of itself: when it ran, what held it up, which key was whose turn."""
+    """The state of one courier over time, read from its log."""
 
     def __init__(self, courier: str) -> None:
+        """Start with no lines."""
         self.courier = courier
         self.classes: dict[str, Class] = {}
         self.last_ms = 0  # 0: no line yet
-        self.downs: list[tuple[int, int]] = []  # from the last line of a process to the first of the next
+        self.downtimes: list[tuple[int, int]] = []  # (last line of a process, first line of the next)
         self._gauges: list[int] = []
-        self._holds: list[dict[int, Cause]] = []
-        self._keys: dict[str, list[str]] = {}  # the messages of each, in their order
-        self._closed: dict[str, int] = {}  # message -> when it was over here
+        self._holdups: list[dict[int, Cause]] = []
+        self._key_queues: dict[str, list[str]] = {}  # key -> its messages, in order
+        self._ended_ms: dict[str, int] = {}  # message -> when it ended at this courier
 
     def take(self, line: Line) -> None:
-        """The next line, whatever its kind."""
+        """Add the next line, whatever its kind."""
         match line.kind:
             case "head":
                 if self.last_ms:
-                    self.downs.append((self.last_ms, line.at_ms))
-                self._keys.clear()  # a process hashes keys in its own way
+                    self.downtimes.append((self.last_ms, line.at_ms))
+                self._key_queues.clear()  # each process hashes keys with its own salt
                 self.classes.update({name: Class(*values) for name, values in line.fields[1].items()})
             case "gauge":
-                self._holds.append({number: _HELD[Holdup(why)] for number, why, _ in line.fields[4]
-                                    if Holdup(why) in _HELD})
+                self._holdups.append({number: _CAUSE_BY_HOLDUP[Holdup(holdup)] for number, holdup, _ in line.fields[4]
+                                    if Holdup(holdup) in _CAUSE_BY_HOLDUP})
                 self._gauges.append(line.at_ms)
             case "take" | "back" if line.fields[3] is not None:
-                self._keys.setdefault(line.fields[3], []).append(line.fields[0])
-                self._closed.pop(line.fields[0], None)
+                self._key_queues.setdefault(line.fields[3], []).append(line.fields[0])
+                self._ended_ms.pop(line.fields[0], None)
             case "out" if line.fields[5]:
-                self._closed[line.fields[0]] = line.at_ms
+                self._ended_ms[line.fields[0]] = line.at_ms
             case "end":
-                self._closed[line.fields[0]] = line.at_ms
+                self._ended_ms[line.fields[0]] = line.at_ms
         self.last_ms = max(self.last_ms, line.at_ms)
 
     def turns(self) -> Turns:
-        """Until when each message had others of its key before it, and the last of these. Once all lines are taken."""
+        """Return for each message until when others of its key were before it, and the last of these. Call this after
+        all lines are added."""
         found: Turns = {}
-        for messages in self._keys.values():
+        for messages in self._key_queues.values():
             until_ms, last = 0, ""
             for message in messages:
                 if until_ms:
                     found[message] = until_ms, last
-                if self._closed.get(message, 0) >= until_ms:
-                    until_ms, last = self._closed.get(message, 0), message
+                if self._ended_ms.get(message, 0) >= until_ms:
+                    until_ms, last = self._ended_ms.get(message, 0), message
         return found
 
-    def waited(self, span: Span, destination: int) -> Iterator[Span]:
-        """Divide the time that a message waited here, by the gauges: each tells of the time up to it. Where the
-        destination is not held up, the message waits by itself, for the cause that the span has."""
+    def split_by_holdup(self, span: Span, destination: int) -> Iterator[Span]:
+        """Divide the time that a message waited here by the gauge lines, each of which covers the time up to it.
+
+        Where the destination is not held up, the time keeps the span's own cause.
+        """
         at_ms = span.from_ms
-        for place in range(bisect_right(self._gauges, at_ms), len(self._gauges)):
+        for index in range(bisect_right(self._gauges, at_ms), len(self._gauges)):
             if at_ms >= span.to_ms:
                 return
-            to_ms = min(self._gauges[place], span.to_ms)
-            yield Span(at_ms, to_ms, self._holds[place].get(destination, span.cause))
+            to_ms = min(self._gauges[index], span.to_ms)
+            yield Span(at_ms, to_ms, self._holdups[index].get(destination, span.cause))
             at_ms = to_ms
         if at_ms < span.to_ms:
             yield Span(at_ms, span.to_ms, span.cause)
 
-    def without_downs(self, span: Span) -> Iterator[Span]:
-        """The span, with the time in which no process of this courier ran put on that."""
+    def split_by_downtime(self, span: Span) -> Iterator[Span]:
+        """Yield the span, with the time in which no process of this courier ran attributed to `Cause.RESTART`."""
         at_ms = span.from_ms
-        for down_ms, up_ms in self.downs[max(0, bisect_left(self.downs, (at_ms, at_ms)) - 1):]:
+        for down_ms, up_ms in self.downtimes[max(0, bisect_left(self.downtimes, (at_ms, at_ms)) - 1):]:
             if down_ms >= span.to_ms:
                 break
             if up_ms <= at_ms:
--- a/wheelstep/account/spans.py
+++ b/wheelstep/account/spans.py
@@ -1,4 +1,4 @@
-"""What time may go on, spans of it with one cause each, and how they are joined, looked through and charged. No I/O."""
+"""Causes of delay, spans of time with one cause each, and functions to join, cut and charge spans. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Cause(Enum):
-    """What a message's time goes on, in the words of the tables."""
+    """What a message's time was spent on, in the words of the tables."""
 
     LIMIT = "limit waited for"
     REFUSED = "refused"
@@ -29,22 +29,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """Some of a course, with what it went on."""
+    """A part of a message's time, with its cause."""
 
     from_ms: int
     to_ms: int
     cause: Cause
-    behind: Cause | None = None  # ORDER: what the message in front spent the time on
+    behind: Cause | None = None  # for ORDER: what the message in front spent the time on
 
     def within(self, from_ms: int, to_ms: int) -> Span:
-        """The part of it in these bounds; empty where there is none."""
+        """Return the part of the span within these bounds, which may be empty."""
         start_ms = min(max(self.from_ms, from_ms), to_ms)
         return Span(start_ms, max(min(self.to_ms, to_ms), start_ms), self.cause, self.behind)
 
 
-def joined(spans: Iterable[Span]) -> list[Span]:
-    """The same with neighbours of one cause as one, and without empty ones. Guards against messages of a long queue,
-    each of which would carry the pieces of all in front."""
+def merged(spans: Iterable[Span]) -> list[Span]:
+    """Merge adjacent spans of one cause and drop empty ones.
+
+    Otherwise each message of a long queue would carry the pieces of all messages before it.
+    """
     found: list[Span] = []
     for span in spans:
         last = found[-1] if found else None
@@ -56,10 +58,10 @@
 
 
 def behind(spans: Sequence[Span], from_ms: int, to_ms: int) -> Iterator[Span]:
-    """The time in which a message waited for its turn, by what the one in front spent it on."""
+    """Yield the time in which a message waited for its turn, by what the message in front spent it on."""
     at_ms = from_ms
     for span in (span.within(from_ms, to_ms) for span in spans):
-        if span.from_ms > at_ms:  # rest between two ends, or time that no line tells of
+        if span.from_ms > at_ms:  # pause between two ends, or time that no line covers
             yield Span(at_ms, span.from_ms, Cause.ORDER)
         if span.to_ms > span.from_ms:
             yield Span(span.from_ms, span.to_ms, Cause.ORDER, span.behind or span.cause)
@@ -69,7 +71,10 @@
 
 
 def share(spans: Sequence[Span], lost: float, at_ms: int) -> list[tuple[Span, float]]:
-    """Put a loss on spans by their length, second by second; where there is none, on what nobody tells."""
+    """Distribute a loss over spans by their length, in pieces of at most one second.
+
+    Without any time to charge, it goes to `Cause.UNKNOWN`.
+    """
     if not lost:
         return []
     total_ms = sum(span.to_ms - span.from_ms for span in spans)
--- a/wheelstep/account/tally.py
+++ b/wheelstep/account/tally.py
@@ -11,16 +11,16 @@
 from wheelstep.account.log import Log
 from wheelstep.account.spans import Cause
 
-_OF_MESSAGE = frozenset({"take", "back", "door", "go", "out", "end"})
+_MESSAGE_KINDS = frozenset({"take", "back", "door", "go", "out", "end"})
 
 
 @dataclass(slots=True)
-class Fleet:
-    """What all couriers did in one second; connections at its end."""
+class FleetCounts:
+    """Counts of all couriers in one second; `links` are the connections open at its end."""
 
     calls: int = 0
     refused: int = 0
-    untold: int = 0  # refusals that told nothing of a limit
+    untold: int = 0  # refusals that reported no limit
     probes: int = 0
     handshakes: int = 0
     lists: int = 0
@@ -29,38 +29,42 @@
 
 @dataclass(slots=True)
 class Account:
-    """The whole: what was lost by cause, second, class and courier, beside what the fleet did."""
+    """The result: losses by cause, second, class and courier, and counts of the fleet per second."""
 
     messages: int = 0
-    pending: int = 0  # their time was not over when the logs ended
+    pending: int = 0  # messages whose deadline had not passed when the logs ended
     worth: float = 0.0
     lost: float = 0.0
     how: Counter[str] = field(default_factory=Counter)
     causes: dict[str, float] = field(default_factory=lambda: defaultdict(float))
-    behind: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # of order: what those in front did
+    # of ORDER: what the messages in front spent the time on
+    behind: dict[str, float] = field(default_factory=lambda: defaultdict(float))
     seconds: dict[int, dict[str, float]] = field(default_factory=lambda: defaultdict(lambda: defaultdict(float)))
     classes: dict[str, dict[str, float]] = field(default_factory=lambda: defaultdict(lambda: defaultdict(float)))
     couriers: dict[str, float] = field(default_factory=lambda: defaultdict(float))
-    fleet: dict[int, Fleet] = field(default_factory=lambda: defaultdict(Fleet))
+    fleet: dict[int, FleetCounts] = field(default_factory=lambda: defaultdict(FleetCounts))
     losses: list[Loss] = field(default_factory=list)
 
 
 class Book:
-    """Takes the logs in, courier by courier, each in the order of its lines."""
+    """Collects the lines of all logs, courier by courier, each in the order of its lines."""
 
     def __init__(self) -> None:
+        """Start with no lines."""
         self.courses: dict[str, Course] = {}
         self.logs: dict[str, Log] = {}
         self.damaged = self.read = 0
-        self._fleet: dict[int, Fleet] = defaultdict(Fleet)
+        self._fleet: dict[int, FleetCounts] = defaultdict(FleetCounts)
         self._links: dict[tuple[int, str], int] = {}
-        self._counted: dict[str, tuple[int, int]] = {}  # courier -> handshakes and list calls of its process so far
+        self._counted: dict[str, tuple[int, int]] = {}  # courier -> handshakes and list calls of its process
 
     def courier(self, name: str) -> Callable[[str], None]:
-        """Where the lines of one log go. `name` counts until a line tells the courier's own."""
+        """Return a function that takes the lines of one log. `name` is the courier's until a line states its own
+        name."""
         log = Log(name)
 
         def take(text: str) -> None:
+            """Add one line of text; a damaged one is counted and skipped."""
             nonlocal log
             try:
                 line = read(text)
@@ -75,12 +79,13 @@
                 self.damaged += 1
                 return
             self.read += 1
-            if line.kind in _OF_MESSAGE:
+            if line.kind in _MESSAGE_KINDS:
                 message = str(line.fields[0])
                 self.courses.setdefault(message, Course(message)).add(log.courier, line)
         return take
 
     def _count(self, courier: str, line: Line) -> None:
+        """Add a line to the counts of its second."""
         fleet = self._fleet[line.at_ms // 1000]
         match line.kind:
             case "head":
@@ -100,7 +105,7 @@
                 self._links[line.at_ms // 1000, courier] = line.fields[1]
 
     def account(self) -> Account:
-        """Add up. Seconds are counted from the first line."""
+        """Compute the account. Seconds are counted from the first line."""
         found = Account()
         courses = Courses(self.courses, self.logs)
         first_s = min(self._fleet, default=0)
--- a/wheelstep/account/writer.py
+++ b/wheelstep/account/writer.py
@@ -1,4 +1,4 @@
-"""The daemon's side of the account: lines into its log, written as things happen. Nothing is kept and nothing waits."""
+"""The daemon's side of the account: writes lines into the log as events happen. Nothing is kept and nothing waits."""
 
 from __future__ import annotations
 
@@ -21,50 +21,55 @@
 
 
 class Account:
-    """One courier's, from its start on."""
+    """Writes one courier's lines, from its start on."""
 
     def __init__(self, courier: str, classes: Mapping[str, MessageClass], decay: Decay) -> None:
-        self._salt = os.urandom(16)  # keys are told apart, not told
+        """Write the first line."""
+        self._salt = os.urandom(16)  # hash keys, so that the log distinguishes them without containing them
         self.lists = 0  # calls to discovery since the start
-        self._say("head", courier, {
+        self._write_line("head", courier, {
             name: [cls.worth, cls.promise_us // 1000, cls.deadline_us // 1000, cls.late_worth, decay is Decay.HALVES]
             for name, cls in classes.items()})
 
-    def _say(self, kind: str, *fields: Any) -> None:
+    def _write_line(self, kind: str, *fields: Any) -> None:
+        """Write one line."""
         log.info(write(time.time_ns() // 1_000_000, kind, *fields))
 
     def taken(self, message: str, cls: str, destination: int, key: str | None, left_ms: int, again: bool,
               restored: bool = False) -> None:
-        """One was answered 202, or was found in the journal. `key`: if it keeps an order."""
+        """A message was answered 202, or was found in the journal. `key` is set only if the message keeps an order."""
         hashed = None if key is None else hashlib.blake2b(key.encode(), digest_size=6, key=self._salt).hexdigest()
-        self._say("back" if restored else "take", message, cls, destination, hashed, left_ms, again)
+        self._write_line("back" if restored else "take", message, cls, destination, hashed, left_ms, again)
 
     def turned_away(self, message: str, cls: str, status: int) -> None:
-        """Not taken on."""
-        self._say("door", message, cls, status)
+        """A message was refused with this HTTP status."""
+        self._write_line("door", message, cls, status)
 
     def starting(self, message: str, attempt: int, endpoint: str) -> None:
         """An attempt's first byte is about to be written."""
-        self._say("go", message, attempt, endpoint)
+        self._write_line("go", message, attempt, endpoint)
 
     def ended(self, message: str, attempt: int, endpoint: str, outcome: str, spent_us: int, over: bool,
               limit: LimitReport | None) -> None:
-        """An attempt has its outcome; `over`: the message is delivered with it or was before."""
+        """An attempt has an outcome. `over` is true if the message is delivered, now or before."""
         told = (None, None) if limit is None else (limit.left, limit.per_s)
-        self._say("out", message, attempt, endpoint, outcome, spent_us // 1000, over, *told)
+        self._write_line("out", message, attempt, endpoint, outcome, spent_us // 1000, over, *told)
 
     def final(self, message: str, outcome: str, reason: str) -> None:
         """A message has ended undelivered; `reason` is the value of an `EndReason`."""
-        self._say("end", message, outcome, reason)
+        self._write_line("end", message, outcome, reason)
 
     def probed(self, endpoint: str, outcome: str) -> None:
-        """A probe has its outcome."""
-        self._say("probe", endpoint, outcome)
+        """A probe has an outcome."""
+        self._write_line("probe", endpoint, outcome)
 
     async def run(self, gauge: Gauge) -> None:
-        """Write down what holds messages up, for good. `gauge` gives the slots out, connections open, handshakes
-        since the start, and what is held up."""
+        """Write a gauge line every `GAUGE_S` seconds; never returns.
+
+        `gauge` returns slots out, connections open, handshakes since the start, and what holds up which destinations.
+        """
         while True:
             await asyncio.sleep(GAUGE_S)
             out, links, dials, held = gauge()
-            self._say("gauge", out, links, dials, self.lists, [(number, why.value, many) for number, why, many in held])
+            self._write_line("gauge", out, links, dials, self.lists,
+                             [(number, why.value, many) for number, why, many in held])
--- a/wheelstep/console/__init__.py
+++ b/wheelstep/console/__init__.py
@@ -1,5 +1,6 @@
-"""The second address, for operators: is the courier ready, its figures, and endpoints taken out and put back by hand.
+"""The console: a second address for operators, for readiness, metrics, and taking endpoints out of use by hand.
 
 Only imported where the configuration names a `console`. Reading order: `commands` (a line in, a reply out), `figures`
-(what is counted), `front` (the connections). What an endpoint out by hand means is the core's and the module's matter.
+(the metrics), `front` (the connections). The effect of excluding an endpoint is decided by the core and the policy
+module.
 """
--- a/wheelstep/console/commands.py
+++ b/wheelstep/console/commands.py
@@ -1,6 +1,6 @@
-"""What a line on the second address means. No I/O.
+"""The console's commands. No I/O.
 
-A call is one line; the reply is a line that starts with `+OK` or `-ERR`. After `telemetry` the figures follow, and a
+A command is one line; the reply is a line that starts with `+OK` or `-ERR`. After `telemetry` the metrics follow, and a
 line with a dot.
 """
 
@@ -8,32 +8,34 @@
 
 from typing import Protocol
 
-MOST_LINE = 512  # bytes of a call
+MAX_LINE_BYTES = 512  # bytes of a command
 
 
 class Desk(Protocol):
-    """What the calls ask of the courier."""
+    """What the commands need from the courier."""
 
     @property
     def ready(self) -> bool:
-        """Can this process serve?"""
+        """Whether this process can serve."""
 
     def telemetry(self) -> str:
-        """The figures, a line each."""
+        """Return the metrics, one per line."""
 
     def exclude(self, endpoint: str) -> bool:
-        """Take it out, whatever the list says, until it is put back. False if nobody has heard of it."""
+        """Take an endpoint out of use, whatever the endpoint list says, until it is included again. False if it is
+        unknown."""
 
     def include(self, endpoint: str) -> bool:
-        """Put it back. False if nobody has heard of it."""
+        """Put an excluded endpoint back into use. False if it is unknown."""
 
 
 def reply(line: bytes, desk: Desk) -> bytes:
-    """The whole reply to one call."""
+    """Return the whole reply to one command."""
     return _reply(line.decode("utf-8", "replace").split(), desk).encode()
 
 
 def _reply(words: list[str], desk: Desk) -> str:
+    """Return the reply to a command's words."""
     match words:
         case ["readyz"]:
             return "+OK ready\n" if desk.ready else "-ERR not ready\n"
@@ -48,4 +50,5 @@
 
 
 def _unknown(endpoint: str) -> str:
+    """Return the reply for an endpoint that the courier does not know."""
     return f"-ERR no endpoint {endpoint[:80]!r}\n"
--- a/wheelstep/console/figures.py
+++ b/wheelstep/console/figures.py
@@ -1,4 +1,4 @@
-"""What is counted since the process started, in StatsD's line form. No I/O."""
+"""The metrics of one process, in StatsD's line format. No I/O."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 
 @dataclass(slots=True)
 class Figures:
-    """Counts by class name, so they are bounded by the classes that configurations have named."""
+    """Counters since the process started. Those by class name are bounded by the classes that configurations have
+    named."""
 
     passed: Counter[str] = field(default_factory=Counter)  # messages delivered
-    dropped: Counter[str] = field(default_factory=Counter)  # refused at the door or handed back
-    bad_gateway: Counter[str] = field(default_factory=Counter)  # failed
-    upstream_tries: int = 0  # messages written whole to endpoints
-    loads: int = 0  # configurations taken at SIGHUP
-    load_errors: int = 0  # and turned down
+    dropped: Counter[str] = field(default_factory=Counter)  # messages refused on receipt or handed back
+    bad_gateway: Counter[str] = field(default_factory=Counter)  # messages failed
+    upstream_tries: int = 0  # messages written completely to endpoints
+    loads: int = 0  # configurations applied at SIGHUP
+    load_errors: int = 0  # configurations rejected at SIGHUP
 
     def ended(self, message_class: str, outcome: str) -> None:
-        """A message's end, by the name that notices have for it."""
+        """Count a message's end by the outcome that its notice states."""
         (self.dropped if outcome == "handed_back" else self.bad_gateway)[message_class] += 1
 
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """How things stand just now."""
+    """Current values."""
 
     in_progress: int
     known_endpoints: int
@@ -35,7 +36,7 @@
 
 
 def render(figures: Figures, gauges: Gauges, classes: Iterable[str]) -> str:
-    """One line for each figure; the classes given are there also where nothing was counted."""
+    """Return one line per metric; the given classes are listed even with a count of 0."""
     lines = []
     for name in ("passed", "dropped", "bad_gateway"):
         counts: Counter[str] = getattr(figures, name)
--- a/wheelstep/fields.py
+++ b/wheelstep/fields.py
@@ -1,4 +1,4 @@
-"""Checked fields of files that people write: units, and errors on one line. Only imported where such a file is read."""
+"""Field types of TOML files: units and one-line errors. Only imported where such a file is read."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 
 def read_time(value: object) -> int:
-    """Whole microseconds of a text such as "250ms"; raises `ValueError`."""
+    """Return whole microseconds of a text such as "250ms". Raises `ValueError`."""
     if isinstance(value, str) and (found := _TIME.fullmatch(value.strip())):
         return round(float(found[1]) * _UNITS[found[2]])
     raise ValueError(f'{value!r} is no time; expected a number with a unit, such as "250ms", "2s" or "1.5min"')
 
 
-def _span(value: object) -> tuple[int, int]:
+def _read_range(value: object) -> tuple[int, int]:
+    """Return a range in whole microseconds of one duration or a list of two. Raises `ValueError`."""
     parts = value if isinstance(value, list) else [value, value]
     if len(parts) != 2:
         raise ValueError(f"{value!r} is no time or range; expected \"2s\" or [\"1s\", \"2s\"]")
@@ -29,19 +30,19 @@
 
 
 Time = Annotated[int, BeforeValidator(read_time)]
-Span = Annotated[tuple[int, int], BeforeValidator(_span)]
+Span = Annotated[tuple[int, int], BeforeValidator(_read_range)]
 Share = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=1, le=100_000)]
 
 
 class Part(BaseModel):
-    """A table of such a file: unknown keys are errors."""
+    """A table of such a file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 def explain(error: ValidationError, where_to_look: str) -> str:
-    """A validation error's first part on one line: key, what was found and what was expected."""
+    """Describe a validation error's first problem on one line: key, what was found and what was expected."""
     first = error.errors(include_url=False)[0]
     where = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in first["loc"]).lstrip(".")
     match first["type"]:
--- a/wheelstep/operator.py
+++ b/wheelstep/operator.py
@@ -1,4 +1,4 @@
-"""The operator's own file: what an installation switches on beyond the platform. All of it is off by default.
+"""The operator's file: optional features of an installation. All are off by default.
 
 Only imported where such a file is named (`--operator FILE` or `UMBERCHUTE_OPERATOR`).
 """
@@ -15,11 +15,11 @@
 
 
 class OperatorError(Exception):
-    """The operator's file can't be used: `file: key: what was found; expected what`."""
+    """The operator's file cannot be used; the text is `file: key: what was found; expected what`."""
 
 
 class RecordingPart(Part):
-    """Whether and where what is handed in is recorded."""
+    """Whether and where received messages are recorded."""
 
     on: bool = False
     file: Path | None = None
@@ -28,7 +28,7 @@
 
 
 class JournalPart(Part):
-    """When the journal is synced, and how large its segments are."""
+    """When the journal is synced, and the size of its segments."""
 
     sync: Literal["none", "group", "each"] = "none"
     sync_within: Time = 1_000_000
@@ -36,13 +36,13 @@
 
 
 class AccountPart(Part):
-    """Whether the log tells what the account is made from (`umberchute account`)."""
+    """Whether the log has the lines that `umberchute account` reads."""
 
     on: bool = False
 
 
 class WorkersPart(Part):
-    """Whether the courier runs on several cores, and what is done about workers in trouble."""
+    """How many worker processes the courier uses, and what is done about workers that hang or fail."""
 
     count: Annotated[int, Field(ge=0, le=64)] = 0
     shares: Annotated[int, Field(ge=1, le=64)] = 8
@@ -55,14 +55,14 @@
     """The whole file."""
 
     account: AccountPart = AccountPart()
-    fleet: Any = None  # a `wheelstep.fleet.settings.Fleet`, where the file has one that is on
+    fleet: Any = None  # a `wheelstep.fleet.settings.Fleet` if the file has a fleet that is on
     journal: JournalPart = JournalPart()
     recording: RecordingPart = RecordingPart()
     workers: WorkersPart = WorkersPart()
 
 
 def load(path: str) -> Operator:
-    """Read and check the file, or raise `OperatorError`."""
+    """Read and validate the file. Raises `OperatorError`."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -92,5 +92,5 @@
         raise OperatorError(f"{path}: recording.file: missing; expected a file name where recording.on is true")
     if recording.on and recording.file is not None and not recording.file.parent.is_dir():
         raise OperatorError(f"{path}: recording.file: {str(recording.file.parent)!r} is no folder; "
-                            "expected a file in one that is there")
+                            "expected a file in an existing folder")
     return operator
