--- a/wheelstep/journal/recovery.py
+++ b/wheelstep/journal/recovery.py
@@ -66,6 +66,7 @@
 
 
 def _replay(disk: Disk, numbers: list[int]) -> tuple[RecoveryResult, int]:
+    """Replay these segments; return the result and the lowest segment number in use that they state."""
     result, low = RecoveryResult(), 0
     numbers = list(numbers)
     # A last segment without a valid record was only just started: the one before it is the newest.
@@ -76,9 +77,9 @@
         if index and number != numbers[index - 1] + 1:
             _add_damage(result, Damage(segment_file_name(numbers[index - 1] + 1), 0, 0))
         last = index + 1 == len(numbers)
-        # The next segment's header states how many bytes of this one are valid,
+        # The next segment's header states how many bytes of this one are valid.
         next_data = b"" if last else disk.read(segment_file_name(numbers[index + 1]))
-        # but only if it directly follows: with a segment missing between, this one's length is not known.
+        # That holds only if it directly follows: with a segment missing between, this one's length is unknown.
         neighbours = not last and numbers[index + 1] == number + 1
         before = _stated_length(next_data, len(data)) if neighbours else len(data)
         low = max(low, _replay_segment(result, number, data[:before] if before < len(data) else data, last))
--- a/wheelstep/journal/writing.py
+++ b/wheelstep/journal/writing.py
@@ -65,8 +65,9 @@
     def _remove_oldest(self) -> None:
         """Record that the oldest segment is no longer in use, and remove it.
 
-        Call this only once the copies of its records are synced: otherwise a power loss could keep this record and lose
-        the copies. The removal itself is synced with the next records, before another segment is removed.
+        Under a sync policy, call this only once the copies of its records are synced: otherwise a power loss could keep
+        this record and lose the copies. The removal itself is synced with the next records, before
+        another segment is removed.
         """
         number = self._log.segments[0].number
         self._append(codec.low(number + 1))
@@ -152,7 +153,7 @@
             self._resolve_waiters(end_offset, "")
 
     def _resolve_waiters(self, end_offset: int, error: str) -> None:
-        """Resolve the waiters up to an offset: with success, or with `NoRoomError` if `trouble` is given."""
+        """Resolve the waiters up to an offset: with success, or with `NoRoomError` if `error` is not empty."""
         waiting, self._waiters = self._waiters, []
         for offset, waiter in waiting:
             if offset > end_offset:
--- a/wheelstep/renewal/classes.py
+++ b/wheelstep/renewal/classes.py
@@ -1,7 +1,7 @@
 """Which class rules apply to which message while settings change, under load and across restarts. No I/O.
 
-A message keeps the rules that its class had when it was accepted. The policy module gets a list of classes in which an
-index keeps its meaning as long as any unfinished message uses it. Clients learn of new settings a little later than the
+A message keeps the rules that its class had when it was accepted. The policy module gets a list of classes in which a
+place keeps its meaning as long as any unfinished message uses it. Clients learn of new settings a little later than the
 courier, so for a while a changed class has the stricter of the old and new rules.
 """
 
@@ -27,14 +27,17 @@
 
 
 class ClassTable:
-    """The policy module's list of classes, and which index applies to a message, by its class name and sequence
-    number."""
+    """The policy module's list of classes, and which place in it applies to a message, by class name and sequence
+    number.
+
+    A place is an index into `places`.
+    """
 
     def __init__(self, classes: Mapping[str, MessageClass]) -> None:
         """Start with these classes, without a history."""
         self.places: list[MessageClass] = list(classes.values())
         self._current = {name: place for place, name in enumerate(classes)}
-        # class -> (index applies to messages accepted before this number, index), oldest first
+        # class -> (place applies to messages accepted before this number, place), oldest first
         self._history: dict[str, list[tuple[int, int]]] = {}
 
     @property
@@ -47,7 +50,7 @@
         return self.places[self._current[name]]
 
     def place(self, name: str, taken: int) -> int | None:
-        """Return the index for the message of this class with sequence number `taken`, or None if no rules are known
+        """Return the place for the message of this class with sequence number `taken`, or None if no rules are known
         for it."""
         for before, place in self._history.get(name, ()):
             if taken < before:
@@ -58,9 +61,9 @@
         """Apply `classes` to messages from sequence number `taken` on.
 
         `held` gives class and sequence number of each unfinished message. Rules that no unfinished message uses are
-        dropped, and their index is reused.
+        dropped, and their place is reused.
         """
-        used: dict[int, int] = {}  # index -> the last unfinished message that uses it
+        used: dict[int, int] = {}  # place -> the last unfinished message that uses it
         for name, number in held:
             if (place := self.place(name, number)) is not None:
                 used[place] = max(number, used.get(place, 0))
@@ -91,7 +94,7 @@
         self._history, self._current = past, now
 
     def _unchanged(self, classes: Mapping[str, MessageClass]) -> set[int]:
-        """Return the indexes of classes that do not change."""
+        """Return the places of classes that do not change."""
         return {place for name, place in self._current.items() if classes.get(name) == self.places[place]}
 
     def store(self) -> dict[str, Any]:
