--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""What was found to go wrong on hard days, one test for each, and the design's arithmetic."""
+"""Failures found in rehearsals under load, one test for each, and the arithmetic of retry control."""
 
 import math
 import random
@@ -11,43 +11,43 @@
 from wheelstep import Settings
 from wheelstep import interface as api
 from wheelstep.interface import Outcome
-from wheelstep.policy.retry import RetryLoop, gains
+from wheelstep.policy.retry import RetryController, control_gains
 
 
 def test_gains_are_those_of_equations_12_and_13() -> None:
     # nu1 = 100/s, tau = 0.2 s, phi_m = pi/4: KP = 100/1.41421, KI = 100 (pi/2) / (1.41421 * 0.2)
-    kp, ki = gains(100.0, 0.2)
+    kp, ki = control_gains(100.0, 0.2)
     assert kp == pytest.approx(70.7107, abs=1e-3)
     assert ki == pytest.approx(555.3604, abs=1e-3)
 
 
-def test_the_gate_is_open_below_t1_and_shut_by_retries_above_it() -> None:
-    loop = RetryLoop(slots=10, t1_us=1 * S, rng=random.Random(1))
-    loop.sample(200 * MS)
-    assert all(loop.may_retry(at) for at in range(0, S, 10 * MS))
-    loop.sample(50 * S)
+def test_retries_are_admitted_below_t1_and_denied_above_it_while_answers_are_to_retries() -> None:
+    controller = RetryController(slots=10, t1_us=1 * S, rng=random.Random(1))
+    controller.add_duration(200 * MS)
+    assert all(controller.may_retry(at) for at in range(0, S, 10 * MS))
+    controller.add_duration(50 * S)
     for number in range(200):
-        loop.answered(2 * S + number * 10 * MS, to_retry=True)
+        controller.record_answer(2 * S + number * 10 * MS, to_retry=True)
     # The first goes, since none was due before it.
-    assert [loop.may_retry(4 * S + at * 10 * MS) for at in range(1, 5)] == [True, False, False, False]
+    assert [controller.may_retry(4 * S + at * 10 * MS) for at in range(1, 5)] == [True, False, False, False]
 
 
-def test_the_loop_opens_again_when_few_answers_are_to_retries() -> None:
-    loop = RetryLoop(slots=10, t1_us=1 * S, rng=random.Random(1))
-    loop.sample(2 * S)
+def test_retries_are_admitted_again_when_few_answers_are_to_retries() -> None:
+    controller = RetryController(slots=10, t1_us=1 * S, rng=random.Random(1))
+    controller.add_duration(2 * S)
     for number in range(400):
-        loop.answered(number * 50 * MS, to_retry=False)
-    assert [loop.may_retry(20 * S + at * 200 * MS) for at in range(5)] == [True] * 5
+        controller.record_answer(number * 50 * MS, to_retry=False)
+    assert [controller.may_retry(20 * S + at * 200 * MS) for at in range(5)] == [True] * 5
 
 
 def test_tau_is_smoothed_by_one_over_the_slots() -> None:
-    loop = RetryLoop(slots=4, t1_us=1 * S, rng=random.Random(1))
-    loop.sample(100 * MS)
-    loop.sample(500 * MS)
-    assert math.isclose(loop.tau_us, 200 * MS)
+    controller = RetryController(slots=4, t1_us=1 * S, rng=random.Random(1))
+    controller.add_duration(100 * MS)
+    controller.add_duration(500 * MS)
+    assert math.isclose(controller.tau_us, 200 * MS)
 
 
-def test_waits_double_from_t1() -> None:
+def test_retry_waits_double_from_t1() -> None:
     drive = Drive()
     drive.submit("m")
     t1_us, sent_us = SAFE.promise_us // 3, []
@@ -60,14 +60,14 @@
     assert [round(wait / t1_us) for wait in sent_us] == [1, 2, 4]
 
 
-def test_the_window_opens_at_a_quarter_of_the_slots() -> None:
+def test_the_window_starts_at_a_quarter_of_the_slots() -> None:
     drive = Drive(slots=16)
     for number in range(20):
         drive.submit(f"m{number}")
     assert len(sends(drive.actions)) == 4
 
 
-def test_one_slot_is_enough_to_work_with() -> None:
+def test_with_one_slot_the_next_message_is_sent_when_the_first_is_delivered() -> None:
     drive = Drive(slots=1)
     for number in range(3):
         drive.submit(f"m{number}")
@@ -82,7 +82,7 @@
     assert start.timeout_us <= 10 * S
 
 
-def test_a_time_out_at_a_messages_own_end_does_not_shrink_the_window() -> None:
+def test_a_time_out_at_a_messages_own_deadline_does_not_shrink_the_window() -> None:
     drive = Drive(slots=16)
     for number in range(4):
         drive.submit(f"m{number}", left_us=300 * MS)
@@ -95,7 +95,7 @@
     assert len(sends(drive.actions)) - before == 4
 
 
-def test_a_backlog_of_one_destination_does_not_shut_out_the_others() -> None:
+def test_a_backlog_of_one_destination_does_not_displace_messages_of_others() -> None:
     drive = Drive(listed=False, hold_limit=20)
     drive.members(info("e0", 7), info("f0", 8))
     for number in range(18):
@@ -107,13 +107,13 @@
     assert not [name for name in handed_back if name.startswith("live")]
 
 
-def test_a_wait_in_one_call_holds_more_than_one_message() -> None:
+def test_a_call_holds_as_many_messages_as_its_kind_allows() -> None:
     drive = Drive(kinds=(api.Kind(per_call=5),), slots=4)
     events: list[api.Event] = [api.MessageAccepted(f"m{i}", 0, 7, 20 * S) for i in range(7)]
     assert len(sends(drive.at(0, *events))) == 5
 
 
-def test_the_worth_of_a_send_ranks_classes() -> None:
+def test_a_free_slot_goes_to_the_message_of_the_highest_worth() -> None:
     drive = Drive(classes=(SAFE, KEYED, UNSAFE), slots=1)
     drive.submit("first")
     for number, name in enumerate(("low", "middle", "high")):
@@ -130,7 +130,7 @@
     assert {a.endpoint for a in drive.actions if isinstance(a, api.StartAttempt)} == {"free"}
 
 
-def test_a_failed_subscription_is_asked_for_again() -> None:
+def test_an_unavailable_list_is_requested_again() -> None:
     drive = Drive(ask_for_list=True, ask_within_us=10 * S)
     assert any(isinstance(a, api.Subscribe) for a in drive.actions)
     drive.at(0, api.MembershipReceived(api.ListKind.UNAVAILABLE))
@@ -141,13 +141,13 @@
     ("slots", 0), ("hold_limit", 0), ("cold_from", 0.0), ("classes", ()), ("fall_multiple", 0.0),
     ("classes", (api.MessageClass(0, 1, api.Effect.SAFE),)),
 ])
-def test_settings_that_make_no_sense_name_the_field(field: str, value: object) -> None:
+def test_an_invalid_setting_raises_an_error_that_names_the_field(field: str, value: object) -> None:
     given: dict[str, object] = {"classes": (SAFE,), "slots": 4, field: value}
     with pytest.raises(ValueError, match=field):
         Drive(**{"listed": False, **given})  # type: ignore[arg-type]
 
 
-def test_minimal_settings_work() -> None:
+def test_a_sender_with_minimal_settings_handles_a_message() -> None:
     from wheelstep import Sender
 
     sender = Sender(Settings(classes=(SAFE,), slots=1), 0)
@@ -168,7 +168,7 @@
 """
 
 
-def test_hash_seeds_change_nothing() -> None:
+def test_the_actions_do_not_depend_on_the_hash_seed() -> None:
     outputs = {
         subprocess.run([sys.executable, "-c", SCRIPT], env={"PYTHONHASHSEED": seed}, text=True,
                        capture_output=True, check=True).stdout
@@ -196,7 +196,7 @@
     assert before >= 35 and after <= 0.75 * before
 
 
-def test_a_probe_goes_where_no_message_may_go_on_trial() -> None:
+def test_a_probe_is_sent_where_no_message_may_go_as_a_trial() -> None:
     drive = Drive(classes=(UNSAFE,), may_probe=True)
     for number in range(4):
         drive.submit(f"m{number}")
@@ -208,7 +208,7 @@
     assert sends(answered + drive.tick(16 * S)) == ["late"]
 
 
-def test_a_connection_that_will_idle_out_is_let_go() -> None:
+def test_a_connection_that_would_idle_out_unused_is_closed() -> None:
     drive = Drive(conn_idle_us=10 * S)
     drive.submit("m")
     assert api.CloseIdle("e0") in drive.end("m", Outcome.OK)
@@ -223,29 +223,29 @@
     assert api.CloseIdle("e0") not in last
 
 
-def _served_in(drive: Drive, count: int, until_us: int) -> int:
-    """Hand in a clump at once and deliver each call after 100 ms; how many went by then?"""
+def _delivered_by(drive: Drive, count: int, until_us: int) -> int:
+    """Pass `count` messages at once, deliver each call after 100 ms, and return how many are delivered by then."""
     due: list[tuple[int, str]] = []
     events: list[api.Event] = [api.MessageAccepted(f"c{i}", 0, 7, 20 * S) for i in range(count)]
-    served = 0
+    delivered = 0
     while drive.now < until_us:
         ended = [name for at, name in due if at <= drive.now]
         due = [(at, name) for at, name in due if at > drive.now]
-        served += len(ended)
+        delivered += len(ended)
         events += [api.AttemptEnded(name, 0, "e0", Outcome.OK, 100 * MS, True) for name in ended]
         due += [(drive.now + 100 * MS, name) for name in sends(drive.at(drive.now, *events))]
         events, drive.now = [api.TimerFired(0)], drive.now + 20 * MS
-    return served
+    return delivered
 
 
-def test_a_clump_is_served_where_an_even_part_of_the_limit_is_next_to_nothing() -> None:
+def test_a_burst_is_delivered_where_an_even_part_of_the_limit_is_next_to_nothing() -> None:
     drive = Drive(slots=4, senders=300, weights_are_rates=True, listed=False)
     drive.members(info("e0", weight=5.0))
-    assert _served_in(drive, 10, 8 * S) == 10
+    assert _delivered_by(drive, 10, 8 * S) == 10
 
 
 def test_one_of_many_senders_falls_back_to_its_even_part_when_refused() -> None:
-    """Where refused calls use the limit up, what all senders try has to get under it."""
+    """Where refused calls count against the limit, the attempts of all senders together must fall below it."""
     senders, limit = 300, 15.0
     drive = Drive(slots=4, senders=senders, weights_are_rates=True, listed=False)
     drive.members(info("e0", weight=limit))
@@ -261,12 +261,12 @@
     assert len([at for at in sent_us if at > 20 * S]) <= 2 + 40 * limit / senders
 
 
-def test_an_endpoint_that_was_removed_is_forgotten() -> None:
+def test_an_endpoint_that_is_removed_and_listed_again_starts_healthy() -> None:
     drive = Drive()
     for number in range(2):
         drive.submit(f"m{number}", cls=number)
         drive.end(f"m{number}", Outcome.CONNECT_FAILED)
-    assert not sends(drive.submit("waits"))  # it counts as out
+    assert not sends(drive.submit("waits"))  # it counts as sick
     drive.members(info("e1"))
     assert "waits" in sends(drive.tick(15 * S))
     drive.end("waits", Outcome.OK, endpoint="e1")
@@ -275,8 +275,8 @@
     assert sends(drive.submit("afresh")) == ["afresh"]
 
 
-def _after_a_pause(drive: Drive, number: int, pause_us: int, outcome: Outcome) -> bool:
-    """One call after a pause; was the idle connection let go before it?"""
+def _closes_idle_after(drive: Drive, number: int, pause_us: int, outcome: Outcome) -> bool:
+    """Make one call after a pause; return whether idle connections were closed before it."""
     drive.tick(drive.now + pause_us)
     actions = drive.submit(f"p{number}", cls=2)
     drive.now += 100 * MS
@@ -285,16 +285,16 @@
     return starts == [api.CloseIdle, api.StartAttempt]
 
 
-def test_pauses_after_which_a_connection_was_reset_are_remembered_as_unsafe() -> None:
+def test_after_a_reset_idle_connections_are_closed_before_calls_that_follow_as_long_a_pause() -> None:
     drive = Drive()
-    assert not _after_a_pause(drive, 0, 0, Outcome.OK)
-    assert not _after_a_pause(drive, 1, 4 * S, Outcome.OK)
-    assert not any(_after_a_pause(drive, number, 100 * MS, Outcome.OK) for number in range(10, 20))
-    assert not _after_a_pause(drive, 2, 4 * S, Outcome.RESET)
-    assert _after_a_pause(drive, 3, 4 * S, Outcome.OK)
-    assert not _after_a_pause(drive, 4, 500 * MS, Outcome.OK)
-    assert _after_a_pause(drive, 5, 60 * S, Outcome.OK)
-    assert not _after_a_pause(drive, 6, 4 * S, Outcome.OK)
+    assert not _closes_idle_after(drive, 0, 0, Outcome.OK)
+    assert not _closes_idle_after(drive, 1, 4 * S, Outcome.OK)
+    assert not any(_closes_idle_after(drive, number, 100 * MS, Outcome.OK) for number in range(10, 20))
+    assert not _closes_idle_after(drive, 2, 4 * S, Outcome.RESET)
+    assert _closes_idle_after(drive, 3, 4 * S, Outcome.OK)
+    assert not _closes_idle_after(drive, 4, 500 * MS, Outcome.OK)
+    assert _closes_idle_after(drive, 5, 60 * S, Outcome.OK)
+    assert not _closes_idle_after(drive, 6, 4 * S, Outcome.OK)
 
 
 def test_a_new_message_with_little_time_left_is_not_late_at_once() -> None:
@@ -302,12 +302,12 @@
     for number in range(2):
         drive.submit(f"m{number}")
         drive.end(f"m{number}", Outcome.CONNECT_FAILED)
-    drive.at(19 * S, api.MessageWithdrawn("m0"), api.MessageWithdrawn("m1"))  # out, and a trial is due
+    drive.at(19 * S, api.MessageWithdrawn("m0"), api.MessageWithdrawn("m1"))  # sick, and a trial is due
     assert not sends(drive.submit("new", cls=2, left_us=5 * S))
     assert sends(drive.submit("again", cls=2, left_us=5 * S, resubmitted=True)) == ["again"]
 
 
-def test_a_message_in_flight_that_is_withdrawn_frees_its_slot() -> None:
+def test_a_withdrawn_message_frees_its_slot_when_its_attempt_ends() -> None:
     drive = Drive(slots=1)
     drive.submit("a")
     drive.submit("b")
@@ -316,7 +316,7 @@
     assert not finals(drive.actions)
 
 
-def test_messages_wait_and_are_handed_back_when_all_endpoints_have_gone() -> None:
+def test_messages_wait_and_are_refused_when_all_endpoints_are_gone() -> None:
     drive = Drive()
     drive.members(info("other", 8))
     drive.submit("m", left_us=3 * S)
@@ -324,7 +324,7 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.5])
-def test_a_limit_of_nothing_or_less_than_a_call_a_second_does_not_stop_a_sender(weight: float) -> None:
+def test_a_limit_of_zero_or_under_a_call_a_second_does_not_stop_a_sender(weight: float) -> None:
     drive = Drive(senders=300, weights_are_rates=True, listed=False)
     drive.members(info("e0", weight=weight))
     assert sends(drive.submit("m")) == ["m"]
@@ -333,7 +333,7 @@
     assert "n" in sends(drive.actions + drive.tick(5 * S))
 
 
-def test_a_restored_message_keeps_to_what_may_have_run() -> None:
+def test_a_restored_message_that_may_have_run_is_sent_only_where_a_repeat_is_harmless() -> None:
     drive = Drive()
     accepted = api.MessageAccepted("u", 2, 7, 10 * S, resubmitted=True)
     actions = drive.at(S, api.MessageRestored(accepted, attempts=1, ran_ago_us=2 * S))
@@ -348,7 +348,7 @@
     assert sends(drive.at(S, api.MessageRestored(accepted, attempts=3))) == ["unrun"]
 
 
-def test_restored_messages_of_a_key_keep_their_order_and_rest() -> None:
+def test_restored_messages_of_a_key_keep_their_order_and_its_settling_time() -> None:
     drive = Drive(order_settle_us=300 * MS)
     first, second = (api.MessageAccepted(name, 3, 7, 10 * S, "key", True) for name in ("a", "b"))
     actions = drive.at(S, api.MessageRestored(first, 1, 2 * S), api.MessageRestored(second))
@@ -359,14 +359,14 @@
     assert drive.now >= S + 300 * MS
 
 
-def test_a_spent_message_ends_at_once() -> None:
+def test_a_message_that_its_destination_accepts_no_more_ends_at_once() -> None:
     drive = Drive()
     drive.submit("m")
     actions = drive.end("m", api.Outcome.NOT_SENT, exhausted=True)
     assert finals(actions) == [("Refuse", "m")]
 
 
-def test_health_is_noted_and_binds_the_next_process() -> None:
+def test_a_noted_sick_endpoint_gets_only_trials_from_the_next_process() -> None:
     before = Drive()
     for name in "abc":
         before.submit(name)
@@ -378,10 +378,10 @@
     first = [api.MessageAccepted(name, 0, 7, 20 * S) for name in "defgh"]
     assert len(sends(fresh.at(MS, *first))) > 1
     assert sends(after.at(MS, *first)) == []
-    assert sends(after.tick(2 * S))[:1] == ["d"]  # on trial
+    assert sends(after.tick(2 * S))[:1] == ["d"]  # as a trial
 
 
-def test_a_ramp_goes_on_after_a_restart() -> None:
+def test_a_ramp_continues_after_a_restart() -> None:
     drive, well = Drive(), Drive()
     drive.at(0, api.HealthRestored("e0", api.Health(False, True, 2.0, 1.5), 2 * S))
     messages = [api.MessageAccepted(f"m{i}", 0, 7, 20 * S) for i in range(12)]
@@ -392,7 +392,7 @@
 
 
 def test_when_slots_are_short_the_destination_that_uses_them_for_longer_waits() -> None:
-    """Once, one that had become slow held half of the slots as its own queue, and kept all others out."""
+    """Guards against a destination that becomes slow, fills half of the slots with its queue and blocks the others."""
     d = Drive(listed=False, slots=8)
     d.members(info("slow", 7), info("fast", 8))
     for name, spent_us in (("slow", 700 * MS), ("fast", 50 * MS)):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, one scripted case or more for each."""
+"""Scripted cases of the six rules that every sender keeps, at least one for each."""
 
 import pytest
 from helpers import MS, SAFE, Drive, S, finals, info, sends
@@ -50,7 +50,7 @@
     assert sends(drive.tick(15 * S)) == ["m"]
 
 
-def test_a_keyed_message_is_not_sent_past_its_keys_life() -> None:
+def test_a_keyed_message_is_not_sent_after_its_key_has_expired() -> None:
     drive = Drive()
     drive.submit("m", cls=1)
     drive.now = 4_900 * MS
@@ -70,13 +70,13 @@
     assert finals(drive.tick(20 * S)) == [("Fail", "m")]
 
 
-def test_no_message_has_two_attempts_out() -> None:
+def test_a_message_has_at_most_one_attempt_in_progress() -> None:
     drive = Drive(endpoints=3)
     drive.submit("m")
     assert not sends(drive.tick(15 * S))
 
 
-def test_attempts_stop_at_the_most_allowed() -> None:
+def test_attempts_stop_at_max_attempts() -> None:
     drive = Drive(max_attempts=2)
     drive.submit("m")
     drive.end("m", Outcome.ERROR)
@@ -99,7 +99,7 @@
     assert {a.endpoint for a in drive.actions if isinstance(a, api.StartAttempt)} == {"e1"}
 
 
-def test_a_told_wait_holds_every_message_of_the_destination() -> None:
+def test_a_requested_wait_holds_back_every_message_of_the_destination() -> None:
     drive = Drive(endpoints=2)
     drive.submit("m0")
     drive.end("m0", Outcome.FULL, wait_us=3 * S)
@@ -108,7 +108,7 @@
     assert sends(drive.tick(15 * S))
 
 
-def test_the_longest_wait_of_one_call_holds() -> None:
+def test_the_longest_wait_of_one_call_applies() -> None:
     drive = Drive(kinds=(api.Kind(per_call=5),))
     both = [api.MessageAccepted(name, 0, 7, 20 * S) for name in ("a", "b")]
     assert sorted(sends(drive.at(0, *both))) == ["a", "b"]
@@ -117,7 +117,7 @@
     assert not sends(drive.tick(2 * S - MS))
 
 
-def test_a_wait_binds_one_route_where_routes_are_apart() -> None:
+def test_a_wait_applies_to_one_route_where_routes_are_apart() -> None:
     drive = Drive(endpoints=2, kinds=(api.Kind(routes_apart=True),))
     drive.submit("m0")
     first = next(a.endpoint for a in drive.actions if isinstance(a, api.StartAttempt))
@@ -135,7 +135,7 @@
     assert sends(drive.end("a", Outcome.OK)) == ["b"]
 
 
-def test_a_key_rests_after_a_time_out() -> None:
+def test_a_key_settles_after_a_time_out() -> None:
     unsafe = api.MessageClass(2 * S, 20 * S, api.Effect.UNSAFE, ordered=True)
     drive = Drive(classes=(unsafe,), order_settle_us=300 * MS)
     drive.submit("a", key="k")
@@ -145,7 +145,7 @@
     assert sends(drive.tick(5 * S)) == ["b"]
 
 
-def test_a_withdrawn_message_holds_its_key_until_its_attempt_is_back() -> None:
+def test_a_withdrawn_message_holds_its_key_until_its_attempt_ends() -> None:
     drive = Drive()
     drive.submit("a", cls=3, key="k")
     drive.submit("b", cls=3, key="k")
@@ -153,8 +153,8 @@
     assert sends(drive.end("a", Outcome.OK)) == ["b"]
 
 
-def _outage(drive: Drive, outcome: Outcome, until_us: int) -> int:
-    """Everything ends so until then; returns how many messages were sent meanwhile."""
+def _run_with_outcome(drive: Drive, outcome: Outcome, until_us: int) -> int:
+    """Pass a message every 20 ms and end every attempt with `outcome` until then; return how many were sent."""
     count, number = 0, 0
     open_attempts: dict[str, int] = {}
     while drive.now < until_us:
@@ -170,19 +170,19 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR])
-def test_an_outage_gets_few_calls_and_its_end_is_met_with_a_ramp(outcome: Outcome) -> None:
+def test_an_outage_gets_few_calls_and_traffic_ramps_up_after_it(outcome: Outcome) -> None:
     drive = Drive(hold_limit=10_000)
-    assert _outage(drive, Outcome.OK, 4 * S) > 150
-    _outage(drive, outcome, 8 * S)
-    assert _outage(drive, outcome, 12 * S) <= 6
+    assert _run_with_outcome(drive, Outcome.OK, 4 * S) > 150
+    _run_with_outcome(drive, outcome, 8 * S)
+    assert _run_with_outcome(drive, outcome, 12 * S) <= 6
     carried, begin = 50, drive.now
-    back = _outage(drive, Outcome.OK, begin + 3 * S)
+    back = _run_with_outcome(drive, Outcome.OK, begin + 3 * S)
     assert 1 <= back <= 0.5 * carried * 3
-    later = _outage(drive, Outcome.OK, begin + 12 * S)
+    later = _run_with_outcome(drive, Outcome.OK, begin + 12 * S)
     assert later > 3 * back
 
 
-def test_a_silent_endpoint_is_held_long_before_its_calls_time_out() -> None:
+def test_a_silent_endpoint_gets_no_more_calls_long_before_its_calls_time_out() -> None:
     drive = Drive(classes=(api.MessageClass(2 * S, 60 * S, api.Effect.UNSAFE),), slots=32)
     for number in range(100):
         drive.submit(f"m{number}", left_us=60 * S)
@@ -199,16 +199,16 @@
     assert [a.endpoint for a in drive.actions if isinstance(a, api.StartAttempt)] == ["e0"]
 
 
-def test_a_shut_destination_gets_few_calls_and_is_not_rushed_at_when_it_opens() -> None:
+def test_a_destination_that_refuses_all_gets_few_calls_and_no_burst_when_it_opens() -> None:
     drive = Drive(hold_limit=10_000)
-    _outage(drive, Outcome.OK, 4 * S)
-    _outage(drive, Outcome.FULL, 8 * S)
-    assert _outage(drive, Outcome.FULL, 12 * S) <= 20
-    assert 1 <= _outage(drive, Outcome.OK, 15 * S) <= 50
+    _run_with_outcome(drive, Outcome.OK, 4 * S)
+    _run_with_outcome(drive, Outcome.FULL, 8 * S)
+    assert _run_with_outcome(drive, Outcome.FULL, 12 * S) <= 20
+    assert 1 <= _run_with_outcome(drive, Outcome.OK, 15 * S) <= 50
 
 
-def _trials(drive: Drive, until_us: int) -> int:
-    """How many calls one sender makes at a destination that is down, with messages always waiting."""
+def _count_trials(drive: Drive, until_us: int) -> int:
+    """Return how many calls a sender makes to a destination that is down while messages wait."""
     count, attempts = 0, {}
     while drive.now < until_us:
         actions = drive.at(drive.now + 100 * MS, api.TimerFired(0),
@@ -221,13 +221,13 @@
     return count
 
 
-def test_one_of_many_senders_tries_a_destination_that_is_out_less_often() -> None:
+def test_one_of_many_senders_tries_a_sick_destination_less_often() -> None:
     one, many = Drive(fall_multiple=2.0), Drive(fall_multiple=2.0, senders=300)
-    assert _trials(one, 60 * S) >= 15
-    assert _trials(many, 60 * S) <= 10
+    assert _count_trials(one, 60 * S) >= 15
+    assert _count_trials(many, 60 * S) <= 10
 
 
-def test_those_who_were_told_when_it_opens_do_not_all_come_at_that_moment() -> None:
+def test_senders_that_know_when_a_destination_opens_do_not_all_call_at_that_moment() -> None:
     first_us = []
     for seed in range(40):
         drive = Drive(endpoints=2, seed=seed, senders=40, fall_multiple=2.0)
@@ -240,6 +240,6 @@
     assert len([at for at in first_us if at < 5 * S]) <= 10
 
 
-def test_an_outage_of_one_endpoint_spaces_calls_to_all_until_one_is_delivered() -> None:
+def test_an_outage_of_one_endpoint_slows_calls_to_all_until_one_is_delivered() -> None:
     drive = Drive(endpoints=3, senders=300, fall_multiple=2.0)
-    assert _trials(drive, 20 * S) <= 6
+    assert _count_trials(drive, 20 * S) <= 6
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What a round does at size, counted and not timed: looks at destinations, timers fired, heads weighed."""
+"""The work of a batch with many destinations, counted instead of timed: rankings, timers fired, heads compared."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Counted:
-    """Calls of one method of the sender."""
+    """Counts the calls of one method of `Sender`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, name: str) -> None:
         self.count = 0
@@ -32,6 +32,7 @@
 
 
 def sender(destinations: int, **settings: Any) -> Sender:
+    """Return a sender whose list has one endpoint for each destination."""
     made = Sender(Settings(**{"classes": CLASSES, "slots": 64, "hold_limit": 1 << 30, **settings}), 1)
     made.handle(0, [api.MembershipReceived(api.ListKind.WHOLE, tuple(
         api.EndpointInfo(f"e{number}", number) for number in range(destinations)))])
@@ -39,12 +40,14 @@
 
 
 def accepted(number: int, destinations: int, cls: int = 1, left_us: int = 20 * S) -> api.MessageAccepted:
+    """Return a message with this number, for destination number modulo `destinations`."""
     return api.MessageAccepted(f"m{number}", cls, number % destinations, left_us, key=f"k{number}")
 
 
-def test_rising_round_trips_do_not_rank_thousands_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found from outside: all taken on at one instant, each round trip 1 ms longer than the last, as in a partner's
-    outage. Then thousands earn about the same, and each of them was looked at in every round (4,300 at 10,000)."""
+def test_rising_round_trips_do_not_rank_thousands_of_destinations_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against ranking thousands of destinations in every batch (4,300 of 10,000 before): that happened where all
+    messages arrived at one instant and each round trip was 1 ms longer than the last, as in a partner's outage, so
+    that thousands had about the same gain rate."""
     destinations, rounds = 3_000, 300
     made = sender(destinations)
     now, out = 1_000, deque[tuple[api.StartAttempt, int]]()
@@ -63,13 +66,13 @@
     assert len(out) == 64 and ranks.count < 40 * rounds
 
 
-def test_what_is_near_the_best_is_all_that_is_passed_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a slot going to a destination that earns clearly less than another."""
+def test_a_bound_clearly_above_the_best_gain_rate_is_followed_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a slot for a destination whose gain rate is clearly lower than another's."""
     for module in (holding, ranking):
         monkeypatch.setattr(module, "FEW", 0)
     made = sender(200, classes=(api.MessageClass(2 * S, 20 * S, api.Effect.SAFE, worth=1.0, late_worth=0.5),
                                 api.MessageClass(2 * S, 20 * S, api.Effect.SAFE, worth=1.05, late_worth=0.5)), slots=1)
-    made.handle(1, [api.MessageAccepted("first", 0, 0, 20 * S)])  # takes the slot
+    made.handle(1, [api.MessageAccepted("first", 0, 0, 20 * S)])  # uses the slot
     made.handle(2, [api.MessageAccepted(f"m{number}", 0, number, 20 * S) for number in range(1, 199)])
     made.handle(3, [api.MessageAccepted("better", 1, 199, 20 * S)])
     for now in range(100_000, 3_000_000, 100_000):
@@ -78,25 +81,25 @@
     assert [action.message for action in actions if isinstance(action, api.StartAttempt)] == ["better"]
 
 
-def test_all_coming_back_at_once_is_looked_at_over_several_batches(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first look at 10,000 destinations stopped the loop for 310 ms."""
+def test_destinations_that_all_change_at_once_are_ranked_over_several_batches(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against one long batch: the first ranking of 10,000 destinations blocked the event loop for 310 ms."""
     ranks = Counted(monkeypatch, "_rank")
     made = sender(3_500)
     out = [action for action in made.handle(1, [accepted(number, 3_500) for number in range(3_500)])
            if isinstance(action, api.StartAttempt)]
     batches = [ranks.count]
-    for attempt in out[:4]:  # each frees a slot
+    for attempt in out[:4]:  # the end of each frees a slot
         before = ranks.count
         made.handle(1 + len(batches), [
             api.AttemptEnded(attempt.message, 0, attempt.endpoint, api.Outcome.OK, 1, True)])
         batches.append(ranks.count - before)
-    assert max(batches) <= choice.LOOKS + 2 * 64 and len(made._news) < 64
+    assert max(batches) <= choice.MAX_RANKED_PER_BATCH + 2 * 64 and len(made._dirty) < 64
     assert sum(batches) >= 3_500
 
 
 def test_timers_due_at_once_fire_over_several_batches() -> None:
-    """Every message has its end, and none waits behind a batch that takes a second."""
-    count = 2 * batch.TIMERS + 100
+    """Every message ends, and none waits for a batch that takes a second."""
+    count = 2 * batch.MAX_TIMERS_PER_BATCH + 100
     made = sender(1, slots=1)
     made.handle(1, [accepted(number, 1) for number in range(count)])
     ended: list[str] = []
@@ -106,16 +109,16 @@
         batches += 1
         actions = made.handle(now, [api.TimerFired(0)])
         fresh = [action.message for action in actions if isinstance(action, api.Refuse | api.Fail)]
-        assert len(fresh) <= batch.TIMERS
+        assert len(fresh) <= batch.MAX_TIMERS_PER_BATCH
         ended += fresh
         if not any(isinstance(action, api.SetTimer) and action.in_us == 0 for action in actions):
             break
-    assert len(ended) == len(set(ended)) == count - 1  # one has the slot
+    assert len(ended) == len(set(ended)) == count - 1  # one uses the slot
     assert batches <= 4
 
 
-def test_timers_of_messages_that_are_over_do_not_pile_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A message with a day to go was remembered for a day, though delivered within milliseconds."""
+def test_timers_of_ended_messages_do_not_accumulate(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against the timer of a message with a deadline in a day staying for that day after its delivery."""
     monkeypatch.setattr(batch, "LEAST_DEAD", 50)
     made = sender(1)
     for number in range(1_000):
@@ -124,12 +127,12 @@
         for action in actions:
             if isinstance(action, api.StartAttempt):
                 made.handle(now, [api.AttemptEnded(action.message, 0, action.endpoint, api.Outcome.OK, 500, True)])
-    assert len(made._heap) <= 200 and made._dead == sum(
-        timer[3] is not None and timer[3].done for timer in made._heap)
+    assert len(made._timers) <= 200 and made._stale_timers == sum(
+        timer[3] is not None and timer[3].done for timer in made._timers)
 
 
-def test_making_room_looks_at_all_backlogs_only_now_and_then(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the hold limit every message that came looked at every destination's heads."""
+def test_making_room_compares_all_backlogs_only_occasionally(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against comparing the heads of every destination for each new message at the hold limit."""
     destinations = 1_000
     made = sender(destinations, slots=1, hold_limit=2 * destinations)
     made.handle(1, [accepted(number, destinations) for number in range(2 * destinations - 1)])
--- a/wheelstep/policy/common.py
+++ b/wheelstep/policy/common.py
@@ -1,30 +1,32 @@
-"""What several parts of the decisions use."""
+"""Constants and arithmetic that several parts of the decision module use."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-CROWD = 4  # with more senders, calls are spread until a limit is known, and idle connections are dearer
-EXTRA_WEIGHT = 0.25  # what each further message of a call weighs, in work and waiting
-MEMORY_US = 10_000_000  # over this time the rate that an endpoint carries is averaged
+SMALL_FLEET = 4  # with more senders, calls are spaced until a limit is known, and idle connections cost more
+EXTRA_MESSAGE_WEIGHT = 0.25  # work and time of each further message of a call, relative to the first
+RATE_WINDOW_US = 10_000_000  # time constant over which the delivery rate of a route is averaged
 
 
-def weight(messages: int) -> float:
-    """The work of a call, in calls of one message."""
-    return 1 + EXTRA_WEIGHT * (messages - 1)
+def call_weight(messages: int) -> float:
+    """Return the work of a call with so many messages, in units of a call with one message."""
+    return 1 + EXTRA_MESSAGE_WEIGHT * (messages - 1)
 
 
 @dataclass(slots=True)
-class Fading:
-    """A sum whose parts fade, by e over `span_us`."""
+class DecayingSum:
+    """A sum that decays exponentially, by a factor of e over `time_constant_us`."""
 
-    span_us: float
+    time_constant_us: float
     value: float = 0.0
-    at_us: int = 0
+    updated_us: int = 0
 
     def read(self, now_us: int) -> float:
-        return self.value * math.exp((self.at_us - now_us) / self.span_us)
+        """Return the sum as decayed by `now_us`."""
+        return self.value * math.exp((self.updated_us - now_us) / self.time_constant_us)
 
     def add(self, now_us: int, amount: float = 1.0) -> None:
-        self.value, self.at_us = self.read(now_us) + amount, now_us
+        """Add `amount` to the sum as decayed by `now_us`."""
+        self.value, self.updated_us = self.read(now_us) + amount, now_us
--- a/wheelstep/policy/messages.py
+++ b/wheelstep/policy/messages.py
@@ -1,4 +1,4 @@
-"""Messages, the order in which they wait, and what is known of the destination that they wait for."""
+"""Messages, the order in which they wait, and the state of the destination that they wait for."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 from wheelstep.interface import Decay, Settings
 from wheelstep.policy.endpoint import Call, Endpoint
 from wheelstep.policy.pacer import Pacer
-from wheelstep.policy.retry import RetryLoop, Window
+from wheelstep.policy.retry import CallWindow, RetryController
 
 
 class Message:
-    """A message held here."""
+    """A message that the sender holds, from its acceptance until its end."""
 
     def __init__(self, event: api.MessageAccepted, cls: api.MessageClass, now_us: int) -> None:
         self.id, self.cls = event.message, cls
         self.destination, self.key = event.destination, event.key if cls.ordered else None
         self.due_us = now_us + event.left_us
-        handed_us = self.due_us - cls.deadline_us if event.resubmitted else now_us  # a client may leave early
-        self.promised_us = handed_us + cls.promise_us
-        self.attempts = self.ran_zone = self.settled_us = 0  # its key rests until `settled_us`
+        # A new message may have less time left than its class allows.
+        accepted_us = self.due_us - cls.deadline_us if event.resubmitted else now_us
+        self.promised_us = accepted_us + cls.promise_us
+        self.attempts = self.ran_zone = self.settled_us = 0  # its key waits until `settled_us`
         self.call: Call | None = None
         self.ran_us: int | None = None  # when the first attempt that may have run was sent
-        self.done = self.queued = self.resumes = False
-        self.owed = False  # an earlier process took it on, and no endpoint has heard of it yet
-        self.timed = True  # the timer of its end is still to come
+        self.done = self.queued = self.restored_tried = False
+        self.restored_untried = False  # accepted by an earlier process, and not yet received by any endpoint
+        self.has_timer = True  # the timer of its deadline has not fired
 
     def worth_at(self, at_us: float, decay: Decay) -> float:
+        """Return its worth if it is delivered at `at_us`."""
         late_us, cls = at_us - self.promised_us, self.cls
         if at_us >= self.due_us:
             return 0.0
@@ -44,17 +46,18 @@
         return cls.worth * float(max(0.5 ** (late_us / cls.promise_us), cls.late_worth))
 
 
-class Line:
-    """The waiting messages of one destination and class, in two stages: those that
-    can still keep the promise, earliest first; those that are late, the newest first where worth falls by
-    halves (the old ones have little left to lose)."""
+class MessageQueue:
+    """The waiting messages of one destination and class, in two stages: those that can still keep their
+    promise, earliest first; late ones by deadline, the newest first where worth halves (old ones have little
+    left to lose)."""
 
     def __init__(self, decay: Decay) -> None:
         self._decay = decay
         self._stages: tuple[list[tuple[int, int, Message]], ...] = ([], [])
         self._count = 0
 
-    def place(self, message: Message, at_us: float) -> None:
+    def push(self, message: Message, at_us: float) -> None:
+        """Add a message to the stage that it belongs to at `at_us`."""
         self._count += 1
         stage, rank = self._stage(message, at_us)
         heapq.heappush(stage, (rank, self._count, message))
@@ -65,44 +68,44 @@
         return self._stages[1], message.due_us if self._decay is Decay.EVEN else -message.due_us
 
     def heads(self, at_us: float) -> Iterator[Message]:
-        """The first of each stage."""
+        """Yield the first message of each stage; moves those that have become late by `at_us`."""
         for stage in self._stages:
             while stage and (not stage[0][2].queued or self._stage(stage[0][2], at_us)[0] is not stage):
                 message = heapq.heappop(stage)[2]
                 if message.queued:
-                    self.place(message, at_us)
+                    self.push(message, at_us)
             if stage:
                 yield stage[0][2]
 
 
-def marks_rise(message: Message, at_us: float, horizon_us: float) -> bool:
-    """Does its gain grow just then? Its later self has passed the promise, itself it has not."""
+def gain_rises(message: Message, at_us: float, horizon_us: float) -> bool:
+    """Return whether a message's gain rises at `at_us`: its promise is not past, but is a horizon later."""
     later_us = at_us + horizon_us
     return at_us <= message.promised_us <= later_us < message.due_us
 
 
 class Destination:
-    """What is known of one destination, and the messages that wait for it."""
+    """The state of one destination, and the messages that wait for it."""
 
     def __init__(self, number: int, settings: Settings, t1_us: int, rng: random.Random) -> None:
         self.number = number
-        self.loop, self.window = RetryLoop(settings.slots, t1_us, rng), Window(settings.slots)
+        self.loop, self.window = RetryController(settings.slots, t1_us, rng), CallWindow(settings.slots)
         self.endpoints: list[Endpoint] = []
-        self.lines: dict[api.MessageClass, Line] = defaultdict(lambda: Line(settings.decay))
+        self.queues: dict[api.MessageClass, MessageQueue] = defaultdict(lambda: MessageQueue(settings.decay))
         self.pacer: Pacer | None = None  # where the endpoints share one limit
         self.waiting = self.calls_out = 0
-        self.look_us: float = math.inf  # when it will be looked at again, if nothing happens before
-        self.turn = 0.0  # the start tag of its last call, see spread.py
-        self.stamp = 0  # which look at it the bound on what it can earn is from
+        self.next_check_us: float = math.inf  # when it is considered again if nothing happens before
+        self.start_tag = 0.0  # of its last call, see spread.py
+        self.rank_number = 0  # of the ranking that its current bound is from
 
-    def needs_us(self) -> float:
-        """How long a call takes at its quickest endpoint; 0 where that is not known."""
-        return min((endpoint.needs_us() for endpoint in self.endpoints), default=0.0)
+    def expected_us(self) -> float:
+        """Return how long a call is expected to take at its quickest endpoint; 0 where that is not known."""
+        return min((endpoint.expected_us() for endpoint in self.endpoints), default=0.0)
 
 
 @dataclass(slots=True)
 class KeyQueue:
-    """The messages of one key, in the order in which they were taken."""
+    """The messages of one key, in the order of their acceptance."""
 
     messages: deque[Message] = field(default_factory=deque)
     settled_us: int = 0
--- a/wheelstep/policy/ranking.py
+++ b/wheelstep/policy/ranking.py
@@ -1,4 +1,4 @@
-"""Which destination is next."""
+"""The order of destinations: which is served next."""
 
 from __future__ import annotations
 
@@ -6,84 +6,88 @@
 import math
 
 from wheelstep.interface import Decay
-from wheelstep.policy.holding import FEW, Holding
-from wheelstep.policy.messages import Destination, Message, marks_rise
+from wheelstep.policy.holding import FEW, SenderState
+from wheelstep.policy.messages import Destination, Message, gain_rises
 
-BOUND_US = 4_000_000  # for about so long a bound on what a destination can earn is kept
-RATES = 1.05  # bounds that rise at about the same rate, to this factor, count as rising alike
+BOUND_LIFETIME_US = 4_000_000  # about how long a bound on a destination's gain rate is kept
+SLOPE_STEP = 1.05  # slopes of bounds are rounded up to powers of this, so that few heaps hold them
 
 
-class Ranking(Holding):
-    """Destinations by what a slot earns there. Where they are many, by bounds on it."""
+class Ranking(SenderState):
+    """Orders destinations by the gain rate of a slot there: the worth saved, over the time that a call takes.
+    Where there are many, by bounds on it."""
 
-    def _changed(self) -> list[Destination]:
-        """The ready destinations that must be looked at anew: those with news, or whose bound has lapsed. All
-        where they are few, since bounds cost more than they save then."""
+    def _destinations_to_rank(self) -> list[Destination]:
+        """Return the ready destinations that must be ranked again: those that changed, or whose bound has
+        expired. All where they are few, since bounds then cost more than they save."""
         few = len(self._ready) <= FEW
-        if few or not self._bounding:
-            self._bounding = not few
-            self._bounds, self._lapses = {}, []
-            self._news.clear()
+        if few or not self._using_bounds:
+            self._using_bounds = not few
+            self._bounds, self._bound_expiries = {}, []
+            self._dirty.clear()
             return list(self._ready.values())
-        while self._lapses and self._lapses[0][0] <= self._now:
-            _, number, stamp = heapq.heappop(self._lapses)
-            if number in self._ready and self._ready[number].stamp == stamp:
-                self._news[number] = self._ready[number]
-        news, self._news = self._news, {}
-        if sum(map(len, self._bounds.values())) > 4 * len(self._ready):  # old ones that never came to the top
-            stamps = {number: destination.stamp for number, destination in self._ready.items()}
+        while self._bound_expiries and self._bound_expiries[0][0] <= self._now:
+            _, number, rank_number = heapq.heappop(self._bound_expiries)
+            if number in self._ready and self._ready[number].rank_number == rank_number:
+                self._dirty[number] = self._ready[number]
+        dirty, self._dirty = self._dirty, {}
+        if sum(map(len, self._bounds.values())) > 4 * len(self._ready):  # outdated ones remain
+            rank_numbers = {number: destination.rank_number for number, destination in self._ready.items()}
             for slope, rows in list(self._bounds.items()):
-                self._bounds[slope] = [row for row in rows if stamps.get(row[1]) == row[2]]
+                self._bounds[slope] = [row for row in rows if rank_numbers.get(row[1]) == row[2]]
                 heapq.heapify(self._bounds[slope])
-        return [destination for number, destination in news.items() if number in self._ready]
+        return [destination for number, destination in dirty.items() if number in self._ready]
 
-    def _topmost(self) -> tuple[float, int] | None:
-        """The highest bound just now, negative, and whose it is. Of those that rise alike the order stays."""
+    def _highest_bound(self) -> tuple[float, int] | None:
+        """Return the highest current bound, negated, and its destination's number (None: there are no
+        bounds). The order of those with the same slope does not change with time."""
         best: tuple[float, int] | None = None
         for slope, rows in self._bounds.items():
-            while rows and (rows[0][1] not in self._ready or self._ready[rows[0][1]].stamp != rows[0][2]):
+            while rows and (rows[0][1] not in self._ready
+                            or self._ready[rows[0][1]].rank_number != rows[0][2]):
                 heapq.heappop(rows)
             if rows and (best is None or (rows[0][0] - slope * self._now, rows[0][1]) < best):
                 best = rows[0][0] - slope * self._now, rows[0][1]
         return best
 
     def _rank(self, destination: Destination, ranked: list[tuple[float, int, list[Message]]]) -> None:
-        self._stamp += 1
-        destination.stamp = self._stamp
+        self._last_rank_number += 1
+        destination.rank_number = self._last_rank_number
         if heads := self._heads(destination):
-            # By what a slot earns in its time. Guards the slots against a destination that has become slow
-            # and would turn most of them into its own queue; it harms its messages while others wait.
+            # By gain over the time that a slot is used. Keeps a destination that has become slow from filling
+            # most slots with its own queue; its messages wait while others do.
             tau_us = destination.loop.tau_us
-            earns = self._gain(heads[0], tau_us) / max(tau_us, self._t1_us / 8)
-            heapq.heappush(ranked, (-earns, destination.number, heads))
+            gain_rate = self._gain(heads[0], tau_us) / max(tau_us, self._t1_us / 8)
+            heapq.heappush(ranked, (-gain_rate, destination.number, heads))
         else:
             del self._ready[destination.number]
 
-    def _bound(self, destination: Destination, earns: float, heads: list[Message]) -> None:
-        """What it can earn at most, and until when that holds. While its heads stay the same, each one's gain
-        is linear in time between the marks at which it or its later self changes pace, and rises only within
-        a horizon before its promise."""
+    def _add_bound(self, destination: Destination, gain_rate: float, heads: list[Message]) -> None:
+        """Add an upper bound on a destination's gain rate, and when it expires. While its heads stay the
+        same, each one's gain is linear in time between the breakpoints of its worth, now and a horizon later,
+        and rises only within a horizon before its promise."""
         tau_us = destination.loop.tau_us
         at_us, horizon_us = self._now + tau_us, self._horizon_us
-        even = self._s.decay is Decay.EVEN
-        # Not all for equally long: guards a round against thousands of bounds that lapse at once.
-        kept_us = BOUND_US * (0.5 + destination.number * 0.618 % 1)
-        until_us = at_us + (kept_us if even else kept_us / 100)
+        is_even = self._settings.decay is Decay.EVEN
+        # Not all for equally long, so that thousands of bounds don't expire in one batch.
+        kept_us = BOUND_LIFETIME_US * (0.5 + destination.number * 0.618 % 1)
+        until_us = at_us + (kept_us if is_even else kept_us / 100)
         for message in heads:
-            marks = (message.promised_us - horizon_us, message.promised_us, message.due_us - horizon_us,
+            breakpoints = (message.promised_us - horizon_us, message.promised_us, message.due_us - horizon_us,
                      message.due_us)
-            until_us = min(until_us, min((mark for mark in marks if mark > at_us), default=until_us))
+            until_us = min(until_us, min((time_us for time_us in breakpoints if time_us > at_us),
+                                         default=until_us))
         rise = rate = 0.0
         for message in heads:
             cls = message.cls
-            if not even:  # falls by halves: what its later self is now, less what it will be by then
-                later = message.worth_at(until_us + horizon_us, self._s.decay)
-                rise = max(rise, message.worth_at(at_us + horizon_us, self._s.decay) - later)
-            elif marks_rise(message, at_us, horizon_us):
+            if not is_even:  # worth halves: by how much its worth a horizon later falls until then
+                later = message.worth_at(until_us + horizon_us, self._settings.decay)
+                rise = max(rise, message.worth_at(at_us + horizon_us, self._settings.decay) - later)
+            elif gain_rises(message, at_us, horizon_us):
                 rate = max(rate, cls.worth * (1 - cls.late_worth) / max(cls.deadline_us - cls.promise_us, 1))
         slot_us = max(tau_us, self._t1_us / 8)
-        slope = RATES ** math.ceil(math.log(rate / slot_us, RATES)) if rate else 0.0
-        most = (earns + rise / slot_us) * (1 + 1e-6) if rate or rise else earns
+        slope = SLOPE_STEP ** math.ceil(math.log(rate / slot_us, SLOPE_STEP)) if rate else 0.0
+        bound = (gain_rate + rise / slot_us) * (1 + 1e-6) if rate or rise else gain_rate
         rows = self._bounds.setdefault(slope, [])
-        heapq.heappush(rows, (slope * self._now - most, destination.number, destination.stamp))
-        heapq.heappush(self._lapses, (until_us - tau_us, destination.number, destination.stamp))
+        heapq.heappush(rows, (slope * self._now - bound, destination.number, destination.rank_number))
+        heapq.heappush(self._bound_expiries, (until_us - tau_us, destination.number, destination.rank_number))
--- a/wheelstep/policy/spread.py
+++ b/wheelstep/policy/spread.py
@@ -1,48 +1,50 @@
-"""Which of a destination's endpoints is next, where neither a fee nor a trial decides.
+"""The choice among a destination's endpoints where neither a fee nor a trial decides.
 
-A fleet's couriers each see little, and what is best for one by the little that all know is best for all. So
-calls go around all endpoints, at every courier from another one on, and what is known of their times only
-makes the turns of a slow one rarer: by start tags, as in Goyal, Vin and Cheng's start-time fair queueing.
+Each courier of a fleet sees few calls, and the endpoint that looks best to one looks best to all. So calls
+rotate over all endpoints, from a different one on at every courier, and the measured times only make the
+turns of a slow one rarer: by start tags, as in Goyal, Vin and Cheng's start-time fair queueing.
 """
 
 from __future__ import annotations
 
 import random
 
-from wheelstep.policy.common import weight
+from wheelstep.policy.common import call_weight
 from wheelstep.policy.endpoint import Endpoint
 from wheelstep.policy.messages import Destination
 
-PRIOR = 1.0  # few samples tell little: so many calls that took the destination's mean are added to them
-SKEW = 2  # one that takes twice the time gets a turn for four: under half of its part, as it is to be
+PRIOR_CALLS = 1.0  # calls of the destination's mean time that are added, since few samples tell little
+TIME_EXPONENT = 2  # one that takes twice the time gets a quarter of the turns, under half of its part
 
 
 def relative_times(destination: Destination, now_us: int) -> dict[Endpoint, float]:
-    """The time of a call at each endpoint over the mean of all. Calls that are still out count with what they
-    have taken so far: the estimate for exponential times of which some are cut off."""
+    """Return the time of a call at each endpoint over the mean of all. Calls in progress count with the time
+    that they have taken so far: the estimate for exponential times of which some are censored."""
     seen = {e: (e.answers.read(now_us), e.taken.read(now_us)) for e in destination.endpoints}
     answers = sum(own for own, _ in seen.values())
-    if answers < PRIOR:
+    if answers < PRIOR_CALLS:
         return dict.fromkeys(seen, 1.0)
     mean_us = max(sum(own_us for _, own_us in seen.values()) / answers, 1.0)
-    out_us = {e: sum((now_us - call.sent_us) / weight(call.size) for call in e.calls) for e in seen}
-    return {e: (PRIOR + (own_us + out_us[e]) / mean_us) / (PRIOR + own) for e, (own, own_us) in seen.items()}
-
-
-def next_in_turn(destination: Destination, fits: list[Endpoint], now_us: int, rng: random.Random) -> Endpoint:
-    """The one of `fits` whose turn it is; its turn is taken. One that is new, or was not to be had for longer
-    than a turn, joins at a moment of its own. Guards against all couriers going to the same one at once; it
-    harms where one endpoint is the quickest for good and could carry all."""
-    if len(fits) == 1:
-        return fits[0]
+    out_us = {e: sum((now_us - call.sent_us) / call_weight(call.size) for call in e.calls) for e in seen}
+    return {e: (PRIOR_CALLS + (own_us + out_us[e]) / mean_us) / (PRIOR_CALLS + own)
+            for e, (own, own_us) in seen.items()}
+
+
+def next_in_turn(destination: Destination, candidates: list[Endpoint], now_us: int,
+                 rng: random.Random) -> Endpoint:
+    """Return the one of `candidates` whose turn it is, and take its turn. One that is new, or was not
+    available for longer than a turn, joins at a random point. Keeps couriers from all going to the same one
+    at once; costs time where one endpoint is always the quickest and could carry all."""
+    if len(candidates) == 1:
+        return candidates[0]
     times = relative_times(destination, now_us)
     starts = []
-    for endpoint in fits:
-        costs = times.get(endpoint, 1.0) ** SKEW
-        if endpoint.turn + costs < destination.turn:
-            endpoint.turn = destination.turn - costs * rng.random()
-        starts.append(endpoint.turn + costs * (1 + len(endpoint.calls)))
-    destination.turn = min(starts)
-    chosen = fits[starts.index(destination.turn)]
-    chosen.turn = destination.turn
+    for endpoint in candidates:
+        turn_cost = times.get(endpoint, 1.0) ** TIME_EXPONENT
+        if endpoint.start_tag + turn_cost < destination.start_tag:
+            endpoint.start_tag = destination.start_tag - turn_cost * rng.random()
+        starts.append(endpoint.start_tag + turn_cost * (1 + len(endpoint.calls)))
+    destination.start_tag = min(starts)
+    chosen = candidates[starts.index(destination.start_tag)]
+    chosen.start_tag = destination.start_tag
     return chosen
