--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, started as the deploy file says."""
+"""The simulator's adapter, run as a process by the command of the deploy file."""
 
 import json
 import subprocess
@@ -22,10 +22,12 @@
 
 
 def batch(*events: dict[str, Any], now: int = 1000, who: int = 0) -> str:
+    """Return a batch of events for one instance as a line of input."""
     return json.dumps({"ts_us": now, "couriers": [{"who": who, "in": list(events)}]}) + "\n"
 
 
 def run(text: str) -> subprocess.CompletedProcess[str]:
+    """Run the adapter on this input."""
     sim = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
     command = sim.replace(".venv/bin/python", sys.executable)
     assert sys.executable in command
@@ -34,10 +36,11 @@
 
 
 def commands(line: str) -> list[dict[str, Any]]:
+    """Return the commands in a line of output."""
     return [cmd for group in json.loads(line)["couriers"] for cmd in group["cmds"]]
 
 
-def test_a_short_exchange() -> None:
+def test_a_message_is_sent_and_its_delivery_gets_no_further_command() -> None:
     done = {"cmd": "ClosedAttempt", "call": SUBMIT["call"], "seq_no": 0, "endpoint": "endpoint.x",
             "state_code": "S", "spent_us": 500, "complete": True, "new_key": 1}
     result = run(json.dumps({"ts_us": 1, "couriers": []}) + "\n"
@@ -50,7 +53,7 @@
     assert not [cmd for cmd in commands(second) if cmd["cmd"] in ("SubmitTo", "GiveUp", "Decline")]
 
 
-def test_a_restart_in_one_batch_forgets_the_first_life() -> None:
+def test_a_restart_within_a_batch_discards_the_first_instance() -> None:
     result = run(batch(OPEN, LIST, MEMBERS) + batch(SUBMIT, {"cmd": "Down"}, OPEN, MEMBERS, now=2000))
     assert result.returncode == 0
     assert not [cmd for cmd in commands(result.stdout.splitlines()[1]) if cmd["cmd"] == "SubmitTo"]
@@ -63,7 +66,7 @@
     assert sent == ["endpoint.y"]
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
+def test_empty_input_ends_with_exit_code_0_and_no_output() -> None:
     result = run("")
     assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
 
@@ -74,7 +77,7 @@
     (batch(OPEN, {"cmd": "Submit"}), "call"), (batch(SUBMIT), "never opened"),
     (batch(OPEN, {**MEMBERS, "bank": 9}), "list 9"), (batch({**OPEN, "boot_info": {}}), "services"),
 ])
-def test_malformed_input_gets_one_plain_line(line: str, word: str) -> None:
+def test_malformed_input_ends_with_one_error_line(line: str, word: str) -> None:
     result = run(line)
     assert result.returncode != 0 and result.stdout == ""
     assert len(result.stderr.splitlines()) == 1 and word in result.stderr
--- a/wheelstep/actions.py
+++ b/wheelstep/actions.py
@@ -1,6 +1,6 @@
-"""What a sender asks for: the actions that come out of `Sender.handle`, and what it wants kept of an endpoint.
+"""The actions that `Sender.handle` returns, and the health of an endpoint that they store.
 
-Times are whole microseconds (`_us`). Imports nothing of the project; `interface` hands these on.
+Times are whole microseconds (`_us`). Imports nothing of the project; `interface` re-exports these.
 """
 
 from __future__ import annotations
@@ -11,9 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """What must not be forgotten of an endpoint: is it out or on its way back, and for how long; what it carried a
-    second before; the paced rate of its route (0: unpaced), and what that carries a second now; its usual round trip;
-    of its destination the window of calls and the mean time of a call. 0 where nothing is known."""
+    """What a later process must know of an endpoint: whether it is sick or returning, and for how long; the calls a
+    second that it carried before (`base`); the paced rate of its route (0: unpaced), and the deliveries a second on it
+    now (`carried`); its usual round trip and deviation; of its destination the window of calls and the mean time of a
+    call (`tau_us`). 0 where nothing is known."""
 
     sick: bool
     returning: bool
@@ -29,31 +30,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the message; attempts of a message are numbered from 0 in the order of these. Its last byte goes out within
-    `latest_us` (0: no bound), or none does: then it ends as `NOT_SENT`."""
+    """Send the message; its attempts are numbered from 0 in the order of these actions. Its last byte must be sent
+    within `latest_us` (0: no bound); where that is impossible, it is not sent and ends as `NOT_SENT`."""
 
     message: str
     endpoint: str
     timeout_us: int
     latest_us: int = 0
-    once: bool = False  # it may not be sent again: not on a connection that the endpoint may be about to end
+    once: bool = False  # may be sent only once: not on a connection that the endpoint may be about to close
 
 
 class EndReason(Enum):
     """Why a message ends undelivered."""
 
     UNKNOWN = "unknown"
-    NO_ROOM = "no room"  # others that are worth more are held
+    NO_ROOM = "no room"  # the sender is full, and the others it holds are worth more
     TIME_UP = "time up"
     TOO_LATE = "too late to be answered"  # less time is left than a call takes
-    RETRY_DENIED = "retry denied"  # by the ratio control of retries
-    NOT_REPEATABLE = "not repeatable"  # it may have run, has no attempt left, or no later one could be in time
-    EXHAUSTED = "exhausted"  # the destination takes no further attempt
+    RETRY_DENIED = "retry denied"  # by retry control
+    NOT_REPEATABLE = "not repeatable"  # it may have run, has no attempt left, or no later attempt could be in time
+    EXHAUSTED = "exhausted"  # the destination accepts no further attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final: handed back, safe to hand in again; `retry_after_us` is a hint to the client."""
+    """Final: the message is handed back and may be handed in again; `retry_after_us` is a hint to the client."""
 
     message: str
     retry_after_us: int = 0
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final: ended without a word on whether it took effect."""
+    """Final: the message has ended, and may have taken effect or not."""
 
     message: str
     reason: EndReason = field(default=EndReason.UNKNOWN, compare=False)
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Close the idle connections to an endpoint, those that have been idle for so long at least."""
+    """Close the connections to an endpoint that have been idle for at least `idle_us`."""
 
     endpoint: str
     idle_us: int = 0
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired`."""
+    """Request a `TimerFired` event after `in_us`."""
 
     timer: int
     in_us: int
@@ -101,19 +102,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the list and its changes from now on."""
+    """Request the endpoint list, and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """One plain line for the operators."""
+    """Write one log line for operators."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoteHealth:
-    """Keep this for a later process of this sender, in place of what was noted of the endpoint before."""
+    """Store the health of an endpoint for a later process of this sender, in place of an earlier note."""
 
     endpoint: str
     health: Health
--- a/wheelstep/interface.py
+++ b/wheelstep/interface.py
@@ -1,7 +1,7 @@
 """The types that go into and out of the decision module: settings, events and actions.
 
-Times are whole microseconds (`_us`). A *message* is handed in by a client and ends once. An *attempt* is
-one call for it at an *endpoint* of its *destination*. Events go into `Sender.handle`, actions come out.
+Times are whole microseconds (`_us`). A client hands in a *message*, which ends once. An *attempt* is one call for it
+at an *endpoint* of its *destination*. `Sender.handle` takes events and returns actions.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 
 
 UNRUN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-"""The outcomes which prove that the attempt never ran."""
+"""Outcomes which prove that the attempt never ran."""
 
 MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
-"""The outcomes after which the attempt may go on running at its endpoint: the key of its message settles."""
+"""Outcomes after which the attempt may still be running at its endpoint, so that the key of its message settles."""
 
 
 class EndpointState(Enum):
-    """What the list says of an endpoint; never its health."""
+    """The state of an endpoint by the list, which says nothing of its health."""
 
     UP = "up"
     DRAINING = "draining"
@@ -59,16 +59,16 @@
 
 
 class Holdup(Enum):
-    """What keeps the messages that wait for a destination from going just now."""
+    """Why the messages that wait for a destination are not sent now."""
 
     NOTHING = "nothing"  # the next batch sends one
-    SLOTS = "slots"  # all of this sender's slots are out
-    WINDOW = "window"  # so many calls are out to this destination as it may have at once
-    LIMIT = "limit"  # the pace of its limit, or a wait that was told
-    SICK = "sick"  # its endpoints are out, and the next trial is not due
-    RETURNING = "returning"  # an endpoint on its way back gets its traffic back step by step
-    CROWDED = "crowded"  # an endpoint rests after a refusal that told of no limit
-    GONE = "gone"  # the list names no endpoint that is up
+    SLOTS = "slots"  # all slots of this sender are in use
+    WINDOW = "window"  # the destination has as many concurrent calls as it may have
+    LIMIT = "limit"  # the rate limit of its route, or a wait that the destination asked for
+    SICK = "sick"  # its endpoints are sick, and no trial is due
+    RETURNING = "returning"  # an endpoint that has recovered gets its traffic back by a ramp
+    CROWDED = "crowded"  # an endpoint pauses after a refusal that reported no limit
+    GONE = "gone"  # the list has no endpoint that is up
     DOUBT = "doubt"  # an endpoint could take a call, but none of the messages may go there
 
 
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointInfo:
-    """One line of the list."""
+    """An entry of the list: an endpoint of a destination, and its state."""
 
     endpoint: str
     destination: int
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipReceived:
-    """The list, or changes to it; `UNAVAILABLE` carries none and leaves the old one in force."""
+    """The list, or changes to it; `UNAVAILABLE` has no entries and leaves the previous list in force."""
 
     kind: ListKind
     entries: tuple[EndpointInfo, ...] = ()
@@ -103,20 +103,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAccepted:
-    """A new message; `left_us` is the time until it must have been answered."""
+    """A new message; `left_us` is the time until its deadline."""
 
     message: str
     message_class: int
     destination: int
     left_us: int
     key: str | None = None
-    resubmitted: bool = False  # the client, or a sender that died, had it before
+    resubmitted: bool = False  # the client hands it in again, or a sender that died had accepted it
 
 
 @dataclass(frozen=True, slots=True)
 class CallOut:
-    """A call that an earlier process still has out, and whose outcome it will tell. Messages with the same `number`
-    share it."""
+    """A call in progress of an earlier process, which will report its outcome. Messages with the same `number` share
+    it."""
 
     number: int
     endpoint: str
@@ -125,10 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRestored:
-    """A message that this sender had taken on before its process was replaced. Of its attempts so far, those
-    without an outcome count among those that may have run, but for one that is still `out`; `ran_ago_us` is how
-    long ago the first such was sent (None: none may have run), `ran_zone` its endpoint's zone. Restored in the order
-    of their taking."""
+    """A message that this sender accepted before its process was replaced. Of its `attempts` so far, those without an
+    outcome count as ones that may have run, except one that is still `out` (None: there is none). `ran_ago_us` is how
+    long ago the first that may have run was sent (None: none may have run), `ran_zone` its endpoint's zone. Messages
+    are restored in the order of their acceptance."""
 
     accepted: MessageAccepted
     attempts: int = 0
@@ -139,8 +139,8 @@
 
 @dataclass(frozen=True, slots=True)
 class KeysSettling:
-    """Of these keys an attempt may still be running that a process before had out, for so many microseconds each; of
-    any key for `all_us`. Comes ahead of the messages that are restored."""
+    """Attempts of an earlier process may still be running: of each of `keys` for so many microseconds, of any key for
+    `all_us`. Comes ahead of the restored messages."""
 
     keys: tuple[tuple[str, int], ...] = ()
     all_us: int = 0
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitReport:
-    """What a destination told of its limit: the share left, and calls a second (0 where there is none)."""
+    """What a destination reported of its limit: the unused share, and calls a second (0 where there is no limit)."""
 
     left: float
     per_s: float
@@ -156,7 +156,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; `complete` says that the message has ended with it or before."""
+    """The one outcome of an attempt. `complete`: the message has ended with it or before; `wait_us`: how long the
+    destination asked to wait; `limit`: its limit report (None: there was none)."""
 
     message: str
     attempt: int
@@ -166,8 +167,8 @@
     complete: bool = False
     wait_us: int = 0
     limit: LimitReport | None = None
-    exhausted: bool = False  # the destination takes no further attempt of this message
-    may_still_run: bool = False  # whatever the outcome says: no whole answer came before its connection was closed
+    exhausted: bool = False  # the destination accepts no further attempt of this message
+    may_still_run: bool = False  # whatever the outcome: its connection was closed before a whole answer came
 
 
 @dataclass(frozen=True, slots=True)
@@ -182,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthRestored:
-    """What an earlier process of this sender noted last of an endpoint, and how long ago."""
+    """The health that an earlier process of this sender noted last of an endpoint, `ago_us` before."""
 
     endpoint: str
     health: Health
@@ -191,30 +192,29 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by this sender is due."""
+    """A timer that this sender set is due."""
 
     timer: int
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """Nobody wants this message any more; no answer is owed."""
+    """The message is no longer wanted and gets no final answer."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClassesChanged:
-    """New messages are of one of these classes. A message that is held stays under the rules that it was taken on
-    with."""
+    """New messages are of one of these classes. A message that is held keeps the rules that it was accepted under."""
 
     classes: tuple[MessageClass, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationsDropped:
-    """This sender has no more to do with these: what was learned of one that has no endpoint, message or call left is
-    forgotten."""
+    """This sender no longer serves these destinations: the state of one without endpoints, messages and calls is
+    dropped."""
 
     destinations: tuple[int, ...]
 
--- a/wheelstep/settings.py
+++ b/wheelstep/settings.py
@@ -1,6 +1,6 @@
-"""What a sender is told at its start: its settings, and the classes of messages and kinds of destinations in them.
+"""The settings of a sender, with the classes of messages and kinds of destinations in them.
 
-Times are whole microseconds (`_us`). Imports nothing of the project; `interface` hands these on.
+Times are whole microseconds (`_us`). Imports nothing of the project; `interface` re-exports these.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message does at its destination."""
+    """The effect of repeating a message at its destination."""
 
     SAFE = "safe"  # harmless
-    KEYED = "keyed"  # dropped while the destination remembers the key
+    KEYED = "keyed"  # ignored while the destination remembers the key
     UNSAFE = "unsafe"  # takes effect again
 
 
 class Decay(Enum):
-    """How worth falls once the promised time has passed."""
+    """How the worth of a message falls once its promised time has passed."""
 
-    EVEN = "even"  # evenly down to the late worth at the deadline
-    HALVES = "halves"  # by half with each further promise, not under the late worth
+    EVEN = "even"  # linearly, to the late worth at the deadline
+    HALVES = "halves"  # by half with each further promised time, but not below the late worth
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """One class of messages; `key_ttl_us` and `zone_keys` matter for keyed ones only."""
+    """A class of messages; `late_worth` is a share of `worth`; `key_ttl_us` and `zone_keys` are for keyed ones only."""
 
     promise_us: int
     deadline_us: int
@@ -34,14 +34,14 @@
     worth: float = 1.0
     late_worth: float = 0.0
     key_ttl_us: int = 0
-    zone_keys: bool = False  # repeats are dropped inside one zone only
+    zone_keys: bool = False  # repeats are ignored within one zone only
     ordered: bool = False
-    most_attempts: int = 0  # 0: as many as the settings say
+    most_attempts: int = 0  # 0: `max_attempts` of the settings
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of destination: are its endpoints separate routes, and how many messages fill a call."""
+    """A kind of destination: whether its endpoints are separate routes, and how many messages a call holds."""
 
     routes_apart: bool = False
     per_call: int = 1
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a sender is told at its start."""
+    """The settings that a sender starts with."""
 
     classes: tuple[MessageClass, ...]
     slots: int
@@ -58,7 +58,7 @@
     decay: Decay = Decay.EVEN
     senders: int = 1
     zone: int = 0
-    zone_fees: tuple[float, ...] = ()  # points for each message that a separate route in the zone takes on
+    zone_fees: tuple[float, ...] = ()  # by zone: points for each message that a separate route there accepts
     cross_zone_price: float = 0.0
     handshake_price: float = 0.0  # points for a new connection with each message
     max_attempts: int = 1 << 30
@@ -67,11 +67,11 @@
     ask_for_list: bool = False
     ask_within_us: int = 0
     weights_are_rates: bool = False
-    limits_reported: bool = False  # answers tell of the limit (`LimitReport`)
+    limits_reported: bool = False  # answers carry limit reports (`LimitReport`)
     tick_us: int = 1000
     answer_slack_us: int = 0
     max_retry_after_us: int = 0
-    conn_idle_us: int = 0  # idle connections are closed after this; 0 where that is not known
+    conn_idle_us: int = 0  # idle connections are closed after this; 0: not known
     drain_grace_us: int = 0
     fall_multiple: float = 1.0
     overload_for_us: int = 1_000_000
@@ -86,35 +86,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Bad:
-    """Collects what makes no sense in some settings."""
+class _InvalidFields:
+    """Collects the names of fields that have invalid values."""
 
     names: list[str] = field(default_factory=list)
 
-    def unless(self, good: bool, name: str) -> None:
-        if not good:
+    def require(self, valid: bool, name: str) -> None:
+        if not valid:
             self.names.append(name)
 
 
 def check_settings(settings: Settings) -> None:
-    """Raise `ValueError` naming the first field that makes no sense."""
-    bad = _Bad()
+    """Raise `ValueError` that names the first field with an invalid value."""
+    invalid = _InvalidFields()
     for name in _COUNTS:
-        bad.unless(getattr(settings, name) >= 1, name)
+        invalid.require(getattr(settings, name) >= 1, name)
     for name in _TIMES:
-        bad.unless(getattr(settings, name) >= 0, name)
-    bad.unless(bool(settings.classes), "classes")
-    bad.unless(bool(settings.kinds), "kinds")
-    bad.unless(0 < settings.cold_from <= 1, "cold_from")
-    bad.unless(settings.fall_multiple > 0, "fall_multiple")
+        invalid.require(getattr(settings, name) >= 0, name)
+    invalid.require(bool(settings.classes), "classes")
+    invalid.require(bool(settings.kinds), "kinds")
+    invalid.require(0 < settings.cold_from <= 1, "cold_from")
+    invalid.require(settings.fall_multiple > 0, "fall_multiple")
     for index, cls in enumerate(settings.classes):
-        at = f"classes[{index}]"
-        bad.unless(cls.promise_us > 0, f"{at}.promise_us")
-        bad.unless(cls.promise_us <= cls.deadline_us, f"{at}.deadline_us")
-        bad.unless(cls.worth >= 0, f"{at}.worth")
-        bad.unless(0 <= cls.late_worth <= 1, f"{at}.late_worth")
-        bad.unless(cls.effect is not Effect.KEYED or cls.key_ttl_us > 0, f"{at}.key_ttl_us")
+        prefix = f"classes[{index}]"
+        invalid.require(cls.promise_us > 0, f"{prefix}.promise_us")
+        invalid.require(cls.promise_us <= cls.deadline_us, f"{prefix}.deadline_us")
+        invalid.require(cls.worth >= 0, f"{prefix}.worth")
+        invalid.require(0 <= cls.late_worth <= 1, f"{prefix}.late_worth")
+        invalid.require(cls.effect is not Effect.KEYED or cls.key_ttl_us > 0, f"{prefix}.key_ttl_us")
     for index, kind in enumerate(settings.kinds):
-        bad.unless(kind.per_call >= 1, f"kinds[{index}].per_call")
-    if bad.names:
-        raise ValueError(f"settings: {bad.names[0]} makes no sense")
+        invalid.require(kind.per_call >= 1, f"kinds[{index}].per_call")
+    if invalid.names:
+        raise ValueError(f"settings: {invalid.names[0]} has an invalid value")
