--- a/tests/spread_scenes.py
+++ b/tests/spread_scenes.py
@@ -1,4 +1,4 @@
-"""Scenes of many modules at one destination, and its endpoints."""
+"""Scenes with many decision modules at one destination, and the model of its endpoints."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """`load` is a share of what all endpoints can carry. An event begins at `at_s`; `trouble` is one of "", "restart"
-    (seven modules of ten), "list" (a quarter of the endpoints is replaced), "slow" (one takes three times as long),
-    "hung" (one answers nothing for 3 s), "cold" (one refuses connections for 3 s, then carries 0.3 of what it did,
-    and all of it 6 s later) and "lull" (nothing arrives for 4 s)."""
+    """One scene. `load` is a share of the capacity of all endpoints. A fault begins at `at_s`; `trouble` is one of ""
+    (none), "restart" (of seven modules in ten), "list" (a quarter of the endpoints is replaced), "slow" (one endpoint
+    takes three times as long), "hung" (one answers nothing for 3 s), "cold" (one refuses connections for 3 s, then has
+    0.3 of its capacity, and all of it 6 s later) and "lull" (nothing arrives for 4 s)."""
 
     name: str
     modules: int = 200
@@ -30,7 +30,7 @@
 
 @dataclass
 class Server:
-    """One endpoint: lanes, a queue, and how it does just now."""
+    """One endpoint: its lanes, its queue and its current state."""
 
     name: str
     lanes: int = LANES
@@ -40,15 +40,16 @@
     back_us: int = -1
     busy: int = 0
     queue: deque[Any] = field(default_factory=deque)
-    sent: list[int] = field(default_factory=list)  # when calls came
+    sent: list[int] = field(default_factory=list)  # when calls arrived
 
     def speed(self, now_us: int) -> float:
+        """Return the current speed of a lane, 1.0 at best."""
         if self.back_us >= 0:
             return min(1.0, 0.3 + 0.7 * (now_us - self.back_us) / (6 * S))
         return self.factor
 
     def wait(self, now_us: int) -> float:
-        """What one more call meets: the truth."""
+        """Return the actual load that one more call meets, by capacity."""
         if self.down or self.hung:
             return math.inf
         return (self.busy + len(self.queue) + 1) / self.lanes / self.speed(now_us)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Calls of many couriers to discovery: spread from the first one on, and fewer while they are turned away."""
+"""The calls of many couriers to discovery are spread from the first one on, and become rarer while they are refused."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 FLEET = 40
 
 
-def test_forty_couriers_that_start_at_one_moment_never_call_in_one_second() -> None:
+def test_first_calls_of_forty_couriers_that_start_together_are_spread_over_seconds() -> None:
     for seed in range(20):
         first = [wait_s(FLEET, 0, random.Random(f"{seed} {courier}")) for courier in range(FLEET)]
         assert max(first) <= FIRST_MOST_S
@@ -28,7 +28,7 @@
             assert sum(second <= at < second + 1 for at in first) <= FLEET * 0.55
 
 
-def test_while_calls_are_turned_away_a_fleet_makes_less_than_a_tenth_of_what_each_at_once_would() -> None:
+def test_a_fleet_whose_calls_are_refused_makes_under_a_tenth_of_the_calls_without_backoff() -> None:
     for seed in range(20):
         rng, calls, span_s = random.Random(seed), 0, 30.0
         for _ in range(FLEET):
@@ -37,17 +37,17 @@
                 calls, failures = calls + 1, failures + 1
                 at_s += wait_s(FLEET, failures, rng)
         assert calls < 0.1 * FLEET * span_s / AGAIN_S
-        assert calls > FLEET  # and goes on asking
+        assert calls > FLEET  # and continues to ask
 
 
-def test_one_courier_alone_begins_at_once_and_asks_again_within_a_second() -> None:
+def test_a_single_courier_calls_at_once_and_again_within_a_second() -> None:
     rng = random.Random(1)
     assert wait_s(1, 0, rng) == wait_s(0, 0, rng) == 0.0
     assert all(AGAIN_S <= wait_s(1, failures, rng) <= AGAIN_S * 2 ** STEPS for failures in range(1, 100))
     assert max(wait_s(3, 0, rng) for _ in range(100)) <= 2 * CALL_S
 
 
-def test_a_watch_that_is_turned_away_waits_longer_from_time_to_time() -> None:
+def test_a_watch_that_is_refused_waits_longer_each_time() -> None:
     async def scene() -> None:
         discovery, calls = Endpoint(), []
 
@@ -66,14 +66,14 @@
 
 
 def test_only_where_each_courier_asks_for_the_list_are_the_calls_of_all_spread() -> None:
-    """An agent that is told by itself counts a change as told at once: a watch that begins 5 s late breaks the rule."""
+    """An agent that sends changes by itself counts a change as known at once, so a watch must not begin late."""
     classes = (api.MessageClass(2_000_000, 20_000_000, api.Effect.SAFE),)
     asking, told = (Settings(classes=classes, slots=4, senders=200, ask_for_list=asks) for asks in (True, False))
     assert callers(asking) == 200 and callers(told) == 1
     rng = random.Random(3)
-    assert wait_s(1, 0, rng) == 0.0  # a start
-    assert wait_s(1, 1, rng, lasted_s=30.0) == 0.0  # a watch that was long open and broke
-    assert wait_s(1, 1, rng, lasted_s=0.1) == AGAIN_S - 0.1  # one that ends at once is no busy loop
+    assert wait_s(1, 0, rng) == 0.0  # at a start
+    assert wait_s(1, 1, rng, lasted_s=30.0) == 0.0  # a watch that broke after a long time
+    assert wait_s(1, 1, rng, lasted_s=0.1) == AGAIN_S - 0.1  # one that ends at once must not become a busy loop
 
 
 def test_a_watch_that_moves_begins_as_at_a_start_not_as_after_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,7 +100,7 @@
 
 
 class _OldList(Courier):
-    """What its configuration knows of the list is old."""
+    """A courier whose configuration holds an old list."""
 
     old: tuple[dict[str, object], ...] = ()
 
@@ -109,7 +109,7 @@
         return json.dumps({**data, "known": {"seq": 0, "whole": True, "hosts": self.old or data["known"]["hosts"]}})
 
 
-def test_what_a_restart_restores_goes_by_the_list_of_now_not_by_the_one_of_before(tmp_path: Path) -> None:
+def test_messages_restored_after_a_restart_are_sent_by_the_current_list(tmp_path: Path) -> None:
     async def scene() -> None:
         discovery, gone, there = Platform(), Endpoint(), Endpoint()
         await discovery.start()
@@ -117,7 +117,7 @@
         discovery.list(host("e0", at, health="DRAINING"))
         courier = _OldList(tmp_path, discovery, {**SETTINGS, "discovery": "automatic", "tick_us": 1})
         await courier.start()
-        assert await courier.hand_in("m1") == 202  # and is held: nothing new goes to what drains
+        assert await courier.hand_in("m1") == 202  # held: a draining endpoint gets no new message
         await courier.kill()
         courier.old = (host("e0", at),)
         discovery.seq += 1
--- a/tests/test_spread_list.py
+++ b/tests/test_spread_list.py
@@ -1,4 +1,4 @@
-"""Answers that come after the list has moved on."""
+"""Answers that arrive after their endpoint has left the list."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from wheelstep.interface import EndpointState, Outcome
 
 
-def test_an_answer_after_the_last_endpoint_is_gone_teaches_and_does_not_raise() -> None:
-    """Before: ZeroDivisionError where the endpoint had been out."""
+def test_an_answer_after_the_last_endpoint_was_removed_is_handled() -> None:
+    """Guards against a ZeroDivisionError in the ramp of a sick endpoint whose route has no endpoint left."""
     drive = Drive(may_probe=False)
     for number in range(4):
         drive.submit(f"m{number}")
--- a/tests/test_spread_processes.py
+++ b/tests/test_spread_processes.py
@@ -1,5 +1,5 @@
-"""A dozen real couriers against endpoints that queue: all is delivered, every endpoint gets a part, no process stays.
-The measurement at size is `benchmarks/spread_processes.py`."""
+"""A dozen courier processes against endpoints that queue: all messages are delivered, every endpoint gets a part of
+the calls, and no process remains. The measurement at full size is `benchmarks/spread_processes.py`."""
 
 from __future__ import annotations
 
@@ -19,44 +19,47 @@
 
 ROOT = Path(__file__).parent.parent
 SHAPE = Shape(1, 4, 0.4)
-FIRST = f"{sys.executable} tests/stub_courier.py plain"  # always the first endpoint of the list
-MOST, LEAST = 2.5, 0.1  # an endpoint's calls over the mean of all: a choice at random gives 0.7 to 1.4
+FIRST_ENDPOINT_COURIER = f"{sys.executable} tests/stub_courier.py plain"  # always the first endpoint of the list
+MAX_SHARE, MIN_SHARE = 2.5, 0.1  # bounds on an endpoint's calls over the mean of all; a random choice gives 0.7 to 1.4
 
 
-def played(command: str, *faults: Fault, couriers: int = 12, seconds: float = 1.2) -> Seen:
+def run_fleet(command: str, *faults: Fault, couriers: int = 12, seconds: float = 1.2) -> Seen:
+    """Run a fleet of this command through scenes with these faults."""
     given = Given(couriers, command, ROOT, (SHAPE,), scenes(seconds, faults), 80.0, slots=16)
     return asyncio.run(asyncio.wait_for(play(given, 1), 60))
 
 
-def even(line: Row) -> bool:
-    """Over the whole scene, not in each second: the same verdict on a busy machine."""
-    mean = sum(line.used.values()) / SHAPE.endpoints
-    return all(0 < LEAST * mean <= line.used[place] <= MOST * mean for place in range(SHAPE.endpoints))
+def is_even(result: Row) -> bool:
+    """Return whether every endpoint's calls are within bounds over the whole scene, not in each second, so that the
+    result is the same on a busy machine."""
+    mean = sum(result.used.values()) / SHAPE.endpoints
+    return all(0 < MIN_SHARE * mean <= result.used[place] <= MAX_SHARE * mean for place in range(SHAPE.endpoints))
 
 
-def none_is_left(seen: Seen) -> bool:
+def all_processes_ended(seen: Seen) -> bool:
+    """Return whether all processes of the run have ended."""
     return bool(seen.pids) and not any(Path(f"/proc/{pid}").exists() for pid in seen.pids)
 
 
-def test_a_dozen_couriers_deliver_all_and_use_every_endpoint_and_none_stays() -> None:
-    seen = played(FORK, Fault.PLAIN, Fault.KILLED)
-    plain, killed = (next(line for line in seen.rows if line.scene is fault) for fault in (Fault.PLAIN, Fault.KILLED))
+def test_a_dozen_couriers_deliver_all_over_every_endpoint_and_no_process_remains() -> None:
+    seen = run_fleet(FORK, Fault.PLAIN, Fault.KILLED)
+    plain, killed = (next(one for one in seen.rows if one.scene is fault) for fault in (Fault.PLAIN, Fault.KILLED))
     assert plain.undelivered == 0
-    assert even(plain), plain.used
-    assert killed.undelivered == 0  # also what a third of them held as it was killed
-    assert none_is_left(seen)
+    assert is_even(plain), plain.used
+    assert killed.undelivered == 0  # including what the killed third of them held
+    assert all_processes_ended(seen)
 
 
-def test_couriers_that_take_the_first_endpoint_are_not_even() -> None:
-    seen = played(FIRST, Fault.PLAIN, couriers=2, seconds=0.6)
+def test_couriers_that_always_take_the_first_endpoint_are_found_uneven() -> None:
+    seen = run_fleet(FIRST_ENDPOINT_COURIER, Fault.PLAIN, couriers=2, seconds=0.6)
     assert seen.rows[0].undelivered == 0
-    assert not even(seen.rows[0])
-    assert none_is_left(seen)
+    assert not is_even(seen.rows[0])
+    assert all_processes_ended(seen)
 
 
-def test_a_command_that_is_no_courier_is_one_clear_error() -> None:
+def test_a_command_that_is_no_courier_ends_with_one_clear_error() -> None:
     with pytest.raises(NoFleetError, match="no courier"):
-        played(f"{sys.executable} -c 'raise SystemExit(\"no courier\")'", Fault.PLAIN, couriers=2)
+        run_fleet(f"{sys.executable} -c 'raise SystemExit(\"no courier\")'", Fault.PLAIN, couriers=2)
 
 
 def test_a_desk_serves_by_lanes_and_queues_the_rest() -> None:
@@ -66,14 +69,14 @@
     assert desk.out(0.5) == LANES + QUEUE and desk.out(1.0) == QUEUE
 
 
-def test_a_desk_that_stalls_begins_and_ends_nothing_meanwhile() -> None:
+def test_a_stalled_desk_begins_and_ends_nothing_meanwhile() -> None:
     desk = Desk((2.0, 5.0))
     assert desk.take(1.5, 1.0) == 5.5  # half of it is left
     assert desk.take(3.0, 1.0) == 6.0
     assert desk.take(5.0, 1.0) == 6.0
 
 
-def test_the_figures_tell_a_herd_from_an_even_spread() -> None:
+def test_the_figures_show_calls_that_all_go_to_a_few_endpoints() -> None:
     scene, shape = scenes(12.0, [Fault.PLAIN])[0], Shape(1, 8, 0.5)
     messages = arrivals(3, scene, [shape], 400.0, weights(3, 50))
     lines = {}
@@ -96,7 +99,7 @@
     assert 0 not in replaced.listed(shape, 2.0) and 3 in replaced.listed(shape, 2.0)
 
 
-def test_the_same_seed_gives_the_same_messages_thin_and_uneven() -> None:
+def test_the_same_seed_gives_the_same_uneven_messages() -> None:
     scene = Scene(Fault.PLAIN, 10.0, 1.0, 0.0)
     first, again = (arrivals(5, scene, [SHAPE], 500.0, weights(5, 200)) for _ in range(2))
     assert first == again
--- a/tests/test_spread_turns.py
+++ b/tests/test_spread_turns.py
@@ -1,4 +1,4 @@
-"""Couriers that each see little spread evenly over the endpoints of a destination."""
+"""Couriers that each see few calls spread them evenly over the endpoints of a destination."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
     FEW, Scene("many endpoints", endpoints=20, load=0.2, span_s=3),
     Scene("restart", load=0.3, trouble="restart", span_s=5, at_s=3),
     Scene("list", load=0.3, trouble="list", span_s=5, at_s=3)])
-def test_the_busiest_and_the_idlest_endpoint_of_any_second_are_as_at_random(scene: Scene) -> None:
-    """Before: the busiest had 3 to 6 times the mean, the idlest under 0.1 of it; p99 up to three times random's."""
+def test_the_busiest_and_idlest_endpoint_of_any_second_are_near_a_random_choice(scene: Scene) -> None:
+    """Guards against couriers that choose the same endpoint: the busiest had 3 to 6 times the mean, the idlest under
+    0.1 of it, and p99 was up to three times that of a random choice."""
     mine, plain = mean(scene, SEEDS), mean(scene, SEEDS, "random")
     assert mine["high"] <= 1.2 * plain["high"]
     assert mine["low"] >= 0.5 * plain["low"]
@@ -36,7 +37,7 @@
     assert mine["p99"] <= 0.5 * plain["p99"]
 
 
-def test_one_that_was_slow_gets_its_part_again() -> None:
+def test_an_endpoint_that_is_no_longer_slow_gets_its_part_again() -> None:
     drive = Drive(endpoints=3, slots=32)
     took = {"e0": 50 * MS, "e1": 400 * MS, "e2": 50 * MS}
     counts: list[Counter[str]] = []
@@ -52,12 +53,13 @@
         counts.append(seen)
         if len(counts) == 1:
             took["e1"] = 50 * MS
-            drive.now += 20 * S  # what was seen of it is forgotten
+            drive.now += 20 * S  # its measured times have decayed
     assert counts[0]["e1"] <= 10
     assert counts[2]["e1"] >= 16
 
 
 def first_choices(seeds: range) -> Counter[str]:
+    """Count the endpoints of the first calls of senders with these seeds."""
     found: Counter[str] = Counter()
     for seed in seeds:
         drive = Drive(endpoints=4, seed=seed)
@@ -65,14 +67,14 @@
     return found
 
 
-def test_first_choices_after_a_start_are_spread_by_the_seed() -> None:
-    """Before: all at the first of the list."""
+def test_first_calls_after_a_start_are_spread_over_endpoints() -> None:
+    """Guards against couriers that all send their first call to the first endpoint of the list."""
     found = first_choices(range(200))
     assert min(found.values()) >= 30 and len(found) == 4
 
 
 def test_a_new_endpoint_is_not_the_next_choice_of_every_courier() -> None:
-    """Before: all went there next, since what was never tried cost least."""
+    """Guards against couriers that all choose a new endpoint next because an untried one has the lowest cost."""
     next_ones: Counter[str] = Counter()
     for seed in range(100):
         drive = Drive(endpoints=4, seed=seed)
@@ -86,7 +88,7 @@
     assert 10 <= next_ones["new"] <= 40
 
 
-def test_one_courier_alone_goes_around_all_endpoints() -> None:
+def test_a_single_courier_rotates_over_all_endpoints() -> None:
     drive = Drive(endpoints=5, seed=3)
     found = []
     for number in range(20):
