--- a/wheelstep/policy/choice.py
+++ b/wheelstep/policy/choice.py
@@ -38,6 +38,7 @@
         return api.Holdup.GONE if first is None else first.holdup(now_us)
 
     def _in_doubt(self, destination: Destination) -> bool:
+        """Return whether calls to a destination take long or one of its endpoints is sick."""
         return destination.loop.tau_us >= self._t1_us or any(e.sick for e in destination.endpoints)
 
     def _dispatch(self) -> None:
@@ -73,6 +74,7 @@
                 self._add_bound(self._ready[number], -gain_rate, heads)
 
     def _send_one(self, destination: Destination, heads: list[Message]) -> bool:
+        """Start one call to a destination, or end heads that are too late; return whether it did either."""
         if not destination.window.has_room(destination.calls_out, self._in_doubt(destination)):
             return False
         if too_late := [m for m in heads if self._now + destination.expected_us() > m.due_us]:
--- a/wheelstep/policy/endpoint.py
+++ b/wheelstep/policy/endpoint.py
@@ -29,14 +29,14 @@
 
     endpoint: Endpoint
     sent_us: int
-    trial: bool
+    trial: bool  # sent while the endpoint was sick
     idle_us: int = 0  # how long its connection had been idle when it started
-    size: int = 0
-    open_messages: int = 0
-    judged: bool = False
+    size: int = 0  # in messages
+    open_messages: int = 0  # those without an outcome
+    judged: bool = False  # an outcome has counted for its window and endpoint
     messages: list[Message] = field(default_factory=list)
     later_answers: int = 0  # answered calls that were sent to this endpoint after this one
-    cancelled: bool = False
+    cancelled: bool = False  # its cancellation has been requested
 
 
 class Endpoint:
@@ -54,12 +54,12 @@
         self.usual_us, self._deviation_us, self._last_answer_us = 0.0, 0.0, 0
         self.failures = DecayingSum(4 * promise_us)  # `value` is the recent share of failed calls
         self._ramp_start_us: int | None = None
-        self._next_us, self._last_ok_us, self.last_used_us = 0.0, -math.inf, -1
+        self._next_us, self._last_ok_us, self.last_used_us = 0.0, -math.inf, -1  # -1: no idle connection
         self._base_rate, self._cold_share = 1.0, settings.fall_multiple * settings.cold_from
         self._min_call_us, self._unreported_refusals = 0.0, 0
         # Recent answers, and the time of recent calls.
         self.answers, self.taken = DecayingSum(RATE_WINDOW_US), DecayingSum(RATE_WINDOW_US)
-        self.start_tag = -math.inf  # the start tag of its last call, see spread.py
+        self.start_tag = -math.inf  # of its last call, see spread.py
 
     def add_duration(self, now_us: int, spent_us: float, answered: bool) -> None:
         """Record how long a call took, and whether it was answered."""
--- a/wheelstep/policy/holding.py
+++ b/wheelstep/policy/holding.py
@@ -70,6 +70,7 @@
         return self._destinations[number]
 
     def _forget_destination(self, number: int) -> None:
+        """Drop a destination without endpoints, waiting messages and calls."""
         destination = self._destinations.get(number)
         if destination is not None and not (
                 destination.endpoints or destination.waiting or destination.calls_out):
@@ -185,6 +186,7 @@
         self._close(message)
 
     def _close(self, message: Message) -> None:
+        """Mark a message as ended, and let its key advance."""
         self._dequeue(message)
         self._stale_timers += message.has_timer and not message.done
         message.done = True
--- a/wheelstep/policy/outcomes.py
+++ b/wheelstep/policy/outcomes.py
@@ -18,6 +18,7 @@
     """Handles outcomes and silence, and notes health for a later process."""
 
     def _attempt_ended(self, event: api.AttemptEnded) -> None:
+        """Learn from an attempt's outcome, then close, retry or end its message."""
         message = self._messages.get(event.message)
         if message is None or message.call is None:
             return
@@ -113,6 +114,7 @@
         return self._safe_idle_us + (self._now - self._idle_reset_us) / 10
 
     def _apply_outcome(self, endpoint: Endpoint, event: api.AttemptEnded | api.ProbeEnded) -> None:
+        """Apply an outcome and its limit report to an endpoint; log and note a change of its health."""
         if event.limit is not None:
             endpoint.pacer.report(self._now, event.limit.per_s, event.limit.left)
         self._mark_ready(self._destination(endpoint.info.destination))
@@ -136,6 +138,7 @@
         return [action for action in self._actions if isinstance(action, api.NoteHealth)]
 
     def _restore_health(self, endpoint: Endpoint, event: api.HealthRestored) -> None:
+        """Restore the health of an endpoint, and the window and call time of its destination if recent."""
         endpoint.restore(self._now, event.health, event.ago_us)
         destination = self._destination(endpoint.info.destination)
         if event.ago_us < self._settings.cold_us and event.health.window:
@@ -152,6 +155,7 @@
             self._end(message, EndReason.NOT_REPEATABLE)
 
     def _retry_due(self, message: Message, destination: Destination) -> None:
+        """Queue a message for its retry, or end it if retry control denies that."""
         if not message.done and not destination.loop.may_retry(self._now):
             self._end(message, EndReason.RETRY_DENIED)
         self._enqueue(message)
--- a/wheelstep/policy/pacer.py
+++ b/wheelstep/policy/pacer.py
@@ -7,7 +7,7 @@
 
 from wheelstep.policy.common import RATE_WINDOW_US, SMALL_FLEET, DecayingSum
 
-DECREASE_FACTOR, INCREASE_PER_S = 0.55, 0.2  # of a rate at a refusal; growth a second, in start rates
+DECREASE_FACTOR, INCREASE_PER_S = 0.55, 0.2  # factor at a refusal; growth a second, in start rates
 CALM = 0.85  # of its even part of a limit: a rate that all senders together can keep up
 LOW = 0.4  # of its even part: where the limit is known, no refusal takes a sender below this
 RECOVERY_PER_S = 0.4  # growth from LOW to CALM, in even parts a second
@@ -27,8 +27,7 @@
 
     def __init__(self, senders: int, cooldown_us: int, rng: random.Random) -> None:
         self.rate = self._limit = math.inf
-        self.wait_until_us, self._senders, self._cooldown_us, self.endpoints = (
-            0, senders, cooldown_us, 0)
+        self.wait_until_us, self._senders, self._cooldown_us, self.endpoints = 0, senders, cooldown_us, 0
         self.even = MIN_TOTAL_PER_S / senders  # this sender's even part of the limit, in calls a second
         self._start_rate, self._mean_left, self.last_cut_us, self._rng = MIN_START_PER_S, 0.5, 0, rng
         self._next_us, self._sent, self._last_report_us, self._last_growth_us = (
--- a/wheelstep/policy/ranking.py
+++ b/wheelstep/policy/ranking.py
@@ -51,6 +51,7 @@
         return best
 
     def _rank(self, destination: Destination, ranked: list[tuple[float, int, list[Message]]]) -> None:
+        """Add a destination to the heap `ranked`, or drop it from the ready ones if nothing waits there."""
         self._last_rank_number += 1
         destination.rank_number = self._last_rank_number
         if heads := self._heads(destination):
--- a/wheelstep/policy/sender.py
+++ b/wheelstep/policy/sender.py
@@ -71,6 +71,7 @@
                     self._forget_destination(number)
 
     def _apply_membership(self, event: api.MembershipReceived) -> None:
+        """Apply the list or changes to it; request an unavailable one again, with a wait that doubles."""
         if event.kind is api.ListKind.UNAVAILABLE:
             self._subscribe_wait_us = max(
                 min(self._subscribe_wait_us * 2, self._settings.ask_within_us // 2), self._t1_us)
@@ -85,6 +86,7 @@
             self._apply_entry(info)
 
     def _apply_entry(self, info: api.EndpointInfo) -> None:
+        """Add, change or remove the endpoint of an entry of the list."""
         destination = self._destination(info.destination)
         endpoint = self._endpoints.get(info.endpoint)
         self._mark_ready(destination)
@@ -107,6 +109,7 @@
             (endpoint.mark_draining if info.state is EndpointState.DRAINING else endpoint.mark_up)(self._now)
 
     def _accept(self, event: api.MessageAccepted, enforce_limit: bool = True) -> None:
+        """Hold a new message; `enforce_limit`: refuse the least worth one if the sender is full."""
         cls = self._settings.classes[event.message_class]
         message = self._messages[event.message] = Message(event, cls, self._now)
         if enforce_limit and len(self._messages) >= self._settings.hold_limit:
@@ -137,8 +140,7 @@
             self._advance_key(message.key)  # one with attempts is next even while all keys settle
 
     def _resume_call(self, message: Message, out: api.CallOut) -> None:
-        """Take over a call of an earlier process: it holds its slot, its endpoint and its key as if sent
-        here."""
+        """Take over a call of an earlier process: it holds its slot, endpoint and key as if sent here."""
         self._dequeue(message)
         destination = self._destination(message.destination)
         if out.number not in self._resumed_calls:
