--- a/tests/silent_agent.py
+++ b/tests/silent_agent.py
@@ -1,4 +1,6 @@
-"""A stand-in for the agent that misbehaves at will: each watch that is opened goes by the next word of a script."""
+"""A stand-in for discovery's agent with scripted faults: each watch that is opened behaves as the next word of a
+script.
+"""
 
 from __future__ import annotations
 
@@ -20,31 +22,35 @@
 
 
 def changes(seq: int, whole: bool = False, **fields: Any) -> dict[str, Any]:
+    """Return a list of discovery with one endpoint, named after the version."""
     return {"seq": seq, "whole": whole, "hosts": [host(f"e{seq}", "127.0.0.1:1")], **fields}
 
 
 class Clock:
-    """The loop's time less that in which the loop stood still: a crowded machine is no lateness of what is tested."""
+    """The event loop's time, less the time for which it was blocked: a busy machine must not count as a late
+    courier."""
 
-    stood_s = 0.0
+    blocked_s = 0.0
 
     @classmethod
     async def run(cls) -> None:
+        """Measure for good how long the event loop is blocked."""
         loop = asyncio.get_running_loop()
         while True:
             until_s = loop.time() + 0.05
             await asyncio.sleep(0.05)
-            cls.stood_s += max(0.0, loop.time() - until_s - 0.01)
+            cls.blocked_s += max(0.0, loop.time() - until_s - 0.01)
 
     @classmethod
     def now_s(cls) -> float:
-        return asyncio.get_running_loop().time() - cls.stood_s
+        """Return the loop's time without the blocked time."""
+        return asyncio.get_running_loop().time() - cls.blocked_s
 
 
-class Link(Server):
-    """One connection of a courier. Words: `well` (list and heartbeats), `mute` (no head), `head` (nothing after it),
-    `dribble` (a byte every 0.2 s of a line that never ends), `half` (half a line), `spaces` (dribbled, no line end),
-    `full` (503), `break` (a reset)."""
+class AgentConnection(Server):
+    """One connection of a courier. Words: `well` (list and heartbeats), `mute` (no head), `head` (nothing after the
+    head), `dribble` (every 0.2 s a byte of a line that never ends), `half` (half a line), `spaces` (every 0.2 s a
+    space, no line end), `full` (503), `break` (a reset)."""
 
     def __init__(self, agent: SilentAgent) -> None:
         super().__init__()
@@ -52,6 +58,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def requested(self, request: Request) -> None:
+        """Record a notification, or open a watch with the script's next word."""
         if request.method == "POST":
             self.posts += 1
             self.agent.noticed(self, request.body)
@@ -63,7 +70,7 @@
         self.play(next(self.agent.script, self.agent.last))
 
     def play(self, word: str) -> None:
-        """Go on like that."""
+        """Behave as the word says from now on."""
         self.word = word
         if word in ("full", "break"):
             self.answer(503) if word == "full" else self.abort()
@@ -73,71 +80,76 @@
                 line = json.dumps(changes(self.agent.seq, whole=True)).encode() + b"\n"
                 self.say(line if word == "well" else line[:40])
             if word in ("well", "dribble", "spaces"):
-                self._task = asyncio.create_task(self._go_on(word))
+                self._task = asyncio.create_task(self._keep_sending(word))
 
-    async def _go_on(self, word: str) -> None:
+    async def _keep_sending(self, word: str) -> None:
         self.say(b'{"seq":9,"x":"' if word == "dribble" else b" ")
         while True:
             await asyncio.sleep(HEARTBEAT_S if word == "well" else 0.2)
             self.say({"well": b"\n", "dribble": b"a"}.get(word, b" "))
 
     def say(self, data: bytes) -> None:
+        """Send the data as one chunk."""
         if data:
             self.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def hush(self) -> None:
-        """Nothing more, and the connection stays."""
+        """Send nothing more, and keep the connection open."""
         if self._task is not None:
             self._task.cancel()
 
     def lost(self) -> None:
+        """Stop sending on a closed connection."""
         self.hush()
         self.agent.news.set()
 
 
 class SilentAgent:
-    """Words for the watches in the order of their opening; the last one is for all further."""
+    """An agent whose watches follow the words in the order of their opening; the last word is for all further ones."""
 
     def __init__(self, *script: str) -> None:
         self.script, self.last, self.seq = iter(script), script[-1] if script else "well", 1
-        self.links: list[Link] = []
-        self.opened: list[tuple[Link, int]] = []  # watches, with the version that each asks after
-        self.at: list[float] = []  # when each was
+        self.links: list[AgentConnection] = []
+        self.opened: list[tuple[AgentConnection, int]] = []  # watches, with the version that each starts from
+        self.at: list[float] = []  # when each was opened
         self.news = asyncio.Event()
-        self.noticed: Callable[[Link, bytes], object] = self._take
-        self.takes, self.taken = True, list[bytes]()
+        self.noticed: Callable[[AgentConnection, bytes], object] = self._take
+        self.accepts_posts, self.accepted_posts = True, list[bytes]()
         self.port = Port(self._link)
 
-    def _link(self) -> Link:
-        self.links.append(Link(self))
+    def _link(self) -> AgentConnection:
+        self.links.append(AgentConnection(self))
         return self.links[-1]
 
-    def _take(self, link: Link, body: bytes) -> None:
-        if self.takes:
-            self.taken.append(body)
+    def _take(self, link: AgentConnection, body: bytes) -> None:
+        if self.accepts_posts:
+            self.accepted_posts.append(body)
             link.answer(204)
 
     def whole(self) -> dict[str, Any]:
-        """What a courier finds in its configuration."""
+        """Return the whole list, as in a courier's configuration."""
         return changes(self.seq, whole=True)
 
     async def start(self) -> Address:
+        """Listen; return the address."""
         await self.port.listen()
         self.address = self.port.address
         return Address.parse(self.port.address)
 
     async def until(self, what: Callable[[], object]) -> None:
+        """Wait until the condition holds."""
         async with asyncio.timeout(LIMIT_S):
             while not what():
                 self.news.clear()
                 await self.news.wait()
 
-    def alive(self) -> list[Link]:
-        """The watches that are open."""
+    def alive(self) -> list[AgentConnection]:
+        """Return the open watches."""
         return [link for link in dict.fromkeys(link for link, _ in self.opened) if not link.gone]
 
     async def fill(self) -> list[socket.socket]:
-        """From now on connections neither come up nor are refused, until the sockets are closed and it listens."""
+        """Let connections hang, neither opened nor refused, until the returned sockets are closed and the port
+        listens."""
         self.port.refuse()
         self.port.hush()
         fillers = []
@@ -148,6 +160,7 @@
         return fillers
 
     def close(self) -> None:
+        """Close the listener and all connections."""
         for link in self.links:
             link.hush()
             link.abort()
@@ -155,7 +168,7 @@
 
 
 class Follower:
-    """A watch in this process, and what it has listed."""
+    """A watch in this process, with the lists it received."""
 
     def __init__(self, address: Address, couriers: int = 1, seed: int = 0, seq: int = 0) -> None:
         self.heard: list[tuple[api.ListKind, list[str]]] = []
@@ -168,7 +181,7 @@
         self.news.set()
 
     async def until(self, seq: int, limit_s: float = LIMIT_S) -> float:
-        """Wait until that version is known; when it was."""
+        """Wait until the version is known; return when that was."""
         async with asyncio.timeout(limit_s):
             while self.watch.seq != seq:
                 self.news.clear()
@@ -176,5 +189,6 @@
         return asyncio.get_running_loop().time()
 
     async def stop(self) -> None:
+        """End the watch."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
--- a/tests/test_crossings_listing.py
+++ b/tests/test_crossings_listing.py
@@ -1,4 +1,4 @@
-"""What decides on the watch, without sockets: objects out of bytes, and when which watch is opened and counts."""
+"""The decisions behind the watch, without sockets: parsing of lists, and when which watch is opened and counts."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from wheelstep import Settings
 from wheelstep.courier.hedge import Hedge
 from wheelstep.courier.listing import Listing
-from wheelstep.courier.spread import ANSWER_S, HEARTBEAT_S, MOVED_S, SILENT_S, TOLD_S, longest_s, wait_s
+from wheelstep.courier.spread import ANSWER_S, HEARTBEAT_S, MOVE_LIMIT_S, NEWS_LIMIT_S, SILENCE_S, longest_s, wait_s
 
 
 @pytest.mark.parametrize("indent", [None, 1])
 @pytest.mark.parametrize("end", [b"\n", b"\r\n"])
-def test_a_list_may_be_laid_out_in_any_way_and_cut_at_every_byte(indent: int | None, end: bytes) -> None:
+def test_lists_are_parsed_in_any_layout_and_cut_at_any_byte(indent: int | None, end: bytes) -> None:
+    """Guards against a parser that depends on line ends or read sizes."""
     lists = [changes(1, whole=True, note='"}{\\', more={"a": [{}]}), changes(2), changes(3, hosts=[])]
     texts = [json.dumps(one, indent=indent).encode().replace(b"\n", end) for one in lists]
     text = end + texts[0] + end + end + texts[1] + texts[2] + end
@@ -30,13 +31,15 @@
         assert [one for part in (text[:cut], text[cut:]) for one in listing.feed(part) if one] == lists
 
 
-def test_what_is_no_list_or_too_long_costs_one_line_and_bounded_memory(caplog: pytest.LogCaptureFixture) -> None:
-    listing = Listing(most=1000)
+def test_oversized_list_is_skipped_with_one_log_line_and_junk_is_rejected(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a list that fills memory or the log, and against invalid data that is waited on instead of
+    rejected."""
+    listing = Listing(max_bytes=1000)
     long = json.dumps({"seq": 1, "hosts": ["x" * 50] * 1000}).encode()
     found = []
     for at in range(0, len(long), 100):
         found += list(listing.feed(long[at:at + 100]))
-        assert len(listing._held) <= 1100
+        assert len(listing._buffer) <= 1100
     assert found == [None] and list(listing.feed(b'\n{"seq":2}')) == [None, {"seq": 2}]
     assert [record.getMessage() for record in caplog.records].count(
         "discovery: passed over a list of more than 1000 bytes, 1 on this watch") == 1
@@ -46,33 +49,36 @@
     assert list(Listing().feed(b'{"seq":3}\n{"seq":4,"ho')) == [{"seq": 3}, None]
 
 
-def test_two_hundred_that_fall_silent_at_once_spread_over_what_is_left_and_back_off_after() -> None:
+def test_200_watches_silent_at_once_spread_their_calls_in_time_and_back_off() -> None:
+    """Guards against an overloaded discovery: 200 couriers whose watches fall silent together must not call at
+    once, yet in time, and back off while calls fail."""
     for seed in range(20):
         fleet = [Hedge(200, random.Random(f"{seed} {number}"), 0.0) for number in range(200)]
         first, second, third = [], [], []
         for hedge in fleet:
-            hedge.spoke(hedge.begin(hedge.due_s)[0], now_s := 100.0)
-            first.append(hedge.due_s - now_s)
-            hedge.begin(hedge.due_s)
-            second.append(hedge.due_s - now_s)
-            hedge.begin(hedge.due_s)
-            third.append(hedge.due_s - now_s)
-        assert min(first) >= SILENT_S and max(second) <= TOLD_S - ANSWER_S
+            hedge.received(hedge.open_next(hedge.next_open_s)[0], now_s := 100.0)
+            first.append(hedge.next_open_s - now_s)
+            hedge.open_next(hedge.next_open_s)
+            second.append(hedge.next_open_s - now_s)
+            hedge.open_next(hedge.next_open_s)
+            third.append(hedge.next_open_s - now_s)
+        assert min(first) >= SILENCE_S and max(second) <= NEWS_LIMIT_S - ANSWER_S
         assert max(sum(at <= one < at + 0.5 for one in first) for at in (2.5, 3.0, 3.5)) < 100
-        assert min(third) >= 9.95  # as after a call that was turned away
-        for hedge in fleet:  # one that is turned away, or breaks at once, backs off too
-            number, _ = hedge.begin(at := hedge.due_s)
+        assert min(third) >= 9.95  # as after a rejected call
+        for hedge in fleet:  # a call that is rejected or breaks at once backs off too
+            number, _ = hedge.open_next(at := hedge.next_open_s)
             hedge.ended(number, at + 0.1)
-            assert hedge.due_s - at >= 19.9
+            assert hedge.next_open_s - at >= 19.9
     asking = Settings(classes=(SAFE,), slots=4, senders=200, ask_for_list=True, ask_within_us=10_000_000)
     assert max(wait_s(200, 9, random.Random(seed), most_s=longest_s(asking)) for seed in range(99)) <= 40.0
     lost = Hedge(200, random.Random(1), 0.0)
-    lost.spoke(number := lost.begin(0.0)[0], 50.0)
+    lost.received(number := lost.open_next(0.0)[0], 50.0)
     lost.ended(number, 50.0)
-    assert lost.due_s <= 55.0  # well for long, and lost: not a call that failed
+    assert lost.next_open_s <= 55.0  # it worked for long and was lost, which is no failed call
 
 
-def test_any_order_of_events_keeps_two_open_at_most_and_a_next_call_in_time() -> None:
+def test_any_order_of_events_keeps_at_most_two_watches_open_and_the_next_call_in_time() -> None:
+    """Guards against an order of events that opens a third watch, or after which no next call is scheduled in time."""
     seed = int(os.environ.get("CROSSINGS_SEED", random.randrange(1 << 30)))
     print(f"CROSSINGS_SEED={seed}")
     rng = random.Random(seed)
@@ -81,25 +87,25 @@
         hedge, opened = Hedge(couriers, rng, 0.0, 40.0), set[int]()
         for _ in range(60):
             event = rng.choice(("due", "due", "spoke", "ended", "stale", "move"))
-            now_s = max(now_s, hedge.due_s) if event == "due" else now_s + rng.uniform(0.0, 0.5)
+            now_s = max(now_s, hedge.next_open_s) if event == "due" else now_s + rng.uniform(0.0, 0.5)
             if event == "due":
-                number, ended = hedge.begin(now_s)
+                number, ended = hedge.open_next(now_s)
                 opened = {*opened, number} - set(ended)
             elif event == "spoke" and opened:
                 one = rng.choice(sorted(opened))
-                assert set(hedge.spoke(one, now_s)) == opened - {one}
+                assert set(hedge.received(one, now_s)) == opened - {one}
                 opened = {one}
-                assert HEARTBEAT_S < hedge.due_s - now_s <= TOLD_S - ANSWER_S + 1e-9
+                assert HEARTBEAT_S < hedge.next_open_s - now_s <= NEWS_LIMIT_S - ANSWER_S + 1e-9
             elif event == "ended" and opened:
                 hedge.ended(one := rng.choice(sorted(opened)), now_s)
                 opened.discard(one)
             elif event == "stale":
-                due_s = hedge.due_s
+                next_open_s = hedge.next_open_s
                 hedge.ended(-1, now_s)
-                assert hedge.due_s == due_s
+                assert hedge.next_open_s == next_open_s
             elif event == "move":
                 assert set(hedge.move(now_s)) == opened
                 opened = set()
-                assert hedge.due_s - now_s <= MOVED_S - ANSWER_S + 1e-9
+                assert hedge.next_open_s - now_s <= MOVE_LIMIT_S - ANSWER_S + 1e-9
             assert len(opened) <= 2 and all(one in hedge for one in opened)
-            assert hedge.due_s - now_s <= (SILENT_S if couriers == 1 else 40.0) + 1e-9
+            assert hedge.next_open_s - now_s <= (SILENCE_S if couriers == 1 else 40.0) + 1e-9
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list: every silence that the platform's pages name, forced on loopback sockets."""
+"""The watch on the list: every silence that the platform's pages name, reproduced on loopback sockets."""
 
 from __future__ import annotations
 
@@ -14,66 +14,67 @@
 from loopback import Courier, run
 from silent_agent import Clock, Follower, SilentAgent, changes
 
-from wheelstep.courier.spread import MOVED_S, SILENT_S, TOLD_S
+from wheelstep.courier.spread import MOVE_LIMIT_S, NEWS_LIMIT_S, SILENCE_S
 from wheelstep.interface import ListKind
 
-GRACE_S = 0.25  # what the settings of the site allow a courier after it was told of a drain
+GRACE_S = 0.25  # time the site's settings allow a courier after a drain was announced
 
 
-def together(*scenes: Coroutine[Any, Any, None]) -> None:
-    """Scenes that wait for the clock wait side by side."""
+def run_together(*scenarios: Coroutine[Any, Any, None]) -> None:
+    """Run scenarios that wait for the clock side by side."""
     async def all_of_them() -> None:
         clock = asyncio.create_task(Clock.run())
         async with asyncio.TaskGroup() as group:
-            for scene in scenes:
-                group.create_task(scene)
+            for scenario in scenarios:
+                group.create_task(scenario)
         clock.cancel()
     run(all_of_them())
 
 
-async def known_again(agent: SilentAgent, couriers: int = 1, seed: int = 0, fill: float = 0.0) -> None:
-    """A watch is well, then silent as the script says; news that came at that moment is known in time."""
+async def known_in_time(agent: SilentAgent, couriers: int = 1, seed: int = 0, fill: float = 0.0) -> None:
+    """A watch works, then falls silent as the script says; a change made at that moment is known in time."""
     follower = Follower(await agent.start(), couriers, seed)
     await follower.until(1)
     silent_at, agent.seq = Clock.now_s(), 2
     agent.opened[0][0].hush()
-    if fill:  # connections hang from now on, and come up again after so long
+    if fill:  # connections hang from now on, and open again after this long
         fillers = await agent.fill()
         await asyncio.sleep(fill)
         for filler in fillers:
             filler.close()
         await agent.port.listen()
     await follower.until(2)
-    assert Clock.now_s() - silent_at < TOLD_S, [link.word for link, _ in agent.opened]
-    await agent.until(lambda: len(agent.alive()) == 1)  # the one that spoke
+    assert Clock.now_s() - silent_at < NEWS_LIMIT_S, [link.word for link, _ in agent.opened]
+    await agent.until(lambda: len(agent.alive()) == 1)  # the one that received something
     await follower.stop()
     agent.close()
 
 
-def test_after_any_silence_the_list_is_known_before_it_counts_as_told() -> None:
-    """Without the mend: 9.5 s where the successor is silent too; one that dribbles was never given up."""
+def test_change_during_any_silence_is_known_within_the_news_limit() -> None:
+    """Guards against silence that lasts too long: without hedging 9.5 s, and for ever with a slow drip."""
     words = ("mute", "head", "dribble", "half", "spaces")
-    together(*(known_again(SilentAgent("well", word, "well")) for word in (*words, "full", "break")),
-             *(known_again(SilentAgent("well", word, "well"), 200, seed) for seed, word in enumerate(words)),
-             *(known_again(SilentAgent("well"), couriers) for couriers in (1, 4, 200)),
-             known_again(SilentAgent("well"), fill=4.0))
+    run_together(*(known_in_time(SilentAgent("well", word, "well")) for word in (*words, "full", "break")),
+                 *(known_in_time(SilentAgent("well", word, "well"), 200, seed) for seed, word in enumerate(words)),
+                 *(known_in_time(SilentAgent("well"), couriers) for couriers in (1, 4, 200)),
+                 known_in_time(SilentAgent("well"), fill=4.0))
 
 
 async def silent_watch(word: str) -> None:
     agent, began = SilentAgent(word, word, "well"), Clock.now_s()
     follower = Follower(await agent.start())
     await follower.until(1)
-    assert Clock.now_s() - began < TOLD_S
+    assert Clock.now_s() - began < NEWS_LIMIT_S
     await follower.stop()
     agent.close()
 
 
-def test_the_clock_of_silence_is_one_for_all_steps_and_belongs_to_the_last_whole_line() -> None:
-    together(*(silent_watch(word) for word in ("mute", "head", "dribble", "half", "spaces")))
+def test_silence_limit_covers_every_step_and_starts_at_the_last_whole_line() -> None:
+    """Guards against a step of a watch that no time limit covers: connecting, the head, or a line in parts."""
+    run_together(*(silent_watch(word) for word in ("mute", "head", "dribble", "half", "spaces")))
 
 
 async def outage(down_s: float) -> None:
-    """The agent takes connections and says nothing; at its return it speaks on all that stand."""
+    """The agent accepts connections and sends nothing; once back, it sends on all open ones."""
     agent = SilentAgent("well", "mute")
     follower = Follower(await agent.start())
     await follower.until(1)
@@ -90,13 +91,13 @@
     agent.close()
 
 
-def test_while_discovery_is_down_a_request_always_waits_for_its_return() -> None:
-    """It is down for 8 s and the last line was up to 2 s before. Without the mend: none was open at 9.1 s and later, in
-    the wait between the second that was given up and the next."""
-    together(*(outage(down_s) for down_s in (SILENT_S, 2 * SILENT_S, 2 * SILENT_S + 0.1, 9.1, 9.2, 9.3)))
+def test_a_watch_is_open_at_all_times_while_discovery_is_down() -> None:
+    """Guards against an outage's end that no watch notices: without hedging none was open at 9.1 s (8 s down, and
+    the last line up to 2 s before), between the second ended watch and the next."""
+    run_together(*(outage(down_s) for down_s in (SILENCE_S, 2 * SILENCE_S, 2 * SILENCE_S + 0.1, 9.1, 9.2, 9.3)))
 
 
-def test_the_older_watch_may_speak_first_and_both_may_in_one_turn() -> None:
+def test_list_is_applied_once_if_the_older_or_both_open_watches_receive_it() -> None:
     async def older_first() -> None:
         agent = SilentAgent("well", "mute", "well")
         follower = Follower(await agent.start())
@@ -109,7 +110,6 @@
         assert len(agent.alive()) == 1 and agent.opened[1][1] == 1
         await follower.stop()
         agent.close()
-
     async def one_turn(order: tuple[int, int]) -> None:
         agent = SilentAgent("well", "mute", "well")
         follower = Follower(await agent.start())
@@ -127,26 +127,26 @@
         assert len(follower.heard) == 2  # the first list, and this version once
         await follower.stop()
         agent.close()
-    together(older_first(), one_turn((0, 1)), one_turn((1, 0)))
+    run_together(older_first(), one_turn((0, 1)), one_turn((1, 0)))
 
 
-def test_a_line_that_came_while_the_loop_stood_still_is_read_before_its_lateness_is_judged() -> None:
-    async def scene() -> None:
+def test_line_received_while_the_loop_was_blocked_does_not_count_as_late() -> None:
+    async def scenario() -> None:
         agent = SilentAgent("well")
         follower = Follower(await agent.start())
         await follower.until(1)
         agent.opened[0][0].say(b"\n")
-        time.sleep(SILENT_S + 0.1)  # both are due in the next turn
+        time.sleep(SILENCE_S + 0.1)  # both are due in the next turn
         await asyncio.sleep(0.1)
         assert len(agent.opened) == 1
         await follower.stop()
         agent.close()
-    run(scene())
+    run(scenario())
 
 
-def test_a_move_outruns_what_the_place_before_has_written_and_any_wait(caplog: pytest.LogCaptureFixture) -> None:
-    """Without the mend: after a call that was turned away the wait of 10 s and more was sat out."""
-    async def scene(couriers: int, seed: int) -> None:
+def test_move_ignores_what_the_old_address_has_written_and_ends_any_wait(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a move that sits out the wait of 10 s and more after a rejected call."""
+    async def scenario(couriers: int, seed: int) -> None:
         before, after = SilentAgent("well"), SilentAgent("well")
         follower = Follower(await before.start(), couriers, seed)
         await follower.until(1)
@@ -154,13 +154,12 @@
         before.opened[0][0].say(json.dumps(changes(99)).encode() + b"\n")
         follower.watch.move(await after.start())  # in the turn in which that was written
         after.seq = 7
-        assert await follower.until(7) - moved_at < (MOVED_S if couriers > 1 else GRACE_S)
+        assert await follower.until(7) - moved_at < (MOVE_LIMIT_S if couriers > 1 else GRACE_S)
         assert after.opened[0][1] == 0 and [names for _, names in follower.heard] == [["e1"], ["e7"]]
         await before.until(lambda: not before.alive())
         await follower.stop()
         before.close()
         after.close()
-
     async def in_a_wait() -> None:
         before, after = SilentAgent("full"), SilentAgent("well")
         follower = Follower(await before.start(), 200, 5)
@@ -168,18 +167,18 @@
             await asyncio.sleep(0.01)
         moved_at = asyncio.get_running_loop().time()
         follower.watch.move(await after.start())
-        assert await follower.until(1) - moved_at < MOVED_S
+        assert await follower.until(1) - moved_at < MOVE_LIMIT_S
         await follower.stop()
         before.close()
         after.close()
     caplog.set_level(logging.INFO)
-    together(in_a_wait(), *(scene(couriers, seed) for couriers in (1, 200) for seed in range(4)))
+    run_together(in_a_wait(), *(scenario(couriers, seed) for couriers in (1, 200) for seed in range(4)))
 
 
 @pytest.mark.parametrize("indent", [None, 1])
-def test_a_list_may_come_indented_and_in_pieces_and_the_watch_goes_on(indent: int | None) -> None:
-    """Without the mend: an indented list ended the watch at its first line, and none was ever known."""
-    async def scene() -> None:
+def test_indented_list_in_pieces_is_read_and_the_watch_continues(indent: int | None) -> None:
+    """Guards against an indented list that ends the watch at its first line, so that no list is known."""
+    async def scenario() -> None:
         agent = SilentAgent("head")
         follower = Follower(await agent.start())
         await agent.until(lambda: agent.opened)
@@ -192,11 +191,11 @@
         assert [names for _, names in follower.heard] == [["e1"], ["e2"], []] and len(agent.opened) == 1
         await follower.stop()
         agent.close()
-    run(scene())
+    run(scenario())
 
 
-def test_rows_that_cannot_be_read_cost_one_line_and_the_others_count(caplog: pytest.LogCaptureFixture) -> None:
-    async def scene() -> None:
+def test_unreadable_rows_are_skipped_with_one_log_line(caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
         agent = SilentAgent("head")
         follower = Follower(await agent.start())
         await agent.until(lambda: agent.opened)
@@ -207,30 +206,31 @@
         assert caplog.text.count("passed over") == caplog.text.count("passed over 50 of 51 entries, the first") == 1
         await follower.stop()
         agent.close()
-    run(scene())
+    run(scenario())
 
 
-def test_a_watch_never_goes_over_a_connection_that_notices_left(tmp_path: Path) -> None:
-    """Without the mend: the watch after a break took the kept connection of the notices, silent since."""
-    async def scene() -> None:
+def test_watch_does_not_reuse_a_connection_of_the_notifications(tmp_path: Path) -> None:
+    """Guards against a watch on a kept connection of the notifications, which had been silent since."""
+    async def scenario() -> None:
         agent = SilentAgent("well")
         await agent.start()
         courier = Courier(tmp_path, agent)  # type: ignore[arg-type]
         await courier.start()
         assert await courier.hand_in("m1", X_Deadline_Ms="1") == 202
-        await agent.until(lambda: agent.taken)
+        await agent.until(lambda: agent.accepted_posts)
         agent.opened[0][0].abort()
         await agent.until(lambda: len(agent.opened) == 2)
         assert agent.opened[1][0].posts == 0
         await courier.kill()
         agent.close()
-    run(scene())
+    run(scenario())
 
 
-def test_sighup_in_the_middle_of_a_silence_moves_the_watch_and_what_is_owed(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_sighup_during_a_silence_moves_the_watch_and_owed_notifications(tmp_path: Path) -> None:
+    """Guards against a move that waits for a silent watch or loses a notification."""
+    async def scenario() -> None:
         before, after = SilentAgent("well"), SilentAgent("well")
-        before.takes = False
+        before.accepts_posts = False
         await before.start()
         courier = Courier(tmp_path, before)  # type: ignore[arg-type]
         await courier.start()
@@ -240,11 +240,11 @@
         after.seq = 7
         await after.start()
         courier.renew(courier.config(after))  # type: ignore[arg-type]
-        async with asyncio.timeout(MOVED_S):
-            await after.until(lambda: after.taken and after.opened)
-        assert b"m1" in after.taken[0] and after.opened[0][1] == 0
+        async with asyncio.timeout(MOVE_LIMIT_S):
+            await after.until(lambda: after.accepted_posts and after.opened)
+        assert b"m1" in after.accepted_posts[0] and after.opened[0][1] == 0
         await before.until(lambda: not before.alive())
         await courier.kill()
         before.close()
         after.close()
-    run(scene())
+    run(scenario())
--- a/wheelstep/courier/listing.py
+++ b/wheelstep/courier/listing.py
@@ -1,4 +1,4 @@
-"""What discovery writes: JSON objects out of a stream of bytes, and the entries of one. No I/O."""
+"""Parses discovery's stream: JSON objects out of bytes, and the entries of one. No I/O."""
 
 from __future__ import annotations
 
@@ -11,89 +11,90 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import UNREADABLE, Address, Names
 
-MOST_BYTES = 24 << 20  # of one list: 80,000 indented entries; it is held whole until its end, so this bounds memory
+MAX_BYTES = 24 << 20  # of one list, which is buffered whole: 80,000 indented entries; bounds the memory
 
-# Possessive: nothing is ever tried twice, so the cost is linear in what comes.
-_BETWEEN = re.compile(rb"[ \t\r]*+")
-_BARE = re.compile(rb'(?:[^"{}]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)  # up to a brace, or to a string's open end
-_QUOTED = re.compile(rb'(?:[^"\\]++|\\.)*+', re.DOTALL)  # up to a string's end, or to a backslash that is the last byte
+# Possessive quantifiers never backtrack, so the cost is linear in the input.
+_BLANKS = re.compile(rb"[ \t\r]*+")
+_OUTSIDE = re.compile(rb'(?:[^"{}]++|"(?:[^"\\]++|\\.)*+")*+', re.DOTALL)  # up to a brace or an unfinished string
+_INSIDE = re.compile(rb'(?:[^"\\]++|\\.)*+', re.DOTALL)  # up to a string's end, or to a backslash that is the last byte
 
 log = logging.getLogger(__name__)
 
 
 class Listing:
-    """The objects in what one watch brings, however they are laid out over lines and reads. What is over `most` bytes
-    is passed over and not kept. `loads` reads one object's bytes; raises `ValueError`."""
+    """Splits the bytes of one watch into objects, however they are laid out over lines and reads. Objects longer
+    than `max_bytes` are skipped and not buffered. `loads` parses one object's bytes and may raise `ValueError`."""
 
-    def __init__(self, most: int = MOST_BYTES, loads: Callable[[bytearray], dict[str, Any]] = json.loads) -> None:
-        self._most, self._loads, self._held = most, loads, bytearray()
-        self._at = self._depth = 0  # what stands before `_at` has been looked at
-        self._quoted = self._over = False  # inside a string; inside an object that is too long
-        self._passed = 0
+    def __init__(self, max_bytes: int = MAX_BYTES, loads: Callable[[bytearray], dict[str, Any]] = json.loads) -> None:
+        self._limit, self._loads, self._buffer = max_bytes, loads, bytearray()
+        self._position = self._depth = 0  # bytes before `_position` have been scanned
+        self._in_string = self._too_long = False  # inside a string; inside an object that is too long
+        self._skipped = 0
 
     def feed(self, data: bytes) -> Iterator[dict[str, Any] | None]:
-        """Every sign that the other side is well, in order: an object that has come whole, or None for the end of a
-        line between objects and for an object that was too long. Raises `ValueError` at what is no such thing."""
-        held, begin = self._held, 0
-        held += data
-        while self._at < len(held):
+        """Yield every sign of life, in order: a complete object, or None for a line end between objects and for an
+        object that was too long. Raises `ValueError` for anything else."""
+        buffer, begin = self._buffer, 0
+        buffer += data
+        while self._position < len(buffer):
             if not self._depth:
-                begin = self._at = self._skip(held)
-                if self._at == len(held):
+                begin = self._position = self._skip_blanks(buffer)
+                if self._position == len(buffer):
                     break
-                if held[self._at] == 0x0A:
-                    begin = self._at = self._at + 1
+                if buffer[self._position] == 0x0A:
+                    begin = self._position = self._position + 1
                     yield None
                     continue
-                if held[self._at] != 0x7B:
-                    raise ValueError(f"no list: {bytes(held[self._at:self._at + 80])!r}")
-            if not self._walk(held):
+                if buffer[self._position] != 0x7B:
+                    raise ValueError(f"expected a JSON object: {bytes(buffer[self._position:self._position + 80])!r}")
+            if not self._scan_object(buffer):
                 break
-            if self._over or self._at - begin > self._most:
-                self._over = False
-                self._pass_over()
+            if self._too_long or self._position - begin > self._limit:
+                self._too_long = False
+                self._report_skipped()
                 yield None
             else:
-                yield self._loads(held[begin:self._at])
-            begin = self._at
-        if self._depth and (self._over or len(held) - begin > self._most):
-            self._over, begin = True, self._at
-        del held[:begin]
-        self._at -= begin
+                yield self._loads(buffer[begin:self._position])
+            begin = self._position
+        if self._depth and (self._too_long or len(buffer) - begin > self._limit):
+            self._too_long, begin = True, self._position
+        del buffer[:begin]
+        self._position -= begin
 
-    def _skip(self, held: bytearray) -> int:
-        found = _BETWEEN.match(held, self._at)
-        assert found is not None  # it matches nothing too
+    def _skip_blanks(self, buffer: bytearray) -> int:
+        found = _BLANKS.match(buffer, self._position)
+        assert found is not None  # it also matches the empty string
         return found.end()
 
-    def _walk(self, held: bytearray) -> bool:
-        """Go on to the end of the object; False where it has not come yet."""
-        while self._at < len(held):
-            found = (_QUOTED if self._quoted else _BARE).match(held, self._at)
+    def _scan_object(self, buffer: bytearray) -> bool:
+        """Scan to the end of the object; return False if it has not come yet."""
+        while self._position < len(buffer):
+            found = (_INSIDE if self._in_string else _OUTSIDE).match(buffer, self._position)
             assert found is not None
-            self._at = found.end()
-            if self._at == len(held) or (byte := held[self._at]) == 0x5C:
+            self._position = found.end()
+            if self._position == len(buffer) or (byte := buffer[self._position]) == 0x5C:
                 return False
-            self._at += 1
+            self._position += 1
             if byte == 0x22:
-                self._quoted = not self._quoted
+                self._in_string = not self._in_string
             else:
                 self._depth += 1 if byte == 0x7B else -1
                 if not self._depth:
                     return True
         return False
 
-    def _pass_over(self) -> None:
-        self._passed += 1
-        log.warning("discovery: passed over a list of more than %d bytes, %d on this watch", self._most, self._passed)
+    def _report_skipped(self) -> None:
+        self._skipped += 1
+        log.warning("discovery: passed over a list of more than %d bytes, %d on this watch", self._limit, self._skipped)
 
 
 def entries(data: Mapping[str, Any], names: Names) -> list[tuple[api.EndpointInfo, Address]]:
-    """The entries of a list that can be read."""
+    """Return the entries of a list that can be read; others are counted and logged. Raises `ValueError` if `hosts`
+    is not a list."""
     found, passed, first = [], 0, ""
     rows = data.get("hosts") or ()
     if not isinstance(rows, list | tuple):
-        raise ValueError("hosts is no list")
+        raise ValueError("hosts is not a list")
     for row in rows:
         try:
             found.append(names.entry(row))
--- a/wheelstep/courier/rows.py
+++ b/wheelstep/courier/rows.py
@@ -1,4 +1,4 @@
-"""The list's rows on their way to another process of the same courier. No I/O."""
+"""Serialises the list's rows for another process of the same courier. No I/O."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def write_rows(rows: Iterable[Row]) -> list[list[Any]]:
-    """A list's rows, for another process."""
+    """Return the rows as plain lists for another process."""
     return [[info.endpoint, info.destination, info.kind, info.zone, info.state.value, info.weight,
              address.host, address.port] for info, address in rows]
 
 
 def read_rows(rows: Iterable[list[Any]]) -> list[Row]:
-    """The same, read."""
+    """Return the rows that `write_rows` wrote."""
     return [(api.EndpointInfo(endpoint, destination, kind, zone, api.EndpointState(state), weight),
              Address(host, port)) for endpoint, destination, kind, zone, state, weight, host, port in rows]
--- a/wheelstep/courier/spread.py
+++ b/wheelstep/courier/spread.py
@@ -1,4 +1,4 @@
-"""How calls of many couriers to one place are kept apart. Decisions only: no I/O, no clock."""
+"""Spreads the calls of many couriers to one service over time. Decides only: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,38 +7,42 @@
 
 from wheelstep.interface import Settings
 
-HEARTBEAT_S = 2.0  # while nothing changes, a watch brings an empty line so often (PROTOCOL, 'Discovery')
-TOLD_S = 6.0  # news counts as told so long after a watch fell silent (STANDING; PROTOCOL, 'Figures')
-MOVED_S = 4.0  # and so long after SIGHUP (STANDING)
-ANSWER_S = 1.0  # of these, left for the answer: discovery gets calls of all couriers, and a long list takes reading
-SILENT_S = HEARTBEAT_S * 1.25  # a line that is late by a quarter is no silence yet
-AGAIN_S = 0.25  # the shortest wait before a call that failed is tried again
-FIRST_MOST_S = TOLD_S - ANSWER_S  # a start: also where nobody asked
-CALL_S = 0.1  # for each courier that there is, the calls of all are spread over so long
-STEPS = 2  # so often the span doubles from failure to failure
+HEARTBEAT_S = 2.0  # interval of the empty lines on a watch without changes (PROTOCOL, 'Discovery')
+NEWS_LIMIT_S = 6.0  # a change counts as known this long after a watch fell silent (STANDING; PROTOCOL, 'Figures')
+MOVE_LIMIT_S = 4.0  # and this long after SIGHUP (STANDING)
+ANSWER_S = 1.0  # part of these left for the answer: all couriers call discovery, and long lists take time to read
+SILENCE_S = HEARTBEAT_S * 1.25  # a line that is late by a quarter does not count as silence yet
+AGAIN_S = 0.25  # shortest wait before a failed call is repeated
+FIRST_MOST_S = NEWS_LIMIT_S - ANSWER_S  # longest first wait; kept at a start as well, where no rule demands it
+CALL_S = 0.1  # span per courier over which the calls of all are spread
+STEPS = 2  # number of times the span doubles with consecutive failures
 
 
 def callers(settings: Settings) -> int:
-    """How many call discovery itself: all couriers where each has to ask for the list. Else changes come to an agent
-    beside each, count as told from then on, and asking it costs discovery nothing (PROTOCOL, 'Discovery'): 1."""
+    """Return how many couriers call discovery itself.
+
+    All, if each has to ask for the list. Otherwise an agent beside each courier pushes changes, which count as
+    known from then on, and asking it costs discovery nothing (PROTOCOL, 'Discovery'): 1.
+    """
     return settings.senders if settings.ask_for_list else 1
 
 
 def longest_s(settings: Settings) -> float:
-    """The longest wait after failures: a courier whose call failed and that has not asked for four times
-    `ask_within_us` counts as told (WIRE, 'Settings')."""
+    """Return the longest wait after failures: a courier whose call failed and that has not asked for four times
+    `ask_within_us` counts as informed (WIRE, 'Settings')."""
     return settings.ask_within_us * 4 / 1e6 or math.inf
 
 
 def wait_s(couriers: int, failures: int, rng: random.Random, lasted_s: float = 0.0, most_s: float = math.inf) -> float:
-    """Seconds to wait before the next call, after so many failed ones in a row (0: the first since a start, or
-    since the place moved or a watch was lost). `lasted_s`: for so long the call before had gone on.
-
-    Jitter over a span that grows with the number of couriers and doubles with each failure, up to `most_s`. Guards a
-    place that takes so many calls a second from all couriers, turned-away ones among them, against all at once, as at a
-    release; and against being kept there by their repeated calls. It harms a courier that alone had bad luck: it hears
-    of changes some seconds later. One courier begins at once, and its first two calls begin `AGAIN_S` apart; see
-    `callers`."""
+    """Return the seconds to wait before the next call, after `failures` consecutive failed calls (0: the first
+    since a start, a move of discovery, or a lost watch). The call before lasted for `lasted_s`.
+
+    Jitter over a span that grows with the number of couriers and doubles with each failure, up to `most_s`. It
+    protects a service that takes only so many calls a second from all couriers, rejected ones included, against all
+    calling at once, as at a release, and against staying overloaded by their repeated calls. The cost: a courier
+    whose call alone failed hears of changes some seconds later. A single courier begins at once, and its first two
+    calls begin `AGAIN_S` apart; see `callers`.
+    """
     if couriers <= 1 and failures == 1:
         return max(0.0, AGAIN_S - lasted_s)
     span_s = max(couriers - 1, 0) * CALL_S
@@ -48,18 +52,21 @@
     return max(AGAIN_S, rng.uniform(span_s / 2, span_s))
 
 
-def silent_s(couriers: int, failures: int, prompt: bool, rng: random.Random, most_s: float = math.inf) -> float:
-    """Seconds of silence after which a watch is opened beside the one that says nothing. `prompt`: that one is a new
-    call, first at its place or first after one that had been well. `failures`: so many calls in a row were turned away,
-    or said nothing either.
+def silence_limit_s(couriers: int, failures: int, prompt: bool, rng: random.Random, most_s: float = math.inf) -> float:
+    """Return the seconds of silence after which another watch is opened beside a silent one.
+
+    `prompt`: that watch is a new call, the first to its address or the first after a working one. `failures`: the
+    number of consecutive calls that were rejected or silent too.
 
-    All may have fallen silent at once, and news counts as told `TOLD_S` after that: first calls are spread over what
-    is left of it beside a second call, which follows once an answer is overdue. Then it may be an outage: as if they
-    had failed. An agent beside the courier is asked at no cost: as soon as it is seen, and again and again."""
+    All watches may have fallen silent at once, and a change counts as known `NEWS_LIMIT_S` after that: first calls
+    are spread over the rest of that time, less a second call, which follows once an answer is overdue. After that
+    it may be an outage, and the wait is as after failed calls. An agent beside the courier is asked at no cost: as
+    soon as its silence is noticed, and repeatedly.
+    """
     if prompt:
         return ANSWER_S
     if couriers <= 1:
-        return SILENT_S
+        return SILENCE_S
     if not failures:
-        return SILENT_S + rng.uniform(0.0, min((couriers - 1) * CALL_S, TOLD_S - SILENT_S - 2 * ANSWER_S))
-    return max(SILENT_S, wait_s(couriers, failures, rng, most_s=most_s))
+        return SILENCE_S + rng.uniform(0.0, min((couriers - 1) * CALL_S, NEWS_LIMIT_S - SILENCE_S - 2 * ANSWER_S))
+    return max(SILENCE_S, wait_s(couriers, failures, rng, most_s=most_s))
--- a/wheelstep/courier/watch.py
+++ b/wheelstep/courier/watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list."""
+"""Watches discovery's list of endpoints."""
 
 from __future__ import annotations
 
@@ -17,89 +17,92 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import Address, Names
 from wheelstep.courier.hedge import Hedge
-from wheelstep.courier.listing import MOST_BYTES, Listing, entries
+from wheelstep.courier.listing import MAX_BYTES, Listing, entries
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # optional features are imported only when enabled
     from wheelstep.account.writer import Account
 
-_NO_LIMIT = aiohttp.ClientTimeout(total=None, sock_connect=None)  # `Hedge` ends what says nothing, at every step alike
-_FRESH_S = 0.001  # an ended watch leaves no connection for the next: one that is silent would be silent there too
+_NO_LIMIT = aiohttp.ClientTimeout(total=None, sock_connect=None)  # `Hedge` ends silent watches, at every step alike
+_KEEPALIVE_S = 0.001  # no connection is reused for the next watch, as a silent one would stay silent
 
 log = logging.getLogger(__name__)
 
-Entries = Callable[[Mapping[str, Any], Names], list[Any]]
-Listed = Callable[[api.ListKind, list[Any]], None]
-"""What comes of a list: its rows as `Reading.entries` gives them, which are a courier's rows unless said otherwise."""
+EntryReader = Callable[[Mapping[str, Any], Names], list[Any]]
+OnList = Callable[[api.ListKind, list[Any]], None]
+"""Receives a list's rows as `Reading.entries` returns them: a courier's rows by default."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """How lists are read: the most bytes of one, one's bytes to an object, and that to rows. Both raise
-    `ValueError`."""
+    """How lists are parsed: the size limit of one, and functions from its bytes to an object and from that to rows.
+    Both functions raise `ValueError`."""
 
-    most_bytes: int = MOST_BYTES
+    max_bytes: int = MAX_BYTES
     loads: Callable[[bytearray], dict[str, Any]] = json.loads
-    entries: Entries = entries
+    entries: EntryReader = entries
 
 
-_READING = Reading()
+_DEFAULT_READING = Reading()
 
 
 class Watch:
-    """Follows discovery for good: through silence, garbage and broken connections. The seed spreads the calls of
-    `couriers` (see `spread.callers`) that lost it at the same moment; `most_s`: see `spread.longest_s`."""
+    """Follows discovery indefinitely, through silence, invalid data and broken connections.
 
-    def __init__(self, discovery: Address, names: Names, seq: int, listed: Listed, couriers: int = 1, seed: int = 0,
-                 most_s: float = math.inf, reading: Reading = _READING) -> None:
-        self._discovery, self._names, self._listed, self._seq = discovery, names, listed, seq
+    The seed spreads the calls of `couriers` couriers (see `spread.callers`) that lost discovery at the same moment;
+    `most_s`: see `spread.longest_s`.
+    """
+
+    def __init__(self, discovery: Address, names: Names, seq: int, on_list: OnList, couriers: int = 1, seed: int = 0,
+                 most_s: float = math.inf, reading: Reading = _DEFAULT_READING) -> None:
+        self._discovery, self._names, self._on_list, self._seq = discovery, names, on_list, seq
         self._couriers, self._rng, self._most_s = couriers, random.Random(f"watch {seed}"), most_s
         self._reading = reading
         self._hedge: Hedge | None = None
-        self._open: dict[int, asyncio.Task[None]] = {}
-        self._answered, self._sooner = asyncio.Event(), asyncio.Event()
+        self._tasks: dict[int, asyncio.Task[None]] = {}
+        self._first_answer, self._rescheduled = asyncio.Event(), asyncio.Event()
         self.account: Account | None = None
 
     @property
     def seq(self) -> int:
-        """The version of the list that is known."""
+        """The version of the known list."""
         return self._seq
 
     def move(self, discovery: Address) -> None:
-        """Follow discovery at another address, from its whole list on: it may count in its own way. Nothing that
-        the one before still says is heard, however much of it has come."""
+        """Follow discovery at another address, starting with its whole list, as it may number versions differently.
+        Anything still received from the old address is ignored."""
         self._seq, self._discovery = 0, discovery
         if self._hedge is not None:
-            self._end(self._hedge.move(asyncio.get_running_loop().time()))
-            self._sooner.set()
+            self._cancel(self._hedge.move(asyncio.get_running_loop().time()))
+            self._rescheduled.set()
 
     async def told(self, within_s: float) -> None:
-        """Wait for the first answer, for so long at most. At once where calls are spread."""
+        """Wait for the first answer, for `within_s` at most. Returns at once where calls are spread."""
         if self._couriers <= 1:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._answered.wait(), within_s)
+                await asyncio.wait_for(self._first_answer.wait(), within_s)
 
     async def run(self) -> None:
-        """Watch, and begin again from the last version whenever a watch ends or says nothing."""
+        """Keep a watch open; open another from the last version whenever one ends or is silent."""
         loop = asyncio.get_running_loop()
         self._hedge = hedge = Hedge(self._couriers, self._rng, loop.time(), self._most_s)
-        async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(keepalive_timeout=_FRESH_S),
+        async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(keepalive_timeout=_KEEPALIVE_S),
                                          auto_decompress=False, trust_env=False) as http, asyncio.TaskGroup() as group:
             while True:
-                while (left_s := hedge.due_s - loop.time()) > 0:  # a line that came meanwhile has moved it on
+                while (left_s := hedge.next_open_s - loop.time()) > 0:  # a line received meanwhile postpones it
                     with suppress(TimeoutError):
-                        await asyncio.wait_for(self._sooner.wait(), left_s)
-                    self._sooner.clear()
-                if self._open:
-                    log.info("discovery: a watch says nothing, the next is opened beside it")
-                number, ended = hedge.begin(loop.time())
-                self._end(ended)
+                        await asyncio.wait_for(self._rescheduled.wait(), left_s)
+                    self._rescheduled.clear()
+                if self._tasks:
+                    log.info("discovery: a watch is silent, another is opened beside it")
+                number, ended = hedge.open_next(loop.time())
+                self._cancel(ended)
                 if self.account is not None:
                     self.account.lists += 1
-                self._open[number] = group.create_task(self._follow(http, number, hedge))
+                self._tasks[number] = group.create_task(self._follow(http, number, hedge))
 
-    def _end(self, numbers: list[int]) -> None:
+    def _cancel(self, numbers: list[int]) -> None:
         for number in numbers:
-            if (task := self._open.pop(number, None)) is not None:
+            if (task := self._tasks.pop(number, None)) is not None:
                 task.cancel()
 
     async def _follow(self, http: aiohttp.ClientSession, number: int, hedge: Hedge) -> None:
@@ -108,29 +111,29 @@
         try:
             async with http.get(url, params=params, timeout=_NO_LIMIT) as answer:
                 if answer.status != 200:
-                    raise ValueError(f"status {answer.status}")
-                listing = Listing(self._reading.most_bytes, self._reading.loads)
+                    raise ValueError(f"expected status 200, found {answer.status}")
+                listing = Listing(self._reading.max_bytes, self._reading.loads)
                 async for data in answer.content.iter_any():
                     for found in listing.feed(data):
-                        self._end(hedge.spoke(number, loop.time()))
+                        self._cancel(hedge.received(number, loop.time()))
                         if found is not None:
                             self._take(found)
-                        self._answered.set()
-                        if number not in hedge:  # what it said has moved discovery
+                        self._first_answer.set()
+                        if number not in hedge:  # the list itself has moved discovery
                             return
-                raise ValueError("the connection ended")
+                raise ValueError("discovery closed the connection")
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError, RecursionError) as error:
             log.info("discovery: watch ended: %.200r", error)
-        self._open.pop(number, None)
+        self._tasks.pop(number, None)
         hedge.ended(number, loop.time())
-        self._sooner.set()
+        self._rescheduled.set()
 
     def _take(self, data: Mapping[str, Any]) -> None:
         if not isinstance(data.get("seq"), int):
-            raise ValueError(f"no list: {str(data)[:80]!r}")
+            raise ValueError(f"a list without an integer seq: {str(data)[:80]!r}")
         whole = bool(data.get("whole"))
         if not whole and data["seq"] <= self._seq:
             return  # known already
         rows = self._reading.entries(data, self._names)
         self._seq = data["seq"]
-        self._listed(api.ListKind.WHOLE if whole else api.ListKind.CHANGES, rows)
+        self._on_list(api.ListKind.WHOLE if whole else api.ListKind.CHANGES, rows)
