--- a/tests/crossings_endpoints.py
+++ b/tests/crossings_endpoints.py
@@ -1,4 +1,6 @@
-"""The endpoints and the platform of a play of crossings: how each call ends, drawn from the seed, and what was seen."""
+"""Endpoints and platform of a randomised crossings run: how each call ends, drawn from the seed, and what was
+observed.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +14,7 @@
 
 from wheelstep.rehearsal.standins import wire
 
-if TYPE_CHECKING:  # it makes them
+if TYPE_CHECKING:  # it creates these objects
     from crossings_world import Play
 
 ENDS = ("whole",) * 40 + ("close after", "halves", "half", "line", "hang", "reset", "end", "503", "429", "500", "late",
@@ -28,6 +30,7 @@
         self._calls: list[Call] = []
 
     def requested(self, request: wire.Request) -> None:
+        """Record the call and start its answer."""
         if request.method != "POST":
             self.answer(200)
             return
@@ -36,7 +39,7 @@
         self._calls.append(call)
         self._play.seen.calls.append(call)
         self._play.tries[name] += 1
-        # By the message and its try, not by what came before it here: the same order plays alike.
+        # Seeded by message and attempt, not by earlier calls here, so that the same plan runs alike.
         rng = random.Random(f"{self._play.seed} {name} {self._play.tries[name]}")
         self._play.spawn(self._reply(call, rng.choice(ENDS), rng))
 
@@ -78,12 +81,13 @@
             self.transport.close()
 
     def lost(self) -> None:
+        """Record when the connection of its calls ended."""
         for call in self._calls:
             call.closed_at = call.closed_at or time.monotonic()
 
 
 class Desk(Platform):
-    """Keeps every notice."""
+    """A platform that records every notification."""
 
     def __init__(self, seen: Seen) -> None:
         super().__init__()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The middle by itself: what it keeps has an end."""
+"""The core without a whole courier around it: failed actions, replaced timers, and tables that must not grow."""
 
 from __future__ import annotations
 
@@ -18,46 +18,49 @@
 
 
 def configured(folder: Path) -> Config:
+    """Return a courier's configuration whose files lie in the folder."""
     (folder / "state").mkdir()
     (folder / "config.json").write_text(json.dumps(
         {"settings": SETTINGS, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}))
     return load({"RELAY_CONFIG": str(folder / "config.json"), "RELAY_STATE": str(folder / "state")})
 
 
-class Told(list[api.Event]):
-    """Stands for the module: notes what it is told, and says what it is given to say."""
+class FakePolicy(list[api.Event]):
+    """Stands in for the policy module: records events and returns the actions that a test sets."""
 
     def __init__(self) -> None:
         self.actions: list[api.Action] = []
 
     def handle(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
+        """Record the events; return the actions set, once."""
         self += events
         actions, self.actions = self.actions, []
         return actions
 
 
-def test_an_earlier_timer_takes_the_place_of_the_later_one_and_a_failed_start_gives_its_slot_back(
+def test_earlier_timer_replaces_a_later_one_and_a_failed_start_frees_its_slot(
         tmp_path: Path) -> None:
-    """Once, timers that had been overtaken stayed armed, and a start that failed kept its slot for good."""
-    async def scene() -> None:
+    """Guards against replaced timers that stay armed, and against a failed start that keeps its slot for good
+    because no outcome is reported."""
+    async def scenario() -> None:
         config = configured(tmp_path)
-        core, told = Core(config, Journal(config.state, config.disk_bytes)), Told()
-        core.turns.sender = told  # type: ignore[assignment]
-        told.actions = [api.SetTimer(0, 50_000), api.SetTimer(0, 1000), api.StartAttempt("unknown", "e0", 5)]
+        core, policy = Core(config, Journal(config.state, config.disk_bytes)), FakePolicy()
+        core.turns.sender = policy  # type: ignore[assignment]
+        policy.actions = [api.SetTimer(0, 50_000), api.SetTimer(0, 1000), api.StartAttempt("unknown", "e0", 5)]
         core.probed("e0", Result(Outcome.OK))
         done = asyncio.get_running_loop().time() + 0.2
         async with asyncio.timeout(LIMIT_S):
             while asyncio.get_running_loop().time() < done:
                 await asyncio.sleep(0.01)
-        assert [event for event in told if isinstance(event, api.TimerFired)] == [api.TimerFired(0)]
-        (ended,) = (event for event in told if isinstance(event, api.AttemptEnded))
+        assert [event for event in policy if isinstance(event, api.TimerFired)] == [api.TimerFired(0)]
+        (ended,) = (event for event in policy if isinstance(event, api.AttemptEnded))
         assert (ended.message, ended.outcome) == ("unknown", Outcome.NOT_SENT)
-    run(scene())
+    run(scenario())
 
 
-def test_waits_that_are_over_are_forgotten(tmp_path: Path) -> None:
-    """Once, every destination and route that ever told to wait stayed in a table."""
-    async def scene() -> None:
+def test_expired_waits_are_removed(tmp_path: Path) -> None:
+    """Guards against a table that keeps every destination and route that ever asked to wait."""
+    async def scenario() -> None:
         config = configured(tmp_path)
         core = Core(config, Journal(config.state, config.disk_bytes))
         for number in range(50):
@@ -65,5 +68,5 @@
             core.listed(api.ListKind.CHANGES, entries({"hosts": [row]}, config.names))
             core.told_to_wait(f"e{number}", 1)
             await asyncio.sleep(0.001)
-        assert len(core.endpoints.told) < 50
-    run(scene())
+        assert len(core.endpoints.wait_until) < 50
+    run(scenario())
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -1,4 +1,4 @@
-"""Answers that never end, to one message and to several: bounded in time and bytes, and told by their first line."""
+"""Answers that never end, to one message and to several: bounded in time and bytes, and judged by their first line."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import pytest
 from loopback import run
-from test_outlet import Raw, item
+from test_outlet import RawServer, item
 
-from wheelstep.courier.answer import MOST_BODY, MOST_HEAD, AnswerReader, SpoiltError
+from wheelstep.courier.answer import MAX_BODY, MAX_HEAD, AnswerReader, MalformedError
 from wheelstep.interface import Outcome
 
 S = 1_000_000
@@ -24,31 +24,33 @@
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_an_answer_that_trickles_has_its_end(count: int) -> None:
-    """Some bytes every 10 ms; the call's own time is a minute."""
+def test_slowly_dripping_answer_is_cut_off(count: int) -> None:
+    """Guards against an answer that occupies a slot by sending a few bytes every 10 ms: the call's own time-out is
+    a minute."""
     async def work() -> None:
-        async def play(name: str, status: int) -> None:
-            owner, outlet = await Raw(*(piece.replace(b"%d", b"%d" % status) for piece in ENDLESS[name])).start()
-            outlet._dial_s = 30  # all of them share this machine and this loop
+        async def check(name: str, status: int) -> None:
+            owner, client = await RawServer(*(piece.replace(b"%d", b"%d" % status) for piece in ENDLESS[name])).start()
+            client._dial_timeout_s = 30  # all cases share this machine and this event loop
             items = [item(f"m{n}") for n in range(count)]
-            outlet.call("e0", items, 60 * S)
+            client.call("e0", items, 60 * S)
             results = [await owner.wait(i.message) for i in items]
             wanted = Outcome.OK if status == 200 and count == 1 else Outcome.ERROR
             assert {result.outcome for result in results} == {wanted}, (name, status)
-            assert results[0].spent_us < 20 * S and outlet.links() <= 1
+            assert results[0].spent_us < 20 * S and client.connection_count() <= 1
         async with asyncio.timeout(50), asyncio.TaskGroup() as group:
             for name in ENDLESS:
                 for status in (200, 503):
-                    group.create_task(play(name, status))
+                    group.create_task(check(name, status))
     run(work())
 
 
 @pytest.mark.parametrize("more", [b"X-%d: y\r\n", b"X-%d: " + b"y" * 900 + b"\r\n"])
-def test_trailers_have_a_bound_in_bytes(more: bytes) -> None:
-    """Once, only time bounded them: a quick endpoint could fill the memory within that."""
+def test_oversized_trailers_are_rejected(more: bytes) -> None:
+    """Guards against trailers that fill the memory: they were bounded by time alone, which a fast endpoint does not
+    reach."""
     reader = AnswerReader()
     reader.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n")
-    with pytest.raises(SpoiltError):
+    with pytest.raises(MalformedError):
         for number in range(1_000_000):
             reader.feed(more % number)
-    assert sum(map(len, reader.headers)) + sum(map(len, reader.headers.values())) <= 2 * MOST_BODY + MOST_HEAD
+    assert sum(map(len, reader.headers)) + sum(map(len, reader.headers.values())) <= 2 * MAX_BODY + MAX_HEAD
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -1,4 +1,6 @@
-"""The order of keys as the calls see it, without sockets: turns, settle periods, and what the next process is told."""
+"""The order of keys as the calls observe it, without sockets: turns, settle periods, and what the next process is
+told.
+"""
 
 from __future__ import annotations
 
@@ -21,6 +23,7 @@
 
 @pytest.fixture
 def order() -> KeyOrder:
+    """Two messages of one key, one of another, and one without a key."""
     made = KeyOrder(SETTLE_S)
     made.accepted("first", "k")
     made.accepted("second", "k")
@@ -29,7 +32,8 @@
     return made
 
 
-def test_one_at_a_time_in_the_order_of_acceptance(order: KeyOrder) -> None:
+def test_messages_of_a_key_are_sent_one_at_a_time_in_the_order_of_acceptance(order: KeyOrder) -> None:
+    """Guards against a message that overtakes an earlier one of its key."""
     assert [order.block(name, 0.0) for name in ("first", "second", "other", "free")] == [
         None, Block.EARLIER, None, None]
     order.attempt_started("first", 0)
@@ -39,22 +43,26 @@
 
 
 def test_a_key_settles_after_an_attempt_that_may_still_run_also_once_its_message_is_complete(order: KeyOrder) -> None:
+    """Guards against a message that is sent while an attempt of a completed message of its key may still run."""
     order.attempt_started("first", 0)
     order.attempt_ended("first", 0, True, 1.0)
-    assert order.block("first", 1.0) is None  # it has the turn, and may be tried again
+    assert order.block("first", 1.0) is None  # it is first in its key, and may be tried again
     order.completed("first", 1.1)
     assert order.block("second", 1.299) is Block.SETTLING
     assert order.block("second", 1.3) is None
 
 
-def test_the_answer_to_a_notification_is_waited_for(order: KeyOrder) -> None:
+def test_next_message_of_a_key_waits_for_the_answer_to_a_notification(order: KeyOrder) -> None:
+    """Guards against a message that is sent while the platform does not yet know how the one before it ended."""
     order.notification_pending("first", "k")
     assert order.block("second", 0.0) is Block.NOTIFICATION
     order.completed("first", 0.0)
     assert order.block("second", 0.0) is None
 
 
-def test_a_message_that_is_set_aside_with_its_call_out_still_holds_the_key(order: KeyOrder) -> None:
+def test_open_call_of_a_message_set_aside_still_blocks_its_key(order: KeyOrder) -> None:
+    """Guards against a message set aside whose open call is forgotten, so that the next message of its key runs
+    beside it."""
     order.attempt_started("first", 0)
     order.completed("first", 1.0)
     assert order.block("second", 1.0) is Block.ATTEMPT
@@ -63,7 +71,8 @@
     assert order.block("second", 2.3) is None
 
 
-def test_a_successor_goes_on_with_what_settles(order: KeyOrder) -> None:
+def test_next_process_takes_over_settle_periods(order: KeyOrder) -> None:
+    """Guards against a handover that loses settle periods, or applies them to other keys."""
     order.attempt_started("first", 0)
     order.attempt_ended("first", 0, True, 1.0)
     order.completed("first", 1.0)
@@ -78,7 +87,9 @@
     assert follow(KeyOrder(SETTLE_S), {}, 99.0, 1.1) is None
 
 
-def test_after_a_restart_every_key_settles_but_for_a_message_that_was_tried() -> None:
+def test_after_a_restart_every_key_settles_except_for_a_message_that_was_tried() -> None:
+    """Guards against attempts of a killed process that may still run: which keys they concern is unknown, so all
+    keys settle; a message tried before had its turn already."""
     order = KeyOrder(SETTLE_S)
     event = follow(order, None, 5.0, 4.9)
     assert event is not None and 100_000 <= event.all_us <= 100_002 and not event.keys
@@ -91,7 +102,9 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["accept", "start", "end", "break", "complete"]), st.integers(0, 5),
                           st.integers(0, 2)), max_size=60))
-def test_nothing_is_kept_once_all_is_complete_and_settled(steps: list[tuple[str, int, int]]) -> None:
+def test_no_state_is_kept_once_all_messages_are_complete_and_settled(steps: list[tuple[str, int, int]]) -> None:
+    """Guards against state that grows with the messages processed: in any order of events, all of it is removed in
+    the end."""
     order, now_s = KeyOrder(SETTLE_S), 0.0
     for what, number, key in steps:
         now_s += 0.1
@@ -114,8 +127,10 @@
     assert len(order) == 0 and not order.settling(now_s + 9.0)
 
 
-def test_the_guard_stops_and_counts_what_the_module_should_not_have_asked_for(
+def test_send_guard_stops_and_counts_attempts_that_break_an_invariant(
         order: KeyOrder, caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against wrong decisions of the policy module: an attempt out of order or a forbidden repeat must not
+    be sent, and the log must show the events before it."""
     recorder = FlightRecorder()
     recorder.note(0.5, EventKind.ACCEPTED, "first", "k")
     invariants = Invariants(recorder)
@@ -127,11 +142,12 @@
     assert not guard.may_send(fee, Item("fee", 1, None, b"", once=True), 1.0)
     assert guard.may_send(fee, Item("fee", 1, None, b""), 1.0)
     fee.ran_ms, fee.out = None, {1: (5, "e0")}
-    assert guard.may_send(fee, Item("fee", 1, None, b"", once=True), 1.0)  # the second look at the same attempt
+    assert guard.may_send(fee, Item("fee", 1, None, b"", once=True), 1.0)  # the second check of the same attempt
     assert invariants.summary() == "1 KEY_ORDER, 1 SENT_ONCE"
 
 
-def test_violations_beyond_a_number_are_only_counted(caplog: pytest.LogCaptureFixture) -> None:
+def test_violations_beyond_the_log_limit_are_only_counted(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a log flooded by a violation that repeats."""
     invariants = Invariants(FlightRecorder())
     for _ in range(MOST_TOLD + 5):
         invariants.violated(Invariant.ANSWERED, "x")
@@ -139,7 +155,9 @@
     assert caplog.text.count("invariant violated") == MOST_TOLD
 
 
-def test_the_module_waits_for_the_settle_periods_of_a_process_before() -> None:
+def test_policy_waits_for_the_settle_periods_of_the_previous_process() -> None:
+    """Guards against a policy module that starts a message which the send guard would stop, as its key still
+    settles from the previous process."""
     drive = Drive(order_settle_us=300 * MS)
     drive.at(0, api.KeysSettling((("k", 200 * MS),)))
     assert not sends(drive.submit("a", 3, key="k")) and sends(drive.submit("b", 3, key="o")) == ["b"]
@@ -147,7 +165,9 @@
     assert sends(drive.tick(201 * MS, MS)) == ["a"]
 
 
-def test_the_module_lets_all_keys_settle_after_a_restart_but_for_what_was_tried() -> None:
+def test_policy_lets_all_keys_settle_after_a_restart_except_for_what_was_tried() -> None:
+    """Guards against a policy module that starts messages which the send guard would stop after a restart, or that
+    delays tried or unordered messages needlessly."""
     drive = Drive(order_settle_us=300 * MS)
     tried = api.MessageAccepted("tried", 3, 7, 20 * S, "o")
     untried = api.MessageAccepted("untried", 3, 7, 20 * S, "k")
@@ -160,7 +180,8 @@
     assert set(sends(drive.tick(102 * MS, MS))) == {"untried", "new"}
 
 
-def test_a_key_that_only_settles_is_forgotten_by_the_module() -> None:
+def test_policy_forgets_a_key_that_only_settles() -> None:
+    """Guards against a queue that is kept for a key without messages."""
     drive = Drive(order_settle_us=300 * MS)
     drive.at(0, api.KeysSettling((("k", 200 * MS),)))
     drive.tick(300 * MS)
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -1,8 +1,8 @@
-"""What a call's end means, at each step between its first byte written and its answer's first byte.
+"""What the end of a call means at each step between its first byte written and its answer's first byte.
 
-The transport is under the test's control, so that its end falls into the very turn of the loop in which a byte goes
-out. Guards against a doubled fee: a call whose last byte went out passed for one that never ran, where a time-out, a
-cancel or a break came before its task had woken up.
+The test controls the transport, so that the call ends in the same turn of the event loop in which a byte is
+written. Guards against a repeated payment: a call whose last byte was written counted as never run if a time-out, a
+cancel or a broken connection came before its task had woken up.
 """
 
 from __future__ import annotations
@@ -14,20 +14,21 @@
 
 import pytest
 from loopback import run
-from test_outlet import Owner, item
+from test_outlet import FakeOwner, item
 
 from wheelstep.courier import pool
 from wheelstep.courier.call import Result
 from wheelstep.courier.config import Address
 from wheelstep.courier.connection import Connection
-from wheelstep.courier.outlet import Outlet
+from wheelstep.courier.outlet import EndpointClient
 from wheelstep.interface import Outcome
 
 S = 1_000_000
 
 
-class Wire(asyncio.Transport):
-    """A transport that writes when the test says so, and tells its protocol as asyncio's does: in the same step."""
+class ManualTransport(asyncio.Transport):
+    """A transport that writes when the test says so, and reports that to its protocol in the same step, as
+    asyncio's does."""
 
     def __init__(self, protocol: Connection) -> None:
         super().__init__()
@@ -38,174 +39,188 @@
         protocol.connection_made(self)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Check the limit that the connection sets."""
         assert high == 0
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """Return a real socket, which the connection polls."""
         return self._pair[0]
 
     def write(self, data: Any) -> None:
+        """Keep the data waiting, as for a slow endpoint."""
         self.waiting += data
         self._protocol.pause_writing()
         self.wrote.set()
 
     def flush(self, most: int) -> None:
-        """So many bytes go out."""
+        """Write up to `most` of the waiting bytes."""
         before, self.waiting = self.waiting, self.waiting[most:]
         if before and not self.waiting:
             self._protocol.resume_writing()
 
     def lose(self, error: Exception | None) -> None:
+        """End the connection in this step."""
         self._closing = True
         self.waiting = b""
         self._protocol.connection_lost(error)
 
     def is_closing(self) -> bool:
+        """Return whether the connection has ended or is about to."""
         return self._closing
 
     def abort(self) -> None:
+        """Close the connection; the protocol hears of it in the next turn, as from asyncio."""
         if not self._closing:
             self._closing = True
             self.waiting = b""
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
     def release(self) -> None:
+        """Close the socket pair."""
         for end in self._pair:
             end.close()
 
 
-class Scene:
-    """One call on a `Wire`, given up or broken as the test says."""
+class CallScenario:
+    """One call on a `ManualTransport`, cancelled or broken as the test says."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.owner = Owner()
-        self.outlet = Outlet(self.owner, S, 10 * S, ())
-        self.outlet.list("e0", Address("127.0.0.1", 9))
-        self.link = Connection()
-        self.wire = Wire(self.link)
-
-        async def dial(address: Address, within_s: float) -> Connection:
-            return self.link
+        self.owner = FakeOwner()
+        self.client = EndpointClient(self.owner, S, 10 * S, ())
+        self.client.set_address("e0", Address("127.0.0.1", 9))
+        self.connection = Connection()
+        self.transport = ManualTransport(self.connection)
+
+        async def dial(address: Address, timeout_s: float) -> Connection:
+            return self.connection
         monkeypatch.setattr(pool, "dial", dial)
 
     async def begin(self) -> None:
-        self.outlet.call("e0", [item("m", b"x" * 5000)], 30 * S)
-        await self.wire.wrote.wait()
+        """Start the call and wait until it is written to the transport."""
+        self.client.call("e0", [item("m", b"x" * 5000)], 30 * S)
+        await self.transport.wrote.wait()
         await asyncio.sleep(0)
 
     async def end(self, how: str) -> None:
-        """In this very turn."""
-        task = self.outlet._calls["m", 0]
-        if how == "time-out":  # what asyncio's own timer would do now
+        """End the call in the current turn."""
+        task = self.client._tasks_by_attempt["m", 0]
+        if how == "time-out":  # as asyncio's own timer would do now
             timer = next(handle for handle in asyncio.get_running_loop()._scheduled  # type: ignore[attr-defined]
                          if not handle.cancelled() and "Timeout" in repr(handle))
             timer._run()
             timer.cancel()
         elif how == "cancel":
-            self.outlet.cancel("m", 0)
+            self.client.cancel("m", 0)
         elif how == "reset":
-            self.wire.lose(ConnectionResetError())
+            self.transport.lose(ConnectionResetError())
         else:
-            self.wire.lose(None)
+            self.transport.lose(None)
         await asyncio.wait([task])
 
     async def result(self) -> Result:
-        self.wire.release()
+        """Return the call's result."""
+        self.transport.release()
         return await self.owner.wait("m")
 
 
 ENDS = {"time-out": Outcome.TIMEOUT, "cancel": Outcome.CANCELLED, "reset": Outcome.RESET, "close": Outcome.RESET}
 
 
-async def _nothing_yet(scene: Scene) -> None:
+async def _nothing_yet(scenario: CallScenario) -> None:
     pass
 
 
-async def _part(scene: Scene) -> None:
-    scene.wire.flush(len(scene.wire.waiting) - 1)
+async def _part(scenario: CallScenario) -> None:
+    scenario.transport.flush(len(scenario.transport.waiting) - 1)
 
 
-async def _whole(scene: Scene) -> None:
-    scene.wire.flush(1 << 20)
+async def _whole(scenario: CallScenario) -> None:
+    scenario.transport.flush(1 << 20)
 
 
-async def _whole_and_awake(scene: Scene) -> None:
-    scene.wire.flush(1 << 20)
+async def _whole_and_awake(scenario: CallScenario) -> None:
+    scenario.transport.flush(1 << 20)
     await asyncio.sleep(0)
     await asyncio.sleep(0)
 
 
-async def _whole_in_two(scene: Scene) -> None:
-    await _part(scene)
+async def _whole_in_two(scenario: CallScenario) -> None:
+    await _part(scenario)
     await asyncio.sleep(0)
-    await _whole(scene)
+    await _whole(scenario)
 
 
 @pytest.mark.parametrize("how", list(ENDS))
 @pytest.mark.parametrize("step", [_nothing_yet, _part])
-def test_before_the_last_byte_it_never_ran(step: Callable[[Scene], Any], how: str,
-                                           monkeypatch: pytest.MonkeyPatch) -> None:
+def test_call_ended_before_its_last_byte_counts_as_not_run(step: Callable[[CallScenario], Any], how: str,
+                                                           monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a call that counts as run, and is not repeated, though its last byte was never written."""
     async def work() -> None:
-        scene = Scene(monkeypatch)
-        await scene.begin()
-        await step(scene)
-        await scene.end(how)
+        scenario = CallScenario(monkeypatch)
+        await scenario.begin()
+        await step(scenario)
+        await scenario.end(how)
         wanted = Outcome.NOT_SENT if how == "cancel" else Outcome.CONNECT_FAILED
-        assert (await scene.result()).outcome is wanted
+        assert (await scenario.result()).outcome is wanted
     run(work())
 
 
 @pytest.mark.parametrize("how", list(ENDS))
 @pytest.mark.parametrize("step", [_whole, _whole_and_awake, _whole_in_two])
-def test_from_the_last_byte_on_it_may_have_run(step: Callable[[Scene], Any], how: str,
-                                               monkeypatch: pytest.MonkeyPatch) -> None:
+def test_call_ended_after_its_last_byte_counts_as_may_have_run(step: Callable[[CallScenario], Any], how: str,
+                                                               monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a call that counts as never run, and is repeated, though its last byte was written in the turn
+    in which it ended."""
     async def work() -> None:
-        scene = Scene(monkeypatch)
-        await scene.begin()
-        await step(scene)
-        await scene.end(how)
-        assert (await scene.result()).outcome is ENDS[how]
+        scenario = CallScenario(monkeypatch)
+        await scenario.begin()
+        await step(scenario)
+        await scenario.end(how)
+        assert (await scenario.result()).outcome is ENDS[how]
     run(work())
 
 
 @pytest.mark.parametrize("how", list(ENDS))
-def test_the_first_bytes_of_an_answer_prove_that_it_may_have_run(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_call_ended_after_a_partial_answer_counts_as_may_have_run(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a connection that breaks in the middle of an answer and counts as not run."""
     async def work() -> None:
-        scene = Scene(monkeypatch)
-        await scene.begin()
-        await _whole_and_awake(scene)
-        scene.link.data_received(b"HTTP/1.1 50")
-        await scene.end(how)
+        scenario = CallScenario(monkeypatch)
+        await scenario.begin()
+        await _whole_and_awake(scenario)
+        scenario.connection.data_received(b"HTTP/1.1 50")
+        await scenario.end(how)
         wanted = ENDS[how] if how in ("time-out", "cancel") else Outcome.ERROR
-        assert (await scene.result()).outcome is wanted
+        assert (await scenario.result()).outcome is wanted
     run(work())
 
 
 @pytest.mark.parametrize("how", list(ENDS))
-def test_an_answer_that_came_in_the_turn_of_the_end_is_read(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the wait that it tells (a call sent before its end breaks a rule) and the end of the message."""
+def test_answer_received_in_the_turn_that_ends_the_call_is_used(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against losing the wait that the answer asks for (a call sent before its end breaks a rule), and the
+    message's outcome."""
     async def work() -> None:
-        scene = Scene(monkeypatch)
-        await scene.begin()
-        await _whole_and_awake(scene)
-        scene.link.data_received(b"HTTP/1.1 429 no\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n")
-        await scene.end(how)
-        result = await scene.result()
-        assert (result.outcome, result.wait_us, scene.owner.waits) == (Outcome.FULL, 500_000, [500_000])
+        scenario = CallScenario(monkeypatch)
+        await scenario.begin()
+        await _whole_and_awake(scenario)
+        scenario.connection.data_received(b"HTTP/1.1 429 no\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n")
+        await scenario.end(how)
+        result = await scenario.result()
+        assert (result.outcome, result.wait_us, scenario.owner.waits) == (Outcome.FULL, 500_000, [500_000])
     run(work())
 
 
-def test_a_reused_connection_begins_unwritten(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the last call's bytes counting for the next one."""
+def test_reused_connection_starts_with_nothing_written(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a call that counts as written because of the previous call's bytes."""
     async def work() -> None:
-        scene = Scene(monkeypatch)
-        await scene.begin()
-        await _whole_and_awake(scene)
-        scene.link.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        assert (await scene.owner.wait("m")).outcome is Outcome.OK
-        del scene.owner.results["m"]
-        scene.wire.wrote.clear()
-        await scene.begin()
-        await _part(scene)
-        await scene.end("time-out")
-        assert (await scene.result()).outcome is Outcome.CONNECT_FAILED
+        scenario = CallScenario(monkeypatch)
+        await scenario.begin()
+        await _whole_and_awake(scenario)
+        scenario.connection.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        assert (await scenario.owner.wait("m")).outcome is Outcome.OK
+        del scenario.owner.results["m"]
+        scenario.transport.wrote.clear()
+        await scenario.begin()
+        await _part(scenario)
+        await scenario.end("time-out")
+        assert (await scenario.result()).outcome is Outcome.CONNECT_FAILED
     run(work())
--- a/wheelstep/courier/answer.py
+++ b/wheelstep/courier/answer.py
@@ -1,4 +1,4 @@
-"""How the answer of an endpoint reads, also a spoilt one. httptools gives the framing, bytes are bounded. No I/O."""
+"""Parses an endpoint's answer, also a malformed one. httptools does the framing; sizes are bounded. No I/O."""
 
 from __future__ import annotations
 
@@ -7,109 +7,115 @@
 
 import httptools
 
-MOST_BODY = 256 * 1024  # bytes of an answer's body that are read
-MOST_HEAD = 64 * 1024  # and of its head
-_MOST_AHEAD = 32  # 1xx answers in front of it
-_AHEAD = re.compile(rb"HTTP/1\.[01] 1\d\d[^\n]*\n(?:[^\r\n][^\n]*\n)*\r?\n")
+MAX_BODY = 256 * 1024  # limit for an answer's body
+MAX_HEAD = 64 * 1024  # limit for its head
+_MAX_INTERIM = 32  # limit for the number of interim (1xx) answers before it
+_INTERIM = re.compile(rb"HTTP/1\.[01] 1\d\d[^\n]*\n(?:[^\r\n][^\n]*\n)*\r?\n")
 _DELIVERED = re.compile(rb"HTTP/1\.[01] 200[ \r\n]")
 
 
-class SpoiltError(Exception):
-    """What came is no answer that can be used."""
+class MalformedError(Exception):
+    """The received bytes are not a usable answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came back. A spoilt answer has status 0, or 200 where its first line still said so; either way the
-    call may have run."""
+    """A received answer. A malformed one has status 0, or 200 if its first line said so; the call may have run
+    either way."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    spoilt: bool = False
+    malformed: bool = False
 
 
 class AnswerReader:
-    """One answer, with those ahead of it: httptools' parser tells it what comes."""
+    """Parses one final answer and the interim ones before it; httptools calls its `on_` methods."""
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = bytearray()
-        self.done = False  # the answer is whole
-        self.keep = False  # and its connection may go on
-        self.until_end = False  # its body ends with the connection
-        self.between = False  # an answer ahead is whole, and nothing of the next has come
-        self._ahead = self._head = self._all = 0
+        self.complete = False
+        self.keep_alive = False
+        self.ends_with_connection = False  # the body has no length: it ends with the connection
+        self.awaits_next = False  # an interim answer is complete, and nothing of the next has come
+        self._interim_count = self._head_bytes = self._total_bytes = 0
         self._in_head = True
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Raises `SpoiltError`. What comes behind a whole answer spoils the connection only."""
-        self._all += len(data)  # trailers and what frames chunks have no bound of their own
-        if self._all > MOST_HEAD + 2 * MOST_BODY:
-            raise SpoiltError("without end")
+        """Parse further bytes; raises `MalformedError`. Bytes behind a complete answer only prevent the
+        connection's reuse."""
+        self._total_bytes += len(data)  # trailers and chunk framing have no separate limit
+        if self._total_bytes > MAX_HEAD + 2 * MAX_BODY:
+            raise MalformedError("the answer is too long")
         if self._in_head:
-            self._head += len(data)
+            self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
-            raise SpoiltError("too long") from error
+            raise MalformedError("the body is too long, or too many interim answers came") from error
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self.done:
-                raise SpoiltError(str(error)) from error
-            self.keep = False
-        if self._in_head and self._head > MOST_HEAD:
-            raise SpoiltError("a head without end")
+            if not self.complete:
+                raise MalformedError(str(error)) from error
+            self.keep_alive = False
+        if self._in_head and self._head_bytes > MAX_HEAD:
+            raise MalformedError("the head is too long")
 
-    # --- what httptools tells ---
+    # --- callbacks of httptools ---
 
     def on_message_begin(self) -> None:
-        self.between = False
-        if self.done:
-            self.keep = False
+        """Note the start of an interim or final answer."""
+        self.awaits_next = False
+        if self.complete:
+            self.keep_alive = False
         else:
             self.headers, self._in_head = {}, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.done:
+        """Store one header."""
+        if not self.complete:
             self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        if self.done:
+        """Read the status and how the body ends."""
+        if self.complete:
             return
         self.status, self._in_head = self._parser.get_status_code(), False
-        self.keep = self._parser.should_keep_alive()
-        self.until_end = (self.status >= 200 and "content-length" not in self.headers
-                          and "transfer-encoding" not in self.headers)
+        self.keep_alive = self._parser.should_keep_alive()
+        self.ends_with_connection = (self.status >= 200 and "content-length" not in self.headers
+                                     and "transfer-encoding" not in self.headers)
 
     def on_body(self, data: bytes) -> None:
-        if self.done:
+        """Append body bytes; raises `ValueError` above the limit."""
+        if self.complete:
             return
         self.body += data
-        if len(self.body) > MOST_BODY:
-            raise ValueError("too long")
+        if len(self.body) > MAX_BODY:
+            raise ValueError("the body is too long")
 
     def on_message_complete(self) -> None:
-        if self.done:
+        """Note the end of an answer; raises `ValueError` at too many interim answers."""
+        if self.complete:
             return
         if 100 <= self.status < 200 and self.status != 101:
-            self._ahead += 1
-            if self._ahead > _MOST_AHEAD:
-                raise ValueError("too many answers ahead")
-            self.between, self._in_head, self._head = True, True, 0
+            self._interim_count += 1
+            if self._interim_count > _MAX_INTERIM:
+                raise ValueError("too many interim answers")
+            self.awaits_next, self._in_head, self._head_bytes = True, True, 0
         else:
-            self.done = True
+            self.complete = True
 
 
-def first(start: bytes) -> bytes:
-    """How the answer itself begins, behind those ahead of it."""
+def final_start(start: bytes) -> bytes:
+    """Return the first 16 bytes of the final answer, behind any interim answers."""
     at = 0
-    while found := _AHEAD.match(start, at):
+    while found := _INTERIM.match(start, at):
         at = found.end()
     return start[at:at + 16]
 
 
-def delivered(start: bytes) -> bool:
-    """Did its first line say 200, whatever came of the rest?"""
-    return _DELIVERED.match(first(start)) is not None
+def says_200(start: bytes) -> bool:
+    """Return whether the final answer's first line says 200, whatever became of the rest."""
+    return _DELIVERED.match(final_start(start)) is not None
--- a/wheelstep/courier/call.py
+++ b/wheelstep/courier/call.py
@@ -1,6 +1,7 @@
-"""What travels between an outlet and its owner: a call's messages, how each fared, and what the owner is asked.
+"""Data exchanged between the endpoint client and its owner: a call's messages, their results, and the owner's
+interface.
 
-No I/O. `form` writes and reads calls, `pool` has their connections, `outlet` carries them out.
+No I/O. `form` encodes and decodes calls, `pool` manages their connections, `outlet` carries them out.
 """
 
 from __future__ import annotations
@@ -23,73 +24,73 @@
     attempt: int
     token: str | None
     body: bytes
-    until_s: float = math.inf  # its last byte goes out by then, or none does
-    once: bool = False  # it may not be sent again
+    write_until_s: float = math.inf  # its last byte must be written by then, or not at all
+    once: bool = False  # it must not be sent again
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """How one message of a call fared."""
+    """Outcome of one message of a call."""
 
     outcome: Outcome
     spent_us: int = 0
     wait_us: int = 0
     limit: api.LimitReport | None = None
-    over: bool = False  # the message is over, and nothing more is owed
-    exhausted: bool = False  # the message has had all its attempts
-    unfinished: bool = False  # no whole answer came, and the courier has closed the connection
+    over: bool = False  # the message has ended, and nothing more is owed
+    exhausted: bool = False  # the message has used all its attempts
+    unfinished: bool = False  # no complete answer came, and the courier closed the connection
 
     @property
     def may_still_run(self) -> bool:
-        """May the endpoint still be at it?"""
+        """Whether the endpoint may still be processing the message."""
         return self.unfinished or self.outcome in MAY_STILL_RUN
 
 
-class Gate(Protocol):
-    """What the outlet asks of its owner."""
+class CallOwner(Protocol):
+    """What the endpoint client requires of its owner."""
 
     @property
     def syncs(self) -> bool:
-        """Is there anything to wait for between writing an attempt down and its first byte?"""
+        """Whether the owner may have to wait between recording an attempt and its first byte."""
 
-    async def settled(self, items: Sequence[Item]) -> None:
-        """Wait until nothing that must come before these messages is still under way."""
+    async def wait_for_earlier(self, items: Sequence[Item]) -> None:
+        """Wait until nothing that must precede these messages is still under way."""
 
     def may_start(self, endpoint: str, item: Item) -> bool:
-        """Asked right before the first byte: may it still go there?"""
+        """Return whether the message's first byte may still be written; asked right before it."""
 
     def may_probe(self, endpoint: str) -> bool:
-        """The same for a probe."""
+        """Return whether a probe may still be written."""
 
-    def starting(self, endpoint: str, items: Sequence[Item]) -> None:
-        """The first byte follows; none does where this raises `OSError`."""
+    def attempts_starting(self, endpoint: str, items: Sequence[Item]) -> None:
+        """Record the attempts, right before the first byte. If this raises `OSError`, nothing is written."""
 
-    def written(self, messages: int) -> None:
-        """A call with so many was written whole."""
+    def messages_written(self, messages: int) -> None:
+        """Note that a call with this many messages was written whole."""
 
-    async def safe(self) -> bool:
-        """Wait until the attempts that were written down are safe; False if they are not to be sent."""
+    async def wait_durable(self) -> bool:
+        """Wait until the recorded attempts are durable; return False if they must not be sent."""
 
     def told_to_wait(self, endpoint: str, wait_us: int) -> None:
-        """An answer told to wait."""
+        """Note that an answer asked to wait."""
 
     def ended(self, endpoint: str, results: Sequence[tuple[Item, Result]]) -> None:
-        """Each message's one outcome."""
+        """Receive the single outcome of each message of a call."""
 
     def probed(self, endpoint: str, result: Result) -> None:
-        """A probe's one outcome."""
+        """Receive the single outcome of a probe."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far an exchange has come; what its end means hangs on it."""
+    """How far an exchange has come, which decides what its failure means."""
 
     dialled: bool = False
-    link: Connection | None = None  # the call is being written to it, or was
+    connection: Connection | None = None  # the connection on which the call is or was written
 
     def ended_by(self, outcome: Outcome) -> Outcome:
-        """What such an end means, so far as it had come."""
-        if self.link is not None and self.link.written:
+        """Return the outcome of an exchange that ended this way, given how far it had come."""
+        if self.connection is not None and self.connection.written:
             return outcome
         if outcome is Outcome.CANCELLED or not self.dialled:
             return Outcome.NOT_SENT
--- a/wheelstep/courier/call_errors.py
+++ b/wheelstep/courier/call_errors.py
@@ -1,16 +1,16 @@
-"""How a call fails at its connection. No I/O."""
+"""Errors of a call at its connection. No I/O."""
 
 from __future__ import annotations
 
 
-class BrokenError(Exception):
-    """The connection could not be made or ended, and nothing of an answer had come."""
+class ConnectionBrokenError(Exception):
+    """The connection could not be opened, or ended before any byte of an answer."""
 
 
-class LateError(Exception):
-    """A call could not be written whole in its time: its last byte did not go out."""
+class WriteTimeoutError(Exception):
+    """A call could not be written whole in time, and its last byte was not sent."""
 
 
-class LocalError(Exception):
-    """This machine refused what a call needs: a socket, a port, a write to its disk. It says nothing of the endpoint,
-    and nothing was sent."""
+class LocalResourceError(Exception):
+    """This machine refused a resource: a socket, a port, a write to its disk. Nothing was sent, and the error says
+    nothing about the endpoint."""
--- a/wheelstep/courier/carrier.py
+++ b/wheelstep/courier/carrier.py
@@ -1,6 +1,5 @@
-"""What goes out: the module's actions are carried out, calls are let go and their outcomes told. No policy here.
-
-Beneath `core.Core`, which has what comes in.
+"""Carries out the policy module's actions: starts calls and reports outcomes. Makes no policy decisions. Base class
+of `core.Core`, which handles what comes in.
 """
 
 from __future__ import annotations
@@ -21,8 +20,8 @@
 from wheelstep.courier.flight_recorder import EventKind, FlightRecorder
 from wheelstep.courier.invariants import Invariant, Invariants
 from wheelstep.courier.key_order import KeyOrder
-from wheelstep.courier.outlet import Outlet
-from wheelstep.courier.ports import Book, CallsOut, Notices, Told
+from wheelstep.courier.outlet import EndpointClient
+from wheelstep.courier.ports import Book, CallsOut, NotificationSender, OutcomeListener
 from wheelstep.courier.send_guard import SendGuard
 from wheelstep.courier.succession import begun
 from wheelstep.courier.turns import Sends, Turns
@@ -30,89 +29,89 @@
 from wheelstep.interface import UNRUN, Outcome
 from wheelstep.journal import NoRoomError, Stored
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # optional features are imported only when enabled
     from wheelstep.account.writer import Account
     from wheelstep.console.figures import Figures
 
 _PROBE_TIMEOUT_US = 1_500_000
-_RESERVE = 32  # descriptors for the journal, discovery, notices, and what asyncio and Python keep open
+_RESERVED_FDS = 32  # file descriptors for the journal, discovery, notifications, and what asyncio and Python keep open
 
 log = logging.getLogger(__name__)
 
 
 class Carrier:
-    """The messages that the module holds, and their calls."""
+    """The messages that the policy module holds, and their calls."""
 
     def __init__(self, config: Config, journal: Book) -> None:
-        self._config, self._s, self._journal = config, config.settings, journal
+        self._config, self._settings, self._journal = config, config.settings, journal
         self.turns = Turns(Sender(config.settings, config.seed), config.settings.tick_us, self._carry_out, self._call)
         self.endpoints = Endpoints(config.settings, journal, self.turns.post)
         self.classes = Classes(config, journal, self.turns.post)
         self.ordered = self.classes.ordered
-        self._held: dict[str, Stored] = {}  # what the module holds
-        self._numbers: dict[str, int] = {}  # each one's next attempt
-        self._untried: set[str] = set()  # restored, and neither tried nor ended since
+        self._held: dict[str, Stored] = {}  # messages that the policy module holds
+        self._next_attempt: dict[str, int] = {}  # number of each message's next attempt
+        self._untried: set[str] = set()  # restored messages, neither tried nor ended since
         self.order = KeyOrder(config.settings.order_settle_us / 1e6)
-        self.outlet = Outlet(self, config.dial_timeout_us, config.settings.conn_idle_us, config.names.report,
-                             max(16, config.sockets - config.sockets // 3 - _RESERVE))
-        self.flight = self.outlet.recorder = FlightRecorder()
-        self.invariants = Invariants(self.flight)
-        self._guard = SendGuard(self.order, self.invariants)
-        self.notices: Notices | None = None
-        self.tells_deliveries = False  # are notices owed of what was delivered as well?
+        self.outlet = EndpointClient(self, config.dial_timeout_us, config.settings.conn_idle_us, config.names.report,
+                                     max(16, config.sockets - config.sockets // 3 - _RESERVED_FDS))
+        self.flight_recorder = self.outlet.recorder = FlightRecorder()
+        self.invariants = Invariants(self.flight_recorder)
+        self._send_guard = SendGuard(self.order, self.invariants)
+        self.notices: NotificationSender | None = None
+        self.tells_deliveries = False  # whether deliveries are notified as well
         self.figures: Figures | None = None
         self.account: Account | None = None
-        self.fence: Callable[[str], bool] | None = None  # asked as well whether a message's first byte may be written
-        self.stray: Callable[[Item, Result], None] | None = None  # hears outcomes of what the module holds no more
-        self._tell: Told | None = None  # who owns the messages now, once another process does
-        self._tell_wait: Callable[[str, int], None] | None = None
+        self.fence: Callable[[str], bool] | None = None  # further permission for a message's first byte
+        self.stray: Callable[[Item, Result], None] | None = None  # receives outcomes of messages no longer held
+        self._report: OutcomeListener | None = None  # set once another process owns the messages
+        self._report_wait: Callable[[str, int], None] | None = None
 
-    # --- what calls ask and tell (call.Gate) ---
+    # --- call.CallOwner ---
 
     @property
     def syncs(self) -> bool:
-        """Is there anything to wait for between writing an attempt down and its first byte?"""
+        """Whether the journal may have to be synced between an attempt's record and its first byte."""
         return self._journal.waits
 
-    async def safe(self) -> bool:
-        """Wait until the attempts that were written down are safe; False if they are not to be sent."""
+    async def wait_durable(self) -> bool:
+        """Wait until the recorded attempts are durable; return False if they must not be sent."""
         try:
             if self._journal.waits:
                 await self._journal.durable()
         except NoRoomError as error:
-            log.warning("attempts are not sent: %s", error)
+            log.warning("attempts are not sent, the journal cannot store them: %s", error)
             return False
         return True
 
-    async def settled(self, items: Sequence[Item]) -> None:
-        """Guards the order of a key: a message that ended by a notice is over only once that is answered."""
+    async def wait_for_earlier(self, items: Sequence[Item]) -> None:
+        """Wait for earlier messages of the keys: one that ended with a notification, until that is answered."""
         await self.order.until_answered((item.message for item in items), time.monotonic())
 
-    def _key(self, message: str) -> str | None:
+    def _key_of(self, message: str) -> str | None:
         held = self._held.get(message)
-        return held.key if held is not None else None  # only messages that keep an order have one
+        return held.key if held is not None else None  # only messages of ordered classes have a key
 
     def may_start(self, endpoint: str, item: Item) -> bool:
-        """May the attempt's first byte still be written?"""
+        """Return whether the attempt's first byte may still be written."""
         message = self._held.get(item.message)
         return (message is not None and self.may_probe(endpoint)
                 and (self.fence is None or self.fence(item.message))
-                and self._guard.may_send(message, item, time.monotonic()))
+                and self._send_guard.may_send(message, item, time.monotonic()))
 
     def may_probe(self, endpoint: str) -> bool:
-        """May anything new be written there?"""
+        """Return whether anything new may be written to the endpoint."""
         return not self.turns.frozen and self.endpoints.may_write(endpoint, time.monotonic())
 
-    def written(self, messages: int) -> None:
-        """So many were written whole to an endpoint."""
+    def messages_written(self, messages: int) -> None:
+        """Count messages whose call was written whole."""
         if self.figures is not None:
             self.figures.upstream_tries += messages
 
-    def starting(self, endpoint: str, items: Sequence[Item]) -> None:
-        """Write the attempts down before their first byte."""
+    def attempts_starting(self, endpoint: str, items: Sequence[Item]) -> None:
+        """Journal the attempts before their first byte."""
         now_ms = clock.now_ms()
-        if self._tell is not None:
-            self.invariants.violated(Invariant.OWNER, f"a call at {endpoint} began after the hand-over")
+        if self._report is not None:
+            self.invariants.violated(Invariant.OWNER, f"a call to {endpoint} began after the handover")
         for item in items:
             self.order.attempt_started(item.message, item.attempt)
             self._journal.attempt(item.message, item.attempt, now_ms, endpoint)
@@ -122,22 +121,22 @@
                 self.account.starting(item.message, item.attempt, endpoint)
 
     def told_to_wait(self, endpoint: str, wait_us: int) -> None:
-        """Nothing more goes there for so long, also of what is being dialled."""
+        """Send nothing more to the endpoint for this long, not even on connections that are being opened."""
         self.endpoints.told_to_wait(endpoint, time.monotonic(), wait_us / 1e6)
-        if self._tell_wait is not None:
-            self._tell_wait(endpoint, wait_us)
+        if self._report_wait is not None:
+            self._report_wait(endpoint, wait_us)
 
     def ended(self, endpoint: str, results: Sequence[tuple[Item, Result]]) -> None:
-        """The outcomes of one call."""
-        if self._tell is not None:
-            self._tell(endpoint, results)
+        """Process the outcomes of one call."""
+        if self._report is not None:
+            self._report(endpoint, results)
             return
         now_s = time.monotonic()
         for item, result in results:
             self.order.attempt_ended(item.message, item.attempt, result.may_still_run, now_s)
             held = self._held.get(item.message)
             if held is not None and result.outcome is Outcome.OK and not self.tells_deliveries and (
-                    time_is_up(held, max(self._s.answer_slack_us, 2 * self._s.tick_us))):
+                    time_is_up(held, max(self._settings.answer_slack_us, 2 * self._settings.tick_us))):
                 result = replace(result, outcome=Outcome.TIMEOUT)
             if result.outcome is not Outcome.OK:
                 log.info("%s attempt %d at %s: %s after %d ms%s", item.message, item.attempt, endpoint,
@@ -150,11 +149,11 @@
             if held is not None and complete:
                 if self.figures is not None and not result.over:
                     self.figures.passed[held.message_class] += 1
-                del self._held[item.message], self._numbers[item.message]
+                del self._held[item.message], self._next_attempt[item.message]
                 self.order.completed(item.message, now_s)
                 if self.tells_deliveries:
                     self._journal.end(item.message, "delivered", 0)
-                    self._owe(held)
+                    self._notify_end(held)
                 else:
                     self._journal.over(item.message)
             elif held is not None and item.attempt in held.out:
@@ -166,35 +165,35 @@
                 self.stray(item, result)
 
     def probed(self, endpoint: str, result: Result) -> None:
-        """The outcome of a probe."""
-        if self._tell is not None:
+        """Process the outcome of a probe."""
+        if self._report is not None:
             return
         if self.account is not None:
             self.account.probed(endpoint, result.outcome.value)
         self.turns.post(api.ProbeEnded(endpoint, result.outcome, result.spent_us, result.limit))
 
     def answered(self, messages: list[str]) -> None:
-        """The platform has heard of the end of these."""
+        """Forget messages whose notification the platform has answered."""
         for name in messages:
             if message := self._journal.messages.get(name):
-                self.flight.note(time.monotonic(), EventKind.NOTIFIED, name, message.key)
+                self.flight_recorder.note(time.monotonic(), EventKind.NOTIFIED, name, message.key)
                 self.order.completed(name, time.monotonic())
                 self._journal.over(name)
-        self.order.wake()
+        self.order.notifications_answered()
 
     def calls_out(self) -> list[CallsOut]:
-        """The calls that have begun and have no outcome yet."""
+        """Return the calls that have begun and have no outcome yet."""
         return begun(self.outlet.calls(), self._journal.messages)
 
-    # --- what the module wants ---
-    def _carry_out(self, action: api.Action, calls: Sends) -> None:
+    # --- actions of the policy module ---
+    def _carry_out(self, action: api.Action, batches: Sends) -> None:
         match action:
             case api.StartAttempt():
-                self._start(action, calls)
+                self._start_attempt(action, batches)
             case api.Refuse(name, retry_after_us, reason):
-                self._final(name, "handed_back", retry_after_us // 1000, reason)
+                self._end_by_policy(name, "handed_back", retry_after_us // 1000, reason)
             case api.Fail(name, reason):
-                self._final(name, "given_up", 0, reason)
+                self._end_by_policy(name, "given_up", 0, reason)
             case api.CancelAttempt(name, attempt):
                 self.outlet.cancel(name, attempt)
             case api.Probe(endpoint):
@@ -202,35 +201,35 @@
             case api.CloseIdle(endpoint, idle_us):
                 self.outlet.close_idle(endpoint, idle_us)
             case api.Subscribe():
-                pass  # the watch is always on
+                pass  # the watch always runs
             case api.WriteLog(text):
                 log.info("%s", text)
             case api.NoteHealth(endpoint, health) if endpoint in self.endpoints.listed:
                 self._journal.mark(endpoint, [clock.now_ms(), *astuple(health)])
 
-    def _start(self, action: api.StartAttempt, calls: Sends) -> None:
+    def _start_attempt(self, action: api.StartAttempt, batches: Sends) -> None:
         name, endpoint = action.message, action.endpoint
         message = self._held[name]
-        number = self._numbers[name]
-        self._numbers[name] = number + 1
-        sends = calls.setdefault(endpoint, [])
-        until_s = (self.turns.now_us + action.latest_us) / 1e6 if action.latest_us else math.inf
-        sends.append((Item(name, number, message.token, message.body, until_s, action.once), action.timeout_us))
-        if len(sends) >= self.endpoints.per_call(endpoint):
-            self._call(endpoint, calls.pop(endpoint))
-
-    def _call(self, endpoint: str, sends: Sequence[tuple[Item, int]]) -> None:
-        self.outlet.call(endpoint, [item for item, _ in sends], min(timeout_us for _, timeout_us in sends))
-
-    def _final(self, name: str, outcome: str, retry_ms: int, reason: api.EndReason) -> None:
+        number = self._next_attempt[name]
+        self._next_attempt[name] = number + 1
+        batch = batches.setdefault(endpoint, [])
+        write_until_s = (self.turns.now_us + action.latest_us) / 1e6 if action.latest_us else math.inf
+        batch.append((Item(name, number, message.token, message.body, write_until_s, action.once), action.timeout_us))
+        if len(batch) >= self.endpoints.per_call(endpoint):
+            self._call(endpoint, batches.pop(endpoint))
+
+    def _call(self, endpoint: str, batch: Sequence[tuple[Item, int]]) -> None:
+        self.outlet.call(endpoint, [item for item, _ in batch], min(timeout_us for _, timeout_us in batch))
+
+    def _end_by_policy(self, name: str, outcome: str, retry_ms: int, reason: api.EndReason) -> None:
         self._record(EventKind.COMPLETED, name, f"{outcome}: {reason.value}")
         message = self._held.pop(name)
-        del self._numbers[name]
+        del self._next_attempt[name]
         self._untried.discard(name)
         self._end(message, outcome, retry_ms, reason)
 
     def _record(self, kind: EventKind, message: str = "", detail: str = "") -> None:
-        self.flight.note(time.monotonic(), kind, message, self._key(message), detail)
+        self.flight_recorder.note(time.monotonic(), kind, message, self._key_of(message), detail)
 
     def _end(self, message: Stored, outcome: str, retry_ms: int,
              reason: api.EndReason = api.EndReason.UNKNOWN) -> None:
@@ -239,9 +238,9 @@
             self.figures.ended(message.message_class, outcome)
         if self.account is not None:
             self.account.final(message.id, outcome, reason.value)
-        self._owe(message)
+        self._notify_end(message)
 
-    def _owe(self, message: Stored) -> None:
+    def _notify_end(self, message: Stored) -> None:
         if message.notice is None or self.notices is None:
             self.order.completed(message.id, time.monotonic())
             return
--- a/wheelstep/courier/connection.py
+++ b/wheelstep/courier/connection.py
@@ -1,6 +1,7 @@
-"""One connection to an endpoint: what is written when, and how long an answer may take. `answer` reads it.
+"""One connection to an endpoint: tracks which bytes were written when, and bounds the time for an answer.
 
-Bytes and times of an answer are bounded, and nothing that comes outside of a call is ever taken for an answer.
+`answer` parses the answer. Its size and time are bounded, and bytes received outside of a call are never read as an
+answer.
 """
 
 from __future__ import annotations
@@ -15,217 +16,227 @@
 import termios
 import time
 
-from wheelstep.courier.answer import MOST_BODY, MOST_HEAD, Answer, AnswerReader, SpoiltError, delivered, first
-from wheelstep.courier.call_errors import BrokenError, LateError
+from wheelstep.courier.answer import MAX_BODY, MAX_HEAD, Answer, AnswerReader, MalformedError, final_start, says_200
+from wheelstep.courier.call_errors import ConnectionBrokenError, WriteTimeoutError
 
-_AT_ONCE = 8 * 1024  # bytes that the system takes at once where nothing waits: under half of Linux's first buffer
-_TAIL_S = 0.5  # an answer has come whole so long after its first byte, or it is spoilt
+_IMMEDIATE_BYTES = 8 * 1024  # bytes the kernel takes at once if none are queued: under half of Linux's first buffer
+_ANSWER_TIME_S = 0.5  # seconds from an answer's first byte until it must be complete, else it is malformed
 
 
 class Connection(asyncio.Protocol):
-    """It carries one call at a time."""
+    """An HTTP/1.1 connection that carries one call at a time."""
 
     def __init__(self) -> None:
-        self._reader: AnswerReader | None = None  # of the last answer, until the next call
+        self._reader: AnswerReader | None = None  # parser of the last answer, until the next call
         self._transport: asyncio.Transport | None = None
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._busy = self._ended = self._closed = False
         self._paused = False
-        self._raw = b""  # what came and is not yet read
-        self._began: float | None = None
+        self._received = b""  # received bytes that are not parsed yet
+        self._answer_at: float | None = None
         self.idle_since = time.monotonic()
-        self.spent_s = 0.0  # on its last call
-        self.left_at: float | None = None  # when its endpoint ended it, without a word, while nothing was under way
+        self.last_call_s = 0.0  # duration of its last call
+        self.peer_closed_at: float | None = None  # when the endpoint closed it while no call was under way
         self._sent_at = 0.0
-        self._given_up = False
-        self._held_back = False  # the last byte of the call is not yet given to the transport
-        self._lapse: asyncio.TimerHandle | None = None
-        self.written = False  # the last byte of the call under way went out: from then on it may run
+        self._cancelled = False
+        self._last_byte_held = False  # the call's last byte is not yet passed to the transport
+        self._write_timer: asyncio.TimerHandle | None = None
+        self.written = False  # the call's last byte was written, so from then on it may run
 
-    # --- what asyncio tells ---
+    # --- asyncio.Protocol ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, and have asyncio report when all is written."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that writing resumes when all is written
+        transport.set_write_buffer_limits(high=0)  # `resume_writing` is then called once all bytes are written
 
     def data_received(self, data: bytes) -> None:
+        """Buffer bytes of an answer; close the connection if none is expected."""
         if not self._busy:
-            self.close()  # nobody asked: it would be taken for the next call's answer
+            self.close()  # unrequested bytes, which would be read as the next call's answer
             return
-        if self._began is None:
-            self._began = time.monotonic()
-        self._raw += data
-        if len(self._raw) > MOST_BODY and self._transport is not None:
-            self._transport.pause_reading()  # for good: what is not read by now ends in a close
-        self._news.set()
+        if self._answer_at is None:
+            self._answer_at = time.monotonic()
+        self._received += data
+        if len(self._received) > MAX_BODY and self._transport is not None:
+            self._transport.pause_reading()  # never resumed: an answer of this size ends in a close
+        self._changed.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Note that the connection has ended."""
         self._ended = True
-        self._left()
-        self._rest()
-        self._take_back()  # the socket is closed after this
-        self._news.set()
+        self._note_peer_close()
+        self._cancel_write_timer()
+        self._discard_unsent()  # the socket is closed after this
+        self._changed.set()
 
     def pause_writing(self) -> None:
+        """Note that written bytes are waiting in the transport."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        # Told in the very step that writes the last byte, also where this side closes. Guards against a call that
-        # ends between that and the turn in which its task wakes up: it would pass for one that never ran.
-        self._paused, self.written = False, not self._held_back
-        self._news.set()
+        """Note that the transport has written all bytes."""
+        # asyncio calls this in the step that writes the last byte, also while this side closes. If a call ends
+        # between that step and its task's next turn, it must not count as never run.
+        self._paused, self.written = False, not self._last_byte_held
+        self._changed.set()
 
-    # --- what the outlet asks ---
+    # --- interface to the endpoint client ---
 
     def usable(self) -> bool:
-        """May a call be written? Looks at the socket itself: an end, or bytes that nobody asked for, may have
-        come since the loop last read."""
+        """Return whether a call may be written. Polls the socket itself, since the end of the connection or
+        unrequested bytes may have arrived since the event loop last read."""
         if self._ended or self._transport is None or self._transport.is_closing():
-            self._left()
+            self._note_peer_close()
             return False
         poll = select.poll()
         poll.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         found = poll.poll(0)
         if found and found[0][1] & (select.POLLRDHUP | select.POLLHUP | select.POLLERR):
-            self._left()
+            self._note_peer_close()
         return not found
 
-    def _left(self) -> None:
-        if not self._busy and not self._closed and self.left_at is None:
-            self.left_at = time.monotonic()
+    def _note_peer_close(self) -> None:
+        if not self._busy and not self._closed and self.peer_closed_at is None:
+            self.peer_closed_at = time.monotonic()
 
     @property
     def awaits_answer(self) -> bool:
-        """Is a call under way whose answer is not complete?"""
-        return self._busy and not (self._reader is not None and self._reader.done)
+        """Whether a call is under way whose answer is not complete."""
+        return self._busy and not (self._reader is not None and self._reader.complete)
 
     def close(self) -> None:
-        """At once. What the system still holds of a call without its answer is thrown away, and never read later."""
+        """Close at once. Bytes of an unanswered call that the kernel still holds are discarded and never sent."""
         if self._transport is None:
             return
         self._closed = True
-        self._rest()
-        self._take_back()
+        self._cancel_write_timer()
+        self._discard_unsent()
         self._transport.abort()
 
-    def _take_back(self) -> None:
+    def _discard_unsent(self) -> None:
         if self._transport is not None and self.awaits_answer:
-            # Guards against an effect long after: a cut that heals would bring the last byte of a call given up.
+            # Without this, a network that recovers would deliver the last byte of a cancelled call long afterwards.
             with contextlib.suppress(OSError):
                 self._transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
-    async def send(self, request: bytes, until_s: float = math.inf) -> None:
-        """Write one request whole, or raise `BrokenError`, or `LateError` where that would last past `until_s`;
-        `written` tells whether its last byte went out."""
+    async def send(self, request: bytes, write_until_s: float = math.inf) -> None:
+        """Write one request whole. Raise `ConnectionBrokenError` if the connection ends, `WriteTimeoutError` if
+        writing would last past `write_until_s`. `written` says whether its last byte was sent."""
         assert self._transport is not None
-        self._busy, self._raw, self._began, self.written = True, b"", None, False
+        self._busy, self._received, self._answer_at, self.written = True, b"", None, False
         self._sent_at = time.monotonic()
-        self._given_up = False  # the last call may have been, with its answer there already
-        # Guards against a last byte that the transport writes late, right after the loop has stood still: of what may
-        # have to wait for the endpoint, it goes out alone, and only after a look at the clock.
-        ahead = len(request) - 1 if len(request) > _AT_ONCE and until_s < math.inf else 0
+        self._cancelled = False  # may be left over from a last call whose answer had arrived
+        # Keeps the transport from writing the last byte late, right after the event loop was blocked. If the
+        # request may have to wait for the endpoint, its last byte is written separately, after the clock was
+        # checked.
+        ahead = len(request) - 1 if len(request) > _IMMEDIATE_BYTES and write_until_s < math.inf else 0
         for part in (request[:ahead], request[ahead:]) if ahead else (request,):
-            self._held_back = bool(ahead) and len(part) > 1
-            if time.monotonic() >= until_s:
-                raise LateError
-            await self._write(part, until_s)
+            self._last_byte_held = bool(ahead) and len(part) > 1
+            if time.monotonic() >= write_until_s:
+                raise WriteTimeoutError
+            await self._write(part, write_until_s)
             if self._ended:
                 break
         if not self.written:
-            raise BrokenError("ended while the call was written")
-        if until_s < math.inf:
-            self._lapse = asyncio.get_running_loop().call_at(until_s, self._lapsed)
+            raise ConnectionBrokenError("the connection ended while the call was written")
+        if write_until_s < math.inf:
+            self._write_timer = asyncio.get_running_loop().call_at(write_until_s, self._write_time_up)
 
-    async def _write(self, part: bytes, until_s: float) -> None:
+    async def _write(self, part: bytes, write_until_s: float) -> None:
         assert self._transport is not None
         self._transport.write(part)
         if not self._paused:
-            self.written = not self._transport.is_closing() and not self._held_back  # a failed write closes at once
+            self.written = not self._transport.is_closing() and not self._last_byte_held  # failed writes close at once
             return
         try:
-            async with asyncio.timeout_at(until_s if until_s < math.inf else None):
+            async with asyncio.timeout_at(write_until_s if write_until_s < math.inf else None):
                 while self._paused and not self._ended:
-                    self._news.clear()
-                    await self._news.wait()
+                    self._changed.clear()
+                    await self._changed.wait()
         except TimeoutError:
             if self._paused:
-                raise LateError from None
+                raise WriteTimeoutError from None
 
-    def _rest(self) -> None:
-        if self._lapse is not None:
-            self._lapse.cancel()
+    def _cancel_write_timer(self) -> None:
+        if self._write_timer is not None:
+            self._write_timer.cancel()
 
-    def _lapsed(self) -> None:
-        """Guards against a last byte that the system holds, and that a cut which heals would bring too late."""
-        if self._began is None and self._busy and self._transport is not None and not self._transport.is_closing():
+    def _write_time_up(self) -> None:
+        """Close if the kernel still holds the last byte, which a network that recovers would deliver too late."""
+        if self._answer_at is None and self._busy and self._transport is not None and not self._transport.is_closing():
             with contextlib.suppress(OSError):
                 left = fcntl.ioctl(self._transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, bytes(4))
                 if any(left):
                     self.close()
 
-    async def answer(self, alone: bool = True) -> Answer:
-        """Read the answer, or raise `BrokenError` if the connection ends with nothing of one. Given up in the middle
-        of it, the call of a message `alone` is delivered by a first line that said so."""
+    async def read_answer(self, single: bool = True) -> Answer:
+        """Read the answer. Raise `ConnectionBrokenError` if the connection ends before any byte of it.
+
+        If the call is cancelled in the middle of the answer, the message of a `single` call counts as delivered if
+        the first line said so.
+        """
         reader = self._reader = AnswerReader()
-        start = b""  # what came, as far as it may be needed to tell what a spoilt answer said first
+        start = b""  # received bytes, as far as needed to read a malformed answer's first line
         try:
-            while not reader.done:
-                if not (data := await self._more()):
-                    if not first(start):
-                        raise BrokenError("ended before its answer")
-                    if not reader.until_end:
-                        raise SpoiltError("ended too early")
+            while not reader.complete:
+                if not (data := await self._read_more()):
+                    if not final_start(start):
+                        raise ConnectionBrokenError("the connection ended before an answer")
+                    if not reader.ends_with_connection:
+                        raise MalformedError("the connection ended in the middle of an answer")
                     break
-                if len(start) < MOST_HEAD:
+                if len(start) < MAX_HEAD:
                     start += data
                 reader.feed(data)
-                if reader.between:
-                    self._began = None  # the answer itself may take its time
-        except SpoiltError:
-            return Answer(200 if delivered(start) else 0, reader.headers, spoilt=True)
+                if reader.awaits_next:
+                    self._answer_at = None  # an interim answer does not start the time limit of the final one
+        except MalformedError:
+            return Answer(200 if says_200(start) else 0, reader.headers, malformed=True)
         except asyncio.CancelledError:
-            if not alone or not delivered(start):
+            if not single or not says_200(start):
                 raise
-            return Answer(200, reader.headers, spoilt=True)
+            return Answer(200, reader.headers, malformed=True)
         return Answer(reader.status, reader.headers, bytes(reader.body))
 
-    async def _more(self) -> bytes:
-        """Further bytes of the answer; none once the connection has ended."""
-        if self._given_up:
+    async def _read_more(self) -> bytes:
+        """Return further bytes of the answer; none once the connection has ended."""
+        if self._cancelled:
             raise asyncio.CancelledError
-        while not self._raw and not self._ended:
-            self._news.clear()
-            left_s = None if self._began is None else self._began + _TAIL_S - time.monotonic()
+        while not self._received and not self._ended:
+            self._changed.clear()
+            left_s = None if self._answer_at is None else self._answer_at + _ANSWER_TIME_S - time.monotonic()
             try:
                 async with asyncio.timeout(left_s):
-                    await self._news.wait()
+                    await self._changed.wait()
             except TimeoutError:
-                if not self._news.is_set():  # it may have come while the loop was late itself
-                    raise SpoiltError("hangs") from None
+                if not self._changed.is_set():  # it may have come while the event loop was blocked
+                    raise MalformedError("the answer was not completed in time") from None
             except asyncio.CancelledError:
-                # Guards the wait and the end that an answer tells when it came before the call was given up: what is
-                # there is still read, what is missing is not waited for. One more turn reads what the system has
-                # got meanwhile, such as while the loop stood still.
-                if not self._raw and not self._ended:
-                    with contextlib.suppress(asyncio.CancelledError):  # given up twice: cancel and time-out
+                # If an answer came before the call was cancelled, its wait and outcome must count: received bytes
+                # are still read, missing ones are not waited for. One more turn reads what the kernel has received
+                # meanwhile, such as while the event loop was blocked.
+                if not self._received and not self._ended:
+                    with contextlib.suppress(asyncio.CancelledError):  # cancelled twice: cancel and time-out
                         await asyncio.sleep(0)
-                if not self._raw:
+                if not self._received:
                     raise
-                self._given_up = True
-        if self._began is not None and time.monotonic() - self._began > 4 * _TAIL_S:
-            raise SpoiltError("trickles")
-        data, self._raw = self._raw, b""
+                self._cancelled = True
+        if self._answer_at is not None and time.monotonic() - self._answer_at > 4 * _ANSWER_TIME_S:
+            raise MalformedError("the answer came too slowly")
+        data, self._received = self._received, b""
         return data
 
-    def next_cycle(self) -> bool:
-        """May another call follow here? Not if anything is left over from the last one."""
+    def make_idle(self) -> bool:
+        """Make the connection idle and return True, or return False if it cannot carry another call, as when bytes
+        are left over from the last one."""
         reader = self._reader
-        kept = reader is not None and reader.done and reader.keep and not self._raw and self.usable()
+        kept = reader is not None and reader.complete and reader.keep_alive and not self._received and self.usable()
         if kept:
-            self._rest()
+            self._cancel_write_timer()
             self._reader = None
             self._busy, self.written, self.idle_since = False, False, time.monotonic()
-            self.spent_s = self.idle_since - self._sent_at
+            self.last_call_s = self.idle_since - self._sent_at
         return kept
--- a/wheelstep/courier/dialling.py
+++ b/wheelstep/courier/dialling.py
@@ -1,37 +1,37 @@
-"""New connections to endpoints, also while this machine is short of something for a moment."""
+"""Opens connections to endpoints, with retries while this machine lacks a resource."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
 
-from wheelstep.courier.call_errors import BrokenError, LocalError
+from wheelstep.courier.call_errors import ConnectionBrokenError, LocalResourceError
 from wheelstep.courier.config import Address
 from wheelstep.courier.connection import Connection
 
-# What `socket` and `connect` say where this machine is short of something (socket(2), connect(2)).
+# Errors of `socket` and `connect` for a resource that this machine lacks (socket(2), connect(2)).
 _SHORTAGE = frozenset({errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# The same for a moment, or the endpoint's network is gone.
+# A brief local shortage, or the endpoint's network is unreachable.
 _NO_ROUTE = frozenset({errno.ENETDOWN, errno.ENETUNREACH})
-_AGAIN_S = 0.02
+_RETRY_S = 0.02
 
 
-async def dial(address: Address, within_s: float) -> Connection:
-    """Connect, again and again where this machine refuses. Raises `LocalError` where it refused all the while, and
-    `BrokenError` for any other failure."""
+async def dial(address: Address, timeout_s: float) -> Connection:
+    """Open a connection, with retries while this machine refuses. Raise `LocalResourceError` if it refused until
+    the time limit, and `ConnectionBrokenError` for any other failure."""
     refused: OSError | None = None
     try:
-        async with asyncio.timeout(within_s):
+        async with asyncio.timeout(timeout_s):
             while True:
                 try:
                     _, made = await asyncio.get_running_loop().create_connection(Connection, address.host, address.port)
                     return made
                 except OSError as error:
                     if error.errno not in _SHORTAGE | _NO_ROUTE:
-                        raise BrokenError(f"no connection: {error}") from error
+                        raise ConnectionBrokenError(f"connect to {address.host}:{address.port}: {error}") from error
                     refused = error
-                await asyncio.sleep(_AGAIN_S)
+                await asyncio.sleep(_RETRY_S)
     except TimeoutError as error:
         if refused is not None and refused.errno in _SHORTAGE:
-            raise LocalError(f"no connection: {refused}") from error
-        raise BrokenError("no connection in time") from error
+            raise LocalResourceError(f"connect to {address.host}:{address.port}: {refused}") from error
+        raise ConnectionBrokenError(f"connect to {address.host}:{address.port}: not done in {timeout_s} s") from error
--- a/wheelstep/courier/form.py
+++ b/wheelstep/courier/form.py
@@ -1,4 +1,4 @@
-"""A call's form on the wire: how the single and the bulk form are written, and what an answer means. No I/O."""
+"""Wire format of calls: writes the single and the bulk form, and interprets answers. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from wheelstep.courier.call import Item, Result
 from wheelstep.interface import Outcome
 
-_ENDS = {"delivered": Outcome.OK, "failed": Outcome.ERROR, "refused": Outcome.FULL,
-         "over": Outcome.NOT_SENT, "spent": Outcome.NOT_SENT}
+_BULK_OUTCOMES = {"delivered": Outcome.OK, "failed": Outcome.ERROR, "refused": Outcome.FULL,
+                  "over": Outcome.NOT_SENT, "spent": Outcome.NOT_SENT}
 
 
-def request(items: Sequence[Item], host: str, wait_ms: int, further: Sequence[tuple[str, str]] = ()) -> bytes:
-    """A call, ready to be written. Ids and tokens hold visible ASCII only: the client server takes no others."""
+def render(items: Sequence[Item], host: str, wait_ms: int, extra: Sequence[tuple[str, str]] = ()) -> bytes:
+    """Return the bytes of a call. Ids and tokens hold visible ASCII only, as the client server accepts no others."""
     if len(items) == 1:
         target, body = "/inbox", items[0].body
         token = items[0].token
@@ -25,30 +25,30 @@
         body = b"".join(
             f"{item.message} {item.token or '-'} {len(item.body)}\r\n".encode() + item.body + b"\r\n"
             for item in items)
-    names += "".join(f"{name}: {value}\r\n" for name, value in further)
+    names += "".join(f"{name}: {value}\r\n" for name, value in extra)
     return (f"POST {target} HTTP/1.1\r\nHost: {host}\r\nX-Deadline-Ms: {wait_ms}\r\n{names}"
             f"Content-Length: {len(body)}\r\n\r\n").encode("ascii") + body
 
 
-def fared(outcome: Outcome, answer: Answer | None, items: Sequence[Item]) -> list[Result]:
-    """How each message of a call fared."""
+def results(outcome: Outcome, answer: Answer | None, items: Sequence[Item]) -> list[Result]:
+    """Return the result of each message of a call."""
     if answer is None:
         return [Result(outcome)] * len(items)
     if answer.status != 200 or len(items) < 2:
-        return [status(answer)] * len(items)
-    ends: dict[str, str] = {}  # none if it is spoilt; what it says of the last message may be cut off
+        return [status_result(answer)] * len(items)
+    ends: dict[str, str] = {}  # empty if the answer is malformed; the last line may be cut off
     for line in answer.body.decode("latin-1").splitlines(keepends=True):
         message, _, end = line.strip().partition(" ")
         if line.endswith("\n"):
             ends[message] = end.strip()
-    # A message that the answer passes over, or tells an unknown end of, may have run.
-    return [Result(_ENDS.get(ends.get(item.message, ""), Outcome.ERROR),
+    # A message that is missing in the answer, or has an unknown end there, may have run.
+    return [Result(_BULK_OUTCOMES.get(ends.get(item.message, ""), Outcome.ERROR),
                    over=ends.get(item.message) == "over", exhausted=ends.get(item.message) == "spent")
             for item in items]
 
 
-def status(answer: Answer) -> Result:
-    """What the status alone says: of a probe, of a single call, of a bulk call that was not run."""
+def status_result(answer: Answer) -> Result:
+    """Return the result that the status alone gives: of a probe, a single call, or a bulk call that was not run."""
     match answer.status:
         case 200:
             return Result(Outcome.OK)
@@ -60,19 +60,19 @@
             return Result(Outcome.NOT_SENT)
         case 429 | 503:
             return Result(Outcome.FULL)
-        case _:  # 500, a spoilt answer, and whatever else: it may have run
+        case _:  # 500, a malformed answer, and anything else: it may have run
             return Result(Outcome.ERROR)
 
 
-def told(answer: Answer | None, report: tuple[str, ...]) -> tuple[int, api.LimitReport | None]:
-    """The wait and the report that any answer may carry."""
+def wait_and_limit(answer: Answer | None, report: tuple[str, ...]) -> tuple[int, api.LimitReport | None]:
+    """Return the wait in microseconds (0: none) and the load report, which any answer may carry."""
     if answer is None:
         return 0, None
-    return wait_us(answer.headers.get("retry-after", "")), _limit(answer.headers.get("x-load", ""), report)
+    return wait_us(answer.headers.get("retry-after", "")), _load_report(answer.headers.get("x-load", ""), report)
 
 
 def wait_us(text: str) -> int:
-    """A wait as `Retry-After` tells it, 0 where it tells none that can be meant."""
+    """Return a `Retry-After` value in microseconds; 0 if it is not a number of seconds above 0 and below an hour."""
     try:
         wait_s = float(text)
     except ValueError:
@@ -80,7 +80,7 @@
     return math.ceil(wait_s * 1e6) if 0 < wait_s < 3600 else 0
 
 
-def _limit(text: str, fields: tuple[str, ...]) -> api.LimitReport | None:
+def _load_report(text: str, fields: tuple[str, ...]) -> api.LimitReport | None:
     values: dict[str, float] = {}
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
--- a/wheelstep/courier/key_order.py
+++ b/wheelstep/courier/key_order.py
@@ -1,12 +1,13 @@
-"""The order of keys as the calls see it, independent of the module's decisions. No I/O, but for those who wait.
+"""Order of keys as observed by the calls, independent of the policy module's decisions. No I/O, except for waiting
+tasks.
 
-Messages of one key run one at a time, in the order of their acceptance (rule 6 of the wire's page).
-A message is complete once it is delivered, or once the notification of its end is answered. After an attempt that may
-still run, later messages of the key wait for a settle period. Both outlast the message, which is forgotten once it is
-complete, and the process: a successor is told of them (`settling`), and after a restart, where nobody can tell, every
-key settles (`settle_all`).
+Messages of one key run one at a time, in the order of their acceptance (rule 6 of the wire's page). A message is
+complete once it is delivered, or once the notification of its end is answered. After an attempt that may still run,
+later messages of the key wait for a settle period. A settle period outlasts its message, which is forgotten once it
+is complete, and the process: the next process is told of it (`settling`), and after a restart without a previous
+process every key settles (`settle_all`).
 
-Moments are monotonic seconds.
+All times are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Block(Enum):
-    """Why a message may not be sent yet."""
+    """Reason why a message may not be sent yet."""
 
     EARLIER = "an earlier message of its key is not complete"
     NOTIFICATION = "the notification of an earlier message of its key is not answered"
@@ -28,57 +29,58 @@
 
 
 @dataclass(slots=True)
-class _Message:
-    tried: bool = False  # an attempt was begun, maybe by a process before
-    unanswered: bool = False  # it has ended, and the platform is still to answer the notification
+class _MessageState:
+    tried: bool = False  # an attempt was started, perhaps by an earlier process
+    unanswered: bool = False  # it has ended, and its notification is not answered yet
     settled_at: float = 0.0  # until then an attempt of it may still run
 
 
 @dataclass(slots=True)
-class _Key:
-    messages: dict[str, _Message] = field(default_factory=dict)  # not complete, in the order of acceptance
-    attempts: dict[tuple[str, int], None] = field(default_factory=dict)  # open ones
-    settled_at: float = 0.0  # for messages that are complete
+class _KeyState:
+    messages: dict[str, _MessageState] = field(default_factory=dict)  # incomplete messages, in the order of acceptance
+    attempts: dict[tuple[str, int], None] = field(default_factory=dict)  # open attempts
+    settled_at: float = 0.0  # settle time left over from complete messages
 
 
 class KeyOrder:
-    """All keys that have a message, an open attempt or a settle period."""
+    """All keys that have an incomplete message, an open attempt or a settle period."""
 
     def __init__(self, settle_s: float) -> None:
         self._settle_s = settle_s
-        self._keys: dict[str, _Key] = {}
-        self._key_of: dict[str, str] = {}  # of messages that are not complete or have an open attempt
-        self._expiries: deque[tuple[float, str]] = deque()  # keys whose last message is complete, in order of time
+        self._keys: dict[str, _KeyState] = {}
+        self._key_of: dict[str, str] = {}  # for messages that are incomplete or have an open attempt
+        self._expiries: deque[tuple[float, str]] = deque()  # keys without messages, in the order of their expiry
         self._all_settled_at = 0.0
-        self._answered = asyncio.Event()  # set, and replaced, whenever notifications were answered
+        self._answered = asyncio.Event()  # set and replaced whenever notifications were answered
 
     def __len__(self) -> int:
         return len(self._keys)
 
-    # --- what happens ---
+    # --- events ---
 
     def accepted(self, message: str, key: str | None, tried: bool = False, may_run_until: float = 0.0) -> None:
-        """A message takes its place behind those of its key. `tried`: a process before has begun an attempt;
-        `may_run_until`: until when that one may still run."""
+        """Add a message behind those of its key. `tried`: an earlier process has started an attempt, which may run
+        until `may_run_until`."""
         if key is None:
             return
         self._key_of[message] = key
-        known = self._keys.setdefault(key, _Key()).messages.setdefault(message, _Message())
+        known = self._keys.setdefault(key, _KeyState()).messages.setdefault(message, _MessageState())
         known.tried = known.tried or tried
         known.settled_at = max(known.settled_at, may_run_until)
 
     def completed(self, message: str, now_s: float) -> None:
-        """It is delivered, its notification was answered, or it is no longer this process's."""
+        """Remove a message that was delivered, whose notification was answered, or that this process does not own
+        any more."""
         key = self._key_of.get(message)
         if key is None:
             return
         state = self._keys[key]
         if (known := state.messages.pop(message, None)) is not None:
             state.settled_at = max(state.settled_at, known.settled_at)
-        self._tidy(message, key, state, now_s)
+        self._forget_if_done(message, key, state, now_s)
 
     def attempt_started(self, message: str, attempt: int) -> None:
-        """Its first byte is about to be written, or a process before has it out."""
+        """Note an attempt whose first byte is about to be written, or that a previous process has under way."""
         if (key := self._key_of.get(message)) is not None:
             state = self._keys[key]
             state.attempts[message, attempt] = None
@@ -86,7 +88,7 @@
                 known.tried = True
 
     def attempt_ended(self, message: str, attempt: int, may_still_run: bool, now_s: float) -> None:
-        """It has its outcome."""
+        """Note the outcome of an attempt."""
         key = self._key_of.get(message)
         if key is None:
             return
@@ -98,20 +100,20 @@
                 known.settled_at = max(known.settled_at, settled_at)
             else:
                 state.settled_at = max(state.settled_at, settled_at)
-        self._tidy(message, key, state, now_s)
+        self._forget_if_done(message, key, state, now_s)
 
     def notification_pending(self, message: str, key: str | None) -> None:
-        """It has ended, and the platform is to be notified."""
+        """Note that a message has ended and its notification is not answered yet."""
         self.accepted(message, key)
         if key is not None:
             self._keys[key].messages[message].unanswered = True
 
-    def wake(self) -> None:
-        """Notifications were answered: those that wait for it look again."""
+    def notifications_answered(self) -> None:
+        """Wake the tasks in `until_answered`, as notifications were answered."""
         self._answered.set()
         self._answered = asyncio.Event()
 
-    def _tidy(self, message: str, key: str, state: _Key, now_s: float) -> None:
+    def _forget_if_done(self, message: str, key: str, state: _KeyState, now_s: float) -> None:
         if message not in state.messages and not any(name == message for name, _ in state.attempts):
             self._key_of.pop(message, None)
         if not state.messages and not state.attempts:
@@ -125,30 +127,30 @@
             if other is not None and not other.messages and not other.attempts and other.settled_at <= now_s:
                 del self._keys[expired]
 
-    # --- from one process to the next ---
+    # --- handover between processes ---
 
     def settling(self, now_s: float) -> dict[str, int]:
-        """Return the microseconds for which each key still settles, for those that do."""
+        """Return the keys that settle, with the microseconds left."""
         until = {key: max([state.settled_at, *(message.settled_at for message in state.messages.values())])
                  for key, state in self._keys.items()}
         return {key: int((settled_at - now_s) * 1e6) + 1 for key, settled_at in until.items() if settled_at > now_s}
 
     def settle(self, keys: Iterable[tuple[str, int]], now_s: float) -> None:
-        """Keys that settle for so many microseconds from now, as a process before has told."""
+        """Take over the settle periods, in microseconds from now, that a previous process reported."""
         for key, left_us in keys:
-            state = self._keys.setdefault(key, _Key())
+            state = self._keys.setdefault(key, _KeyState())
             state.settled_at = max(state.settled_at, now_s + left_us / 1e6)
             if not state.messages and not state.attempts:
                 self._expiries.append((state.settled_at, key))
 
     def settle_all(self, until_s: float) -> None:
-        """Any key may settle until then. A message that was tried had its turn already, and does not wait for it."""
+        """Let every key settle until then. A message tried before had its turn already and does not wait for it."""
         self._all_settled_at = max(self._all_settled_at, until_s)
 
-    # --- what may be sent ---
+    # --- permission to send ---
 
     def block(self, message: str, now_s: float) -> Block | None:
-        """Return why the message may not be sent now; None where nothing of its key stands against it."""
+        """Return why the message may not be sent now; None if nothing of its key stands in its way."""
         key = self._key_of.get(message)
         if key is None:
             return None
@@ -165,7 +167,7 @@
         return None
 
     async def until_answered(self, messages: Iterable[str], now_s: float) -> None:
-        """Wait until no notification stands before any of these messages."""
+        """Wait until no unanswered notification precedes any of these messages."""
         wanted = list(messages)
         while any(self.block(message, now_s) is Block.NOTIFICATION for message in wanted):
             await self._answered.wait()
--- a/wheelstep/courier/outlet.py
+++ b/wheelstep/courier/outlet.py
@@ -1,7 +1,7 @@
-"""Calls to endpoints and probes, each a task of its own, from the first wait to its one outcome.
+"""Calls to endpoints and probes, one task each, from the first wait to its single outcome.
 
-Nothing is ever sent again behind the caller's back, since an outcome hangs on what was written and when.
-`pool` has the connections, `form` the bytes and what an answer means, `call` what is asked of the owner.
+Nothing is sent again without the owner's decision, since an outcome depends on what was written and when. `pool`
+manages the connections, `form` the wire format and the meaning of answers, `call` the interface to the owner.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 from wheelstep import interface as api
 from wheelstep.courier import form
 from wheelstep.courier.answer import Answer
-from wheelstep.courier.call import Gate, Item, Progress, Result
-from wheelstep.courier.call_errors import BrokenError, LateError, LocalError
-from wheelstep.courier.pool import Pool
+from wheelstep.courier.call import CallOwner, Item, Progress, Result
+from wheelstep.courier.call_errors import ConnectionBrokenError, LocalResourceError, WriteTimeoutError
+from wheelstep.courier.pool import ConnectionPool
 from wheelstep.interface import UNRUN, Outcome
 
-__all__ = ["Gate", "Item", "Outlet", "Result"]
+__all__ = ["CallOwner", "EndpointClient", "Item", "Result"]
 
-_ABANDON_S = 0.2  # for calls that are given up to close their connections: they wait for nothing else
+_ABANDON_S = 0.2  # time for cancelled calls to close their connections; nothing else delays them
 
 log = logging.getLogger(__name__)
 
 
-class Outlet(Pool):
-    """All calls and connections of this courier."""
+class EndpointClient(ConnectionPool):
+    """All calls, probes and connections of this courier."""
 
-    def __init__(self, gate: Gate, dial_timeout_us: int, conn_idle_us: int, report: tuple[str, ...],
-                 most: int = 100) -> None:
-        super().__init__(dial_timeout_us, conn_idle_us, most)
-        self._gate, self._report = gate, report
+    def __init__(self, owner: CallOwner, dial_timeout_us: int, conn_idle_us: int, load_fields: tuple[str, ...],
+                 max_connections: int = 100) -> None:
+        super().__init__(dial_timeout_us, conn_idle_us, max_connections)
+        self._owner, self._load_fields = owner, load_fields
         self._tasks: set[asyncio.Task[None]] = set()
-        self._calls: dict[tuple[str, int], asyncio.Task[None]] = {}
-        self.sign: Callable[[str, Item], Sequence[tuple[str, str]]] | None = None  # further headers of single calls
+        self._tasks_by_attempt: dict[tuple[str, int], asyncio.Task[None]] = {}
+        self.sign: Callable[[str, Item], Sequence[tuple[str, str]]] | None = None  # extra headers of single calls
 
     def call(self, endpoint: str, items: Sequence[Item], timeout_us: int) -> None:
-        """Start one call; every item gets its outcome through the gate."""
+        """Start one call. The owner receives exactly one outcome for every item."""
         task = self._spawn(self._call(endpoint, items, timeout_us))
-        task.add_done_callback(lambda task: self._never_began(endpoint, items) if task.cancelled() else None)
+        task.add_done_callback(lambda task: self._cancelled_before_start(endpoint, items) if task.cancelled() else None)
         for item in items:
-            self._calls[item.message, item.attempt] = task
+            self._tasks_by_attempt[item.message, item.attempt] = task
 
     def cancel(self, message: str, attempt: int) -> None:
-        """Give up the call that carries this attempt, by closing its connection."""
-        if task := self._calls.get((message, attempt)):
+        """Cancel the call that carries this attempt, which closes its connection."""
+        if task := self._tasks_by_attempt.get((message, attempt)):
             task.cancel()
 
     def probe(self, endpoint: str, timeout_us: int) -> None:
@@ -57,28 +57,28 @@
         self._spawn(self._probe(endpoint, timeout_us))
 
     def calls(self) -> Sequence[Sequence[tuple[str, int]]]:
-        """The calls under way: for each its messages, with their attempts."""
+        """Return the calls under way: for each its messages, with their attempt numbers."""
         found: dict[asyncio.Task[None], list[tuple[str, int]]] = {}
-        for attempt, task in self._calls.items():
+        for attempt, task in self._tasks_by_attempt.items():
             found.setdefault(task, []).append(attempt)
         return [*found.values()]
 
     def carries(self, message: str) -> bool:
-        """Is a call with it under way, or about to be?"""
-        return any(name == message for name, _ in self._calls)
+        """Return whether a call with the message is under way or about to start."""
+        return any(name == message for name, _ in self._tasks_by_attempt)
 
-    def links(self) -> int:
-        """Connections: with a call, or being dialled, and idle."""
-        return len(self._tasks) + self._idle()
+    def connection_count(self) -> int:
+        """Return the number of connections: in a call, being opened, and idle."""
+        return len(self._tasks) + self._idle_count()
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait for the calls under way, up to a time."""
+        """Wait for the calls under way, for `timeout_s` at most."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=timeout_s)
 
     async def abandon(self) -> None:
-        """Give up all calls under way and close their connections: nobody is there any more to hear their outcomes."""
-        calls = set(self._calls.values())
+        """Cancel all calls and close their connections; nobody is left to receive their outcomes."""
+        calls = set(self._tasks_by_attempt.values())
         for task in calls:
             task.cancel()
         if calls:
@@ -91,77 +91,78 @@
         return task
 
     def _finished(self, task: asyncio.Task[None]) -> None:
-        """Guards against a task that dies unheard."""
+        """Log a task that failed, whose error would go unnoticed otherwise."""
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("a call's outcome could not be told", exc_info=error)
+            log.error("a call's outcome could not be reported", exc_info=error)
 
-    def _never_began(self, endpoint: str, items: Sequence[Item]) -> None:
-        """Guards against a call with no outcome: one that is cancelled before its task has run a step."""
+    def _cancelled_before_start(self, endpoint: str, items: Sequence[Item]) -> None:
+        """Report the outcome of a call that was cancelled before its task ran a step; it would have none otherwise."""
         for item in items:
-            self._calls.pop((item.message, item.attempt), None)
-        self._gate.ended(endpoint, [(item, Result(Outcome.NOT_SENT)) for item in items])
+            self._tasks_by_attempt.pop((item.message, item.attempt), None)
+        self._owner.ended(endpoint, [(item, Result(Outcome.NOT_SENT)) for item in items])
 
     async def _call(self, endpoint: str, items: Sequence[Item], timeout_us: int) -> None:
         end = time.monotonic() + timeout_us / 1e6
         progress = Progress()
-        live: list[Item] = []
+        ready: list[Item] = []
 
         def request() -> bytes | None:
-            # Guards against sends that became wrong while the connection came up: the endpoint drains or is
-            # gone, a wait was told, the message is over, its time is, or its key may be forgotten.
-            live[:] = [item for item in items if self._may_start(endpoint, item)]
-            if not live:
+            # Repeats the checks, since the attempt may have become wrong while the connection was opened: the
+            # endpoint drains or is gone, it asked to wait, the message is over, its time is up, or the endpoint may
+            # have forgotten its key.
+            ready[:] = [item for item in items if self._may_start(endpoint, item)]
+            if not ready:
                 return None
             try:
-                self._gate.starting(endpoint, live)
+                self._owner.attempts_starting(endpoint, ready)
             except OSError as error:
-                raise LocalError(f"the journal does not take its attempts: {error}") from error
-            further = self.sign(endpoint, live[0]) if self.sign is not None and len(live) == 1 else ()
-            return form.request(live, self._name(endpoint), max(1, math.ceil((end - time.monotonic()) * 1e3)), further)
+                raise LocalResourceError(f"the journal cannot take its attempts: {error}") from error
+            extra = self.sign(endpoint, ready[0]) if self.sign is not None and len(ready) == 1 else ()
+            return form.render(ready, self._netloc(endpoint), max(1, math.ceil((end - time.monotonic()) * 1e3)), extra)
 
         async def work() -> Answer | None:
-            await self._gate.settled(items)
+            await self._owner.wait_for_earlier(items)
             once = any(item.once for item in items)
-            return await self._exchange(endpoint, progress, request, may_write, live, once)
+            return await self._exchange(endpoint, progress, request, may_write, ready, once)
 
         async def may_write() -> bool:
-            # A sync may take its time: what was right before it is looked at once more.
-            return await self._gate.safe() and all(self._may_start(endpoint, item) for item in live)
+            # A sync may take long, so the checks are repeated after it.
+            return await self._owner.wait_durable() and all(self._may_start(endpoint, item) for item in ready)
 
-        outcome, answer = await self._bounded(work, progress, timeout_us)
+        outcome, answer = await self._run_bounded(work, progress, timeout_us)
         for item in items:
-            self._calls.pop((item.message, item.attempt), None)
-        wait_us, limit = self._told(endpoint, answer)
-        fared = dict(zip((item.message for item in live), form.fared(outcome, answer, live), strict=True))
-        unrun = Result(outcome if outcome in UNRUN else Outcome.NOT_SENT)
+            self._tasks_by_attempt.pop((item.message, item.attempt), None)
+        wait_us, limit = self._apply_answer_headers(endpoint, answer)
+        results = dict(zip((item.message for item in ready), form.results(outcome, answer, ready), strict=True))
+        not_run = Result(outcome if outcome in UNRUN else Outcome.NOT_SENT)
         spent_us = int((time.monotonic() - end) * 1e6) + timeout_us
-        spoilt = answer is not None and answer.spoilt
-        self._gate.ended(endpoint, [
-            (item, replace(fared.get(item.message, unrun), spent_us=spent_us, wait_us=wait_us, limit=limit,
-                           unfinished=spoilt and item.message in fared))
+        malformed = answer is not None and answer.malformed
+        self._owner.ended(endpoint, [
+            (item, replace(results.get(item.message, not_run), spent_us=spent_us, wait_us=wait_us, limit=limit,
+                           unfinished=malformed and item.message in results))
             for item in items])
 
     def _may_start(self, endpoint: str, item: Item) -> bool:
-        return time.monotonic() < item.until_s and self._gate.may_start(endpoint, item)
+        return time.monotonic() < item.write_until_s and self._owner.may_start(endpoint, item)
 
     async def _probe(self, endpoint: str, timeout_us: int) -> None:
         began = time.monotonic()
-        request = f"GET /healthz HTTP/1.1\r\nHost: {self._name(endpoint)}\r\n\r\n".encode()
+        request = f"GET /healthz HTTP/1.1\r\nHost: {self._netloc(endpoint)}\r\n\r\n".encode()
         progress = Progress()
-        outcome, answer = await self._bounded(
+        outcome, answer = await self._run_bounded(
             lambda: self._exchange(endpoint, progress,
-                                   lambda: request if self._gate.may_probe(endpoint) else None),
+                                   lambda: request if self._owner.may_probe(endpoint) else None),
             progress, timeout_us)
         if answer is not None:
-            outcome = form.status(answer).outcome
-        wait_us, limit = self._told(endpoint, answer)
+            outcome = form.status_result(answer).outcome
+        wait_us, limit = self._apply_answer_headers(endpoint, answer)
         spent_us = int((time.monotonic() - began) * 1e6)
-        self._gate.probed(endpoint, Result(outcome, spent_us, wait_us, limit))
+        self._owner.probed(endpoint, Result(outcome, spent_us, wait_us, limit))
 
-    async def _bounded(self, work: Callable[[], Coroutine[object, object, Answer | None]],
-                       progress: Progress, timeout_us: int) -> tuple[Outcome, Answer | None]:
-        """Run an exchange for so long at most. Guards against a call that ends with no outcome at all."""
+    async def _run_bounded(self, work: Callable[[], Coroutine[object, object, Answer | None]],
+                           progress: Progress, timeout_us: int) -> tuple[Outcome, Answer | None]:
+        """Run an exchange for `timeout_us` at most, and map every way in which it can end to an outcome."""
         try:
             async with asyncio.timeout(max(timeout_us, 0) / 1e6):
                 answer = await work()
@@ -170,12 +171,12 @@
             return progress.ended_by(Outcome.TIMEOUT), None
         except asyncio.CancelledError:
             return progress.ended_by(Outcome.CANCELLED), None
-        except LocalError as error:
-            log.warning("a call is not sent: %s", error)
+        except LocalResourceError as error:
+            log.warning("a call is not sent for lack of a local resource: %s", error)
             return Outcome.NOT_SENT, None
-        except LateError:
+        except WriteTimeoutError:
             return Outcome.NOT_SENT, None
-        except BrokenError:
+        except ConnectionBrokenError:
             return progress.ended_by(Outcome.RESET), None
         except Exception:
             log.exception("a call failed unexpectedly")
@@ -185,38 +186,38 @@
                         request: Callable[[], bytes | None],
                         may_write: Callable[[], Awaitable[bool]] | None = None,
                         items: Sequence[Item] = (), once: bool = False) -> Answer | None:
-        """One request and its answer, or None where there is nothing to send any more."""
+        """Send one request and return its answer, or None if there is nothing to send any more."""
         host = self._hosts.get(endpoint)
         if host is None:
             return None
-        link = await self._connect(host, progress, len(self._tasks), once)
+        connection = await self._acquire(host, progress, len(self._tasks), once)
         keep = False
         try:
-            wanted = request()
-            if (wanted is not None and may_write is not None and self._gate.syncs
-                    and not (await may_write() and link.usable())):  # it may have ended meanwhile
-                wanted = None
-            if wanted is None:
-                keep = True  # its endpoint has seen nothing: it goes on idling for as long as it has
+            payload = request()
+            if (payload is not None and may_write is not None and self._owner.syncs
+                    and not (await may_write() and connection.usable())):  # the connection may have ended meanwhile
+                payload = None
+            if payload is None:
+                keep = True  # the endpoint has received nothing, so the connection's idle time continues
                 return None
-            progress.link = link
+            progress.connection = connection
             try:
-                await link.send(wanted, min((item.until_s for item in items), default=math.inf))
-            finally:  # also where it is given up in the turn in which its last byte went out
-                if link.written and items:
-                    self._gate.written(len(items))
-            answer = await link.answer(alone=len(items) < 2)
-            keep = not answer.spoilt and link.next_cycle()
+                await connection.send(payload, min((item.write_until_s for item in items), default=math.inf))
+            finally:  # also if the call is cancelled in the turn that writes its last byte
+                if connection.written and items:
+                    self._owner.messages_written(len(items))
+            answer = await connection.read_answer(single=len(items) < 2)
+            keep = not answer.malformed and connection.make_idle()
             return answer
         finally:
             if keep and self._hosts.get(endpoint) is host:
-                bisect.insort(host.idle, link, key=lambda other: other.idle_since)
+                bisect.insort(host.idle, connection, key=lambda other: other.idle_since)
             else:
-                self._close(host, link, "a call on it ended without an answer" if link.awaits_answer else "not kept")
+                self._close(host, connection, "call unanswered" if connection.awaits_answer else "not reusable")
 
-    def _told(self, endpoint: str, answer: Answer | None) -> tuple[int, api.LimitReport | None]:
-        """The wait and the report that any answer may carry; a wait is told at once."""
-        wait_us, limit = form.told(answer, self._report)
+    def _apply_answer_headers(self, endpoint: str, answer: Answer | None) -> tuple[int, api.LimitReport | None]:
+        """Return the wait and the load report, which any answer may carry, and report a wait to the owner at once."""
+        wait_us, limit = form.wait_and_limit(answer, self._load_fields)
         if wait_us:
-            self._gate.told_to_wait(endpoint, wait_us)
+            self._owner.told_to_wait(endpoint, wait_us)
         return wait_us, limit
--- a/wheelstep/courier/pool.py
+++ b/wheelstep/courier/pool.py
@@ -1,6 +1,6 @@
-"""Connections to endpoints: where each endpoint is, those that are idle, and dialling within a bound.
+"""Connections to endpoints: addresses, idle connections, and opening new ones within a limit.
 
-Beneath `outlet.Outlet`, which has the calls.
+Base class of `outlet.EndpointClient`, which makes the calls.
 """
 
 from __future__ import annotations
@@ -11,124 +11,127 @@
 from dataclasses import dataclass, field
 
 from wheelstep.courier.call import Progress
-from wheelstep.courier.call_errors import BrokenError
+from wheelstep.courier.call_errors import ConnectionBrokenError
 from wheelstep.courier.config import Address
 from wheelstep.courier.connection import Connection
 from wheelstep.courier.dialling import dial
 from wheelstep.courier.flight_recorder import EventKind, FlightRecorder
 
-_IDLE_MARGIN_S = 1.5  # an idle connection is given up so long before the endpoint would
-_SWEEP_S = 0.5
+_IDLE_MARGIN_S = 1.5  # an idle connection is closed this long before the endpoint would close it
+_SWEEP_INTERVAL_S = 0.5
 
 
 @dataclass(slots=True)
 class Host:
-    """An endpoint's address and its idle connections, the one used last at the end."""
+    """An endpoint's address and its idle connections, the most recently used one last."""
 
     address: Address
     idle: list[Connection] = field(default_factory=list)
-    safe_s: float = math.inf  # after idling for so long one was in doubt, when that was learned
-    learned_s: float = 0.0
+    safe_idle_s: float = math.inf  # idle time considered safe when it was last learned; inf: nothing observed
+    learned_at_s: float = 0.0
 
 
-class Pool:
-    """Endpoints' addresses and connections."""
+class ConnectionPool:
+    """Addresses of and connections to the endpoints."""
 
-    def __init__(self, dial_timeout_us: int, conn_idle_us: int, most: int) -> None:
-        self._most = most  # connections at once: with a call, idle, and being dialled
-        self._dial_s = dial_timeout_us / 1e6
+    def __init__(self, dial_timeout_us: int, conn_idle_us: int, max_connections: int) -> None:
+        self._max_connections = max_connections  # limit on connections in calls, idle, and being opened
+        self._dial_timeout_s = dial_timeout_us / 1e6
         idle_s = conn_idle_us / 1e6 if conn_idle_us else 5.0
-        self._idle_s = max(idle_s - _IDLE_MARGIN_S, idle_s / 2)
+        self._max_idle_s = max(idle_s - _IDLE_MARGIN_S, idle_s / 2)
         self._hosts: dict[str, Host] = {}
-        self.dials = 0  # handshakes begun
+        self.dials = 0  # connections attempted since the start
         self.recorder: FlightRecorder | None = None
 
-    def list(self, endpoint: str, address: Address) -> None:
-        """Calls to the endpoint go to this address from now on."""
+    def set_address(self, endpoint: str, address: Address) -> None:
+        """Set the address that calls to the endpoint use from now on."""
         host = self._hosts.get(endpoint)
         if host is None or host.address != address:
             self.close_idle(endpoint)
             self._hosts[endpoint] = Host(address)
 
     def address(self, endpoint: str) -> Address | None:
-        """Where it is, if it is listed."""
+        """Return the endpoint's address; None if it is not listed."""
         host = self._hosts.get(endpoint)
         return host.address if host is not None else None
 
-    def unlist(self, endpoint: str) -> None:
-        """The endpoint is gone."""
+    def remove_address(self, endpoint: str) -> None:
+        """Close the idle connections to an endpoint that is not listed any more, and forget its address."""
         self.close_idle(endpoint)
         self._hosts.pop(endpoint, None)
 
     def close_idle(self, endpoint: str, idle_us: int = 0) -> None:
-        """Close the connections to an endpoint that have been idle for so long."""
+        """Close the connections to an endpoint that have been idle for at least `idle_us`."""
         host, since = self._hosts.get(endpoint), time.monotonic() - idle_us / 1e6
-        for link in [link for link in host.idle if link.idle_since <= since] if host is not None else ():
+        for connection in [one for one in host.idle if one.idle_since <= since] if host is not None else ():
             assert host is not None
-            host.idle.remove(link)
-            self._close(host, link, f"idle for {idle_us // 1000} ms or more, to be closed")
+            host.idle.remove(connection)
+            self._close(host, connection, f"idle for {idle_us // 1000} ms or more, closed on request")
 
-    def _close(self, host: Host, link: Connection, reason: str) -> None:
+    def _close(self, host: Host, connection: Connection, reason: str) -> None:
         if self.recorder is not None:
             where = f"{host.address.host}:{host.address.port}"
             self.recorder.note(time.monotonic(), EventKind.CONNECTION_CLOSED, detail=f"{where}: {reason}")
-        link.close()
+        connection.close()
 
     async def sweep(self) -> None:
-        """Close connections before their endpoint does, so that no call is written to a closing one."""
+        """Close idle connections before their endpoints do, so that no call is written to a closing one."""
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             for host in self._hosts.values():
-                for link in list(host.idle):
-                    if not self._fresh(link):
-                        self._drop(host, link)
-
-    def _fresh(self, link: Connection) -> bool:
-        return link.usable() and time.monotonic() - link.idle_since < self._idle_s
-
-    def _drop(self, host: Host, link: Connection) -> None:
-        host.idle.remove(link)
-        idled_s = link.left_at - link.idle_since if link.left_at is not None else 0.0
-        if idled_s > link.spent_s:  # else its end belongs to its last answer
-            host.safe_s, host.learned_s = min(self._safe_s(host), idled_s / 2), time.monotonic()
-        self._close(host, link, "idle too long" if link.left_at is None else "ended by its endpoint")
-
-    def _safe_s(self, host: Host) -> float:
-        """For how long a connection may idle before one call that can't be repeated is at risk. Guards those against
-        an endpoint that ends idle ones early, where such ends were seen: as `Outcomes._safe_us` does for ends that
-        nobody sees. It costs handshakes while remembered, also where an endpoint ended them all for another reason."""
-        return min(self._idle_s, host.safe_s + (time.monotonic() - host.learned_s) / 10)
-
-    async def _connect(self, host: Host, progress: Progress, busy: int, once: bool = False) -> Connection:
-        """One that is idle, or a new one, or `BrokenError`; `busy` counts the calls and probes under way. `once`: what
-        is to be sent may not be sent again."""
-        for link in [link for link in host.idle if link.left_at is not None]:
-            self._drop(host, link)
-        while host.idle and not (once and time.monotonic() - host.idle[-1].idle_since >= self._safe_s(host)):
-            link = host.idle[-1]
-            if self._fresh(link):
+                for connection in list(host.idle):
+                    if not self._reusable(connection):
+                        self._drop_idle(host, connection)
+
+    def _reusable(self, connection: Connection) -> bool:
+        return connection.usable() and time.monotonic() - connection.idle_since < self._max_idle_s
+
+    def _drop_idle(self, host: Host, connection: Connection) -> None:
+        host.idle.remove(connection)
+        idled_s = connection.peer_closed_at - connection.idle_since if connection.peer_closed_at is not None else 0.0
+        if idled_s > connection.last_call_s:  # otherwise it was closed because of its last answer
+            host.safe_idle_s, host.learned_at_s = min(self._safe_idle_s(host), idled_s / 2), time.monotonic()
+        self._close(host, connection, "idle too long" if connection.peer_closed_at is None else "ended by its endpoint")
+
+    def _safe_idle_s(self, host: Host) -> float:
+        """Return how long a connection may idle before a call that cannot be repeated is at risk on it.
+
+        Protects such calls from an endpoint that closes idle connections early, where that was observed: as
+        `Outcomes._safe_us` does for closures that are not observed. While remembered it costs connection
+        handshakes, also where an endpoint closed all connections for another reason.
+        """
+        return min(self._max_idle_s, host.safe_idle_s + (time.monotonic() - host.learned_at_s) / 10)
+
+    async def _acquire(self, host: Host, progress: Progress, busy: int, once: bool = False) -> Connection:
+        """Return an idle connection, or open one; raise `ConnectionBrokenError` if that fails. `busy` counts the
+        calls and probes under way. `once`: what will be sent must not be sent again."""
+        for connection in [one for one in host.idle if one.peer_closed_at is not None]:
+            self._drop_idle(host, connection)
+        while host.idle and not (once and time.monotonic() - host.idle[-1].idle_since >= self._safe_idle_s(host)):
+            connection = host.idle[-1]
+            if self._reusable(connection):
                 host.idle.pop()
                 progress.dialled = True
-                return link
-            self._drop(host, link)
-        # Guards the descriptors: every task of the outlet holds one connection at most.
-        if busy > self._most:
-            raise BrokenError("too many connections of this courier")
-        if busy + self._idle() > self._most:
+                return connection
+            self._drop_idle(host, connection)
+        # Bounds the file descriptors: every task of the client holds one connection at most.
+        if busy > self._max_connections:
+            raise ConnectionBrokenError("all connections of this courier are in use")
+        if busy + self._idle_count() > self._max_connections:
             oldest = min((host for host in self._hosts.values() if host.idle),
                          key=lambda host: host.idle[0].idle_since)
-            self._close(oldest, oldest.idle.pop(0), "room for another")
+            self._close(oldest, oldest.idle.pop(0), "closed to make room for another")
         progress.dialled = True
         self.dials += 1
         try:
-            return await dial(host.address, self._dial_s)
-        except BrokenError:
-            host.safe_s = math.inf  # nobody is there: what was seen was an outage's doing
+            return await dial(host.address, self._dial_timeout_s)
+        except ConnectionBrokenError:
+            host.safe_idle_s = math.inf  # nothing listens there, so the earlier closures came from an outage
             raise
 
-    def _name(self, endpoint: str) -> str:
+    def _netloc(self, endpoint: str) -> str:
         host = self._hosts.get(endpoint)
         return f"{host.address.host}:{host.address.port}" if host else endpoint
 
-    def _idle(self) -> int:
+    def _idle_count(self) -> int:
         return sum(len(host.idle) for host in self._hosts.values())
--- a/wheelstep/courier/ports.py
+++ b/wheelstep/courier/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of a journal and of notices, and how it tells of calls. No I/O."""
+"""Interfaces of the core to the journal, to notifications and to another process. No I/O."""
 
 from __future__ import annotations
 
@@ -9,46 +9,66 @@
 from wheelstep.courier.call import Item, Result
 from wheelstep.journal import Stored
 
-Told = Callable[[str, Sequence[tuple[Item, Result]]], None]
+OutcomeListener = Callable[[str, Sequence[tuple[Item, Result]]], None]
 
 
 class Book(Protocol):
-    """What is asked of a journal: see `wheelstep.journal.Journal`."""
+    """The part of a journal that the core uses: see `wheelstep.journal.Journal`."""
 
     @property
-    def messages(self) -> dict[str, Stored]: ...
+    def messages(self) -> dict[str, Stored]:
+        """Messages whose end is owed, by id."""
+        ...
 
     @property
-    def marks(self) -> dict[str, Any]: ...
+    def marks(self) -> dict[str, Any]:
+        """Stored marks by name."""
+        ...
 
     @property
-    def waits(self) -> bool: ...
+    def waits(self) -> bool:
+        """Whether `durable` may have to wait."""
+        ...
 
-    def take(self, message: Stored) -> None: ...
+    def take(self, message: Stored) -> None:
+        """Write a new message."""
+        ...
 
-    def attempt(self, message: str, number: int, at_ms: int, endpoint: str) -> None: ...
+    def attempt(self, message: str, number: int, at_ms: int, endpoint: str) -> None:
+        """Write the start of an attempt."""
+        ...
 
-    def outcome(self, message: str, number: int, may_have_run: bool) -> None: ...
+    def outcome(self, message: str, number: int, may_have_run: bool) -> None:
+        """Write the outcome of an attempt that did not complete its message."""
+        ...
 
-    def end(self, message: str, outcome: str, retry_ms: int) -> None: ...
+    def end(self, message: str, outcome: str, retry_ms: int) -> None:
+        """Write the end of a message, whose notification is owed from then on."""
+        ...
 
-    def over(self, message: str) -> None: ...
+    def over(self, message: str) -> None:
+        """Write that nothing more is owed of a message."""
+        ...
 
-    def mark(self, name: str, value: Any) -> None: ...
+    def mark(self, name: str, value: Any) -> None:
+        """Store a mark, or remove it if the value is None."""
+        ...
 
-    async def durable(self) -> None: ...
+    async def durable(self) -> None:
+        """Wait until written records are durable by the sync policy; raises `NoRoomError`."""
+        ...
 
 
-class Notices(Protocol):
-    """Who is told of ends; once it has heard, `Core.answered`."""
+class NotificationSender(Protocol):
+    """Sends notifications of ends; calls `Core.answered` once they are answered."""
 
     def owe(self, message: str, outcome: str, retry_ms: int) -> None:
-        """Tell of this one as soon as can be."""
+        """Send a notification of this end as soon as possible."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallsOut:
-    """A call under way: where, since when (Unix time), and its messages with their attempts."""
+    """A call under way: its endpoint, its start (Unix time), and its messages with their attempts."""
 
     endpoint: str
     sent_ms: int
--- a/wheelstep/courier/send_guard.py
+++ b/wheelstep/courier/send_guard.py
@@ -1,4 +1,4 @@
-"""The one place that every attempt passes right before its first byte, first tries and repeats alike. No I/O."""
+"""The last check before an attempt's first byte, for first tries and repeats alike. No I/O."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class SendGuard:
-    """Checks what the module decided against what the calls have seen."""
+    """Checks the policy module's decisions against what the calls have observed."""
 
     def __init__(self, order: KeyOrder, invariants: Invariants) -> None:
         self._order, self._invariants = order, invariants
 
     def may_send(self, message: Stored, item: Item, now_s: float) -> bool:
-        """Return whether the attempt keeps the invariants; one that does not is counted and must not be sent."""
+        """Return whether the attempt keeps the invariants. A violation is counted, and the attempt must not be sent."""
         if item.once and message.may_have_run(but=item.attempt) is not None:
             self._invariants.violated(Invariant.SENT_ONCE, f"attempt {item.attempt} of {message.id}", message.id,
                                       message.key)
--- a/wheelstep/courier/turns.py
+++ b/wheelstep/courier/turns.py
@@ -1,5 +1,5 @@
-"""The module's turns: gathers events for a tick, hands them in, and has its actions carried out in order. No policy
-here.
+"""Runs the policy module in turns: collects events for one tick, passes them on, and has the resulting actions
+carried out in order. Makes no policy decisions.
 """
 
 from __future__ import annotations
@@ -14,84 +14,85 @@
 from wheelstep.courier.call import Item
 from wheelstep.interface import Outcome
 
-_MOST_EVENTS = 2_000  # go to the module in one turn
+_MAX_EVENTS = 2_000  # events passed to the policy module in one turn
 
 Sends = dict[str, list[tuple[Item, int]]]
-"""Attempts that begin in this turn, by endpoint, with their time-outs: what goes to one endpoint shares a call."""
+"""Attempts that start in this turn, by endpoint, with their time-outs; those to one endpoint share a call."""
 
 log = logging.getLogger(__name__)
 
 
 class Turns:
-    """`carry_out` does one action (attempts are gathered in the sends), `call` starts a call."""
+    """Passes events to the policy module. `carry_out` executes one action, collecting attempts in the batches;
+    `call` starts a call."""
 
     def __init__(self, sender: Sender, tick_us: int, carry_out: Callable[[api.Action, Sends], None],
                  call: Callable[[str, Sequence[tuple[Item, int]]], None]) -> None:
-        self.sender, self._tick_s, self._one, self._call = sender, tick_us / 1e6, carry_out, call
+        self.sender, self._tick_s, self._carry_out_action, self._call = sender, tick_us / 1e6, carry_out, call
         self._events: list[api.Event] = []
-        self._flush: asyncio.Handle | None = None
+        self._next_turn: asyncio.Handle | None = None
         self._timers: dict[int, asyncio.TimerHandle] = {}
-        self.now_us = 0  # the moment that the module was told last: what its actions tell counts from here
-        self.stopping = False  # nothing more is begun by this process
-        self.frozen = False  # nor for now: another process is about to go on from here
-        self.over = False  # the messages are another process's
+        self.now_us = 0  # time passed to the policy module last; its actions' times count from here
+        self.stopping = False  # this process starts nothing more
+        self.frozen = False  # suspended, as another process is about to take over
+        self.closed = False  # another process owns the messages
 
     def post(self, event: api.Event) -> None:
-        """Gather events for a tick: what goes to one endpoint in one turn shares a call."""
-        if self.over:
+        """Queue an event for the next turn. Waiting for a tick lets attempts to one endpoint share a call."""
+        if self.closed:
             return
         self._events.append(event)
-        if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_later(self._tick_s, self._turn)
+        if self._next_turn is None:
+            self._next_turn = asyncio.get_running_loop().call_later(self._tick_s, self._run_turn)
 
     def thaw(self) -> None:
-        """Go on."""
+        """Resume after a suspension."""
         self.frozen = False
-        if self._events and self._flush is None:
-            self._flush = asyncio.get_running_loop().call_soon(self._turn)
+        if self._events and self._next_turn is None:
+            self._next_turn = asyncio.get_running_loop().call_soon(self._run_turn)
 
     def end(self) -> None:
-        """For good."""
-        self.over = True
+        """Stop for good: drop queued events and cancel timers."""
+        self.closed = True
         self._events.clear()
         for timer in self._timers.values():
             timer.cancel()
 
-    def _turn(self) -> None:
-        self._flush = None
+    def _run_turn(self) -> None:
+        self._next_turn = None
         if self.stopping or self.frozen:
             return
-        events, self._events = self._events[:_MOST_EVENTS], self._events[_MOST_EVENTS:]
-        if self._events:  # guards the loop against 100,000 restored messages in one turn
-            self._flush = asyncio.get_running_loop().call_soon(self._turn)
+        events, self._events = self._events[:_MAX_EVENTS], self._events[_MAX_EVENTS:]
+        if self._events:  # keeps 100,000 restored messages from blocking the event loop in one turn
+            self._next_turn = asyncio.get_running_loop().call_soon(self._run_turn)
         try:
             self.now_us = time.monotonic_ns() // 1000
-            self._carry_out(self.sender.handle(self.now_us, events))
+            self._carry_out_all(self.sender.handle(self.now_us, events))
         except Exception:
-            log.exception("a turn failed; its events: %r", events)
+            log.exception("a turn failed in the policy module; its events: %r", events)
 
-    def _carry_out(self, actions: list[api.Action]) -> None:
-        calls: Sends = {}
+    def _carry_out_all(self, actions: list[api.Action]) -> None:
+        batches: Sends = {}
         for action in actions:
             try:
                 if isinstance(action, api.SetTimer):
-                    self._set(action)
+                    self._set_timer(action)
                 else:
-                    self._one(action, calls)
-            except Exception:  # one that fails may not take the others with it
+                    self._carry_out_action(action, batches)
+            except Exception:  # a failed action must not prevent the others
                 log.exception("could not carry out %r", action)
-                if isinstance(action, api.StartAttempt):  # nor keep its slot
+                if isinstance(action, api.StartAttempt):  # nor must it keep its slot
                     self.post(api.AttemptEnded(action.message, 0, action.endpoint, Outcome.NOT_SENT, 0))
-        for endpoint, sends in calls.items():
-            self._call(endpoint, sends)
+        for endpoint, batch in batches.items():
+            self._call(endpoint, batch)
 
-    def _set(self, action: api.SetTimer) -> None:
-        """In place of a later one, which would wake it for nothing."""
+    def _set_timer(self, action: api.SetTimer) -> None:
+        """Set a timer in place of one with the same number, whose later wake-up would be needless."""
         if action.timer in self._timers:
             self._timers[action.timer].cancel()
         self._timers[action.timer] = asyncio.get_running_loop().call_later(
-            action.in_us / 1e6, self._timer, action.timer)
+            action.in_us / 1e6, self._timer_fired, action.timer)
 
-    def _timer(self, timer: int) -> None:
+    def _timer_fired(self, timer: int) -> None:
         del self._timers[timer]
         self.post(api.TimerFired(timer))
