--- a/tests/router_world.py
+++ b/tests/router_world.py
@@ -1,6 +1,6 @@
-"""Two or three routers, clients that come again, asks that are lost or come late, and a tiny model that checks them.
+"""Two or three routers, clients that retry, asks that are lost or arrive late, and a small model that checks the rules.
 
-Each id and each ordered key is handed in at one courier, as clients do. Views of who is home are each courier's own.
+Each id and each ordered key is handed in at one courier, as clients do. Each courier has its own view of the homes.
 """
 
 from __future__ import annotations
@@ -9,7 +9,18 @@
 from dataclasses import dataclass, field
 
 from wheelstep.shards.hosting import Life
-from wheelstep.shards.router import Answer, AsGuest, Ask, Handed, Here, NoAnswer, Router, Sight, WaitOpen, Way
+from wheelstep.shards.router import (
+    Answer,
+    Ask,
+    BeGuest,
+    Decision,
+    NoAnswer,
+    Request,
+    Router,
+    Take,
+    View,
+    Wait,
+)
 
 S = 1_000_000
 SETTLE = S
@@ -22,14 +33,14 @@
     """One hand-in of a message by its client."""
 
     at: str
-    message: Handed
+    message: Request
     since_us: int
     asks: int = 0
 
 
 @dataclass
 class Flight:
-    """An ask on its way."""
+    """An ask in transit."""
 
     hand: Hand
     to: str
@@ -40,34 +51,35 @@
 
 @dataclass
 class Courier:
-    """What a node around the router holds."""
+    """The state that a node keeps around its router."""
 
     router: Router
     home: str | None = None
     opening: bool = False
     guest: bool = False
-    held: dict[str, Handed] = field(default_factory=dict)
+    held: dict[str, Request] = field(default_factory=dict)
     ended: set[str] = field(default_factory=set)
 
 
 class World:
-    """`steady`: one home that all agree on, and room for few keys; else views change and differ."""
+    """With `steady`, one home that all agree on and room for few keys; otherwise views change and differ."""
 
     def __init__(self, seed: int, kind: type[Router] = Router) -> None:
         self.rng = random.Random(seed)
         self.steady = self.rng.random() < 0.3
-        self.most_passed = 1 if self.steady else 200
+        self.max_passed = 1 if self.steady else 200
         self.now = 0
-        self.couriers = {name: Courier(kind(name, SETTLE, MOST_DOUBTS, self.most_passed, 3, S, MOST_TAKEN),
+        self.couriers = {name: Courier(kind(name, SETTLE, MOST_DOUBTS, self.max_passed, 3, S, MOST_TAKEN),
                                        "b" if self.steady else None) for name in NAMES}
-        self.messages: list[tuple[str, Handed]] = []  # with the courier that its client uses
-        self.done: set[str] = set()  # their clients have heard 202
+        self.messages: list[tuple[str, Request]] = []  # with the courier that the client uses
+        self.done: set[str] = set()  # ids whose clients have received 202
         self.taken: dict[str, str] = {}
         self.flights: list[Flight] = []
         self.waiting: list[Hand] = []
         self.count = 0
 
-    def sight(self, name: str, message: Handed) -> Sight:
+    def view(self, name: str, message: Request) -> View:
+        """The courier's present view of the message's shard."""
         courier = self.couriers[name]
         owes = any(other.key == message.key is not None for other in courier.held.values())
         if courier.home == name:
@@ -76,18 +88,20 @@
             life = Life.GUEST
         else:
             life = Life.LEAVING if courier.held else None
-        return Sight(life, courier.home, owes, 0, self.rng.random() < 0.9, courier.guest and self.rng.random() < 0.8)
+        return View(life, courier.home, owes, 0, self.rng.random() < 0.9, courier.guest and self.rng.random() < 0.8)
 
-    def take(self, name: str, message: Handed) -> None:
+    def take(self, name: str, message: Request) -> None:
+        """The courier takes the message; checks that it is the only one, and the key is open nowhere else."""
         assert self.taken.setdefault(message.id, name) == name, "taken at two couriers"
         for other, courier in self.couriers.items():
             if other != name and message.key is not None:
                 assert all(held.key != message.key for held in courier.held.values()), "a key is open at two couriers"
         self.couriers[name].held[message.id] = message
 
-    def follow(self, hand: Hand, way: Way | None) -> None:
-        match way:
-            case Here():
+    def follow(self, hand: Hand, decision: Decision | None) -> None:
+        """Carries out a decision."""
+        match decision:
+            case Take():
                 self.take(hand.at, hand.message)
                 self.told(hand.message)
             case Ask(courier):
@@ -95,39 +109,43 @@
                 assert hand.asks == 1, "asked twice for one hand-in"
                 assert courier != hand.at
                 self.flights.append(Flight(hand, courier))
-            case AsGuest() | WaitOpen():
-                if isinstance(way, AsGuest):
+            case BeGuest() | Wait():
+                if isinstance(decision, BeGuest):
                     self.couriers[hand.at].guest = True
                 hand.since_us = self.now
                 self.waiting.append(hand)
 
-    def told(self, message: Handed) -> None:
-        if self.rng.random() < 0.7:  # else the answer is lost, and its client comes again
+    def told(self, message: Request) -> None:
+        """The client receives its answer, or the answer is lost."""
+        if self.rng.random() < 0.7:  # otherwise the answer is lost and the client retries
             self.done.add(message.id)
 
-    def hand_in(self, at: str, message: Handed) -> None:
+    def hand_in(self, at: str, message: Request) -> None:
+        """A client hands the message in."""
         courier = self.couriers[at]
         if message.id in courier.held:
             self.told(message)
         elif message.id not in courier.ended and message.until_us > self.now:
             hand = Hand(at, message, self.now)
-            self.follow(hand, courier.router.way(self.now, message, self.sight(at, message)))
+            self.follow(hand, courier.router.decide(self.now, message, self.view(at, message)))
 
     def new(self) -> None:
+        """A new message."""
         self.count += 1
         key = self.rng.choice([None, "k0", "k1", "k2", "k3"])
         at = {"k0": "a", "k1": "a", "k2": "a", "k3": "c"}.get(str(key)) or self.rng.choice("ac")
-        message = Handed(f"m{self.count}", 1, 0, "x", key, self.now + self.rng.randrange(S, 20 * S))
+        message = Request(f"m{self.count}", 1, 0, "x", key, self.now + self.rng.randrange(S, 20 * S))
         self.messages.append((at, message))
         self.hand_in(at, message)
 
     def again(self) -> None:
+        """A client that has no answer retries."""
         open_ones = [each for each in self.messages[-12:] if each[1].id not in self.done]
         if open_ones:
             self.hand_in(*self.rng.choice(open_ones))
 
     def fly(self) -> None:
-        """An ask arrives, or is answered, or its asker gives up; after that it may still arrive."""
+        """An ask arrives, or is answered, or its asker gives up, after which it may still arrive."""
         if not self.flights:
             return
         flight = self.rng.choice(self.flights)
@@ -146,32 +164,35 @@
                 self.flights.remove(flight)
             if answer in (Answer.TAKEN, Answer.KNOWN):
                 self.told(message)
-            way = asker.router.answered(self.now, message, flight.to, answer, self.sight(flight.hand.at, message))
-            self.follow(flight.hand, way)
+            decision = asker.router.answered(self.now, message, flight.to, answer, self.view(flight.hand.at, message))
+            self.follow(flight.hand, decision)
 
-    def arrive(self, name: str, message: Handed) -> Answer | None:
+    def arrive(self, name: str, message: Request) -> Answer | None:
+        """The asked courier's answer; None if there is none."""
         courier = self.couriers[name]
         if message.id in courier.held:
             return Answer.KNOWN
         if message.until_us <= self.now or self.rng.random() < 0.1:
             return Answer.FULL
-        way = courier.router.asked(self.now, message, self.sight(name, message))
-        assert not isinstance(way, Ask), "passed on by one that was asked"
-        if isinstance(way, Here):
+        decision = courier.router.asked(self.now, message, self.view(name, message))
+        assert not isinstance(decision, Ask), "passed on by one that was asked"
+        if isinstance(decision, Take):
             self.take(name, message)
             return Answer.TAKEN
-        return None if isinstance(way, NoAnswer) else Answer.AWAY if way is None else Answer.FULL
+        return None if isinstance(decision, NoAnswer) else Answer.AWAY if decision is None else Answer.FULL
 
     def wait(self) -> None:
+        """A message that waited for its shard is decided about again."""
         if self.waiting:
             hand = self.waiting.pop(self.rng.randrange(len(self.waiting)))
             courier = self.couriers[hand.at]
             if (hand.message.id not in courier.held and hand.message.until_us > self.now
-                    and self.now < hand.since_us + S):  # a client does not wait longer
-                way = courier.router.way(self.now, hand.message, self.sight(hand.at, hand.message))
-                self.follow(hand, way)
+                    and self.now < hand.since_us + S):  # clients do not wait longer
+                decision = courier.router.decide(self.now, hand.message, self.view(hand.at, hand.message))
+                self.follow(hand, decision)
 
     def change(self) -> None:
+        """A courier's view of its home changes."""
         name = self.rng.choice(NAMES)
         courier = self.couriers[name]
         if not self.steady:
@@ -180,14 +201,16 @@
         courier.guest = courier.guest and (bool(courier.held) or self.rng.random() < 0.5)
 
     def end(self, chance: float = 0.15) -> None:
+        """Some messages end."""
         for courier in self.couriers.values():
             for name, message in list(courier.held.items()):
                 if message.until_us + SETTLE <= self.now or self.rng.random() < chance:
                     del courier.held[name]
                     if self.rng.random() < 0.5:
-                        courier.ended.add(name)  # else forgotten: only the router knows
+                        courier.ended.add(name)  # otherwise forgotten: only the router knows of it
 
     def step(self) -> None:
+        """One random step, and the checks of sizes."""
         if self.rng.random() < 0.5:
             self.now += self.rng.choice([1, 1_000, 200_000, S])
             self.end(0.0)
@@ -196,11 +219,11 @@
         for courier in self.couriers.values():
             sizes = courier.router.sizes()
             assert sizes["asks"] <= MOST_DOUBTS, "too many asks"
-            assert sizes["taken"] <= MOST_TAKEN and sizes["passed"] <= self.most_passed, "too many remembered"
+            assert sizes["taken"] <= MOST_TAKEN and sizes["passed"] <= self.max_passed, "too many remembered"
 
 
 def play(seed: int, kind: type[Router] = Router, steps: int = 300) -> World:
-    """One world from one seed; raises `AssertionError` where a rule is broken."""
+    """Runs one world from one seed; raises `AssertionError` if a rule is broken."""
     world = World(seed, kind)
     for _ in range(steps):
         world.step()
--- a/tests/shard_nodes.py
+++ b/tests/shard_nodes.py
@@ -1,4 +1,4 @@
-"""Shard nodes on real sockets in one process, with shelves in memory and a control machine of the test's own."""
+"""Shard nodes on real sockets in one process, with their messages in memory, and a control machine run by the test."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     return api.EndpointInfo(line.host, line.block, state=states[line.health]), Address.parse(line.dial)
 
 
-class MemoryShelf:
-    """ports.Shelf, and its own desk: what is taken stays until the test ends it."""
+class MemoryCourier:
+    """Implements ports.Shelf, and its own desk: messages stay until the test ends them."""
 
     ready, syncs = True, False
 
@@ -55,7 +55,7 @@
         self.answers: Counter[int] = Counter()
 
     @property
-    def desk(self) -> MemoryShelf:
+    def desk(self) -> MemoryCourier:
         return self
 
     def full(self) -> bool:
@@ -171,7 +171,7 @@
         self.count, self.destinations = count, destinations
         self.control = Control("k0", map(row, range(destinations)))
         self.nodes: dict[str, ShardNode] = {}
-        self.shelves: dict[str, MemoryShelf] = {}
+        self.couriers: dict[str, MemoryCourier] = {}
         self.addresses: dict[str, str] = {}
 
     async def __aenter__(self) -> Fleet:
@@ -185,15 +185,15 @@
         net = Sockets()
         address = self.addresses.get(name) or f"127.0.0.1:{await free_port()}"
         me = Member(name, boot, State.ALIVE, address, "", 1.0, f"r/z{number % 3}")
-        shelf = self.shelves.setdefault(name, MemoryShelf(name))
-        node = ShardNode(me, QUICK, dict(self.addresses), {"k0": self.control_address}, KEYS, "fleet", boot, shelf,
+        courier = self.couriers.setdefault(name, MemoryCourier(name))
+        node = ShardNode(me, QUICK, dict(self.addresses), {"k0": self.control_address}, KEYS, "fleet", boot, courier,
                          net, read, random.Random(number), lambda text: None)
         self.addresses[name], self.nodes[name] = address, node
         await node.start(address)
         return node
 
     def agreed(self) -> bool:
-        """Do all see the same homes, and serve just what is theirs?"""
+        """Tells whether all nodes have the same view of the homes, with a home for every shard."""
         views = [[node.homes.home(shard) for shard in range(SHARDS)] for node in self.nodes.values()]
         return len(next(iter(self.nodes.values())).membership.members()) == len(self.nodes) and all(
             view == views[0] and None not in view for view in views)
@@ -202,7 +202,7 @@
         return str(next(iter(self.nodes.values())).homes.home(shard_of(destination, SHARDS)))
 
     async def vanish(self, name: str) -> None:
-        """As SIGKILL: it says nothing any more."""
+        """Stops the node without a word, as SIGKILL does."""
         node = self.nodes.pop(name)
         if node._timer is not None:
             node._timer.cancel()
@@ -211,7 +211,7 @@
         await node._net.close()
 
     async def hand_in(self, name: str, message: Stored) -> BaseException | None:
-        """As the client server does; what went wrong."""
+        """Hands a message in as the client server does; returns the error, or None."""
         desk = self.nodes[name].desk(message.destination)
         if desk.holds(message.id):
             return None
@@ -243,7 +243,7 @@
 
 
 async def until(holds: Callable[[], bool], within_s: float = 60.0) -> None:
-    """Wait for it; the bound is far beyond what a busy machine needs."""
+    """Waits for the condition; the limit is far beyond what a busy machine needs."""
     async with asyncio.timeout(within_s):
         while not holds():
             await asyncio.sleep(0.01)
--- a/tests/test_shard_bounds.py
+++ b/tests/test_shard_bounds.py
@@ -1,29 +1,31 @@
-"""Bounds and flags of the router and of hosting that no random world reaches."""
+"""Bounds and flags of the router and of hosting that the random tests do not reach."""
 
 from __future__ import annotations
 
 from wheelstep.shards.hosting import DropShard, Hosting, Life
-from wheelstep.shards.router import Answer, Ask, Handed, Router, Sight
+from wheelstep.shards.router import Answer, Ask, Request, Router, View
 
-ELSEWHERE = Sight(None, "b", False, 0, True)
+ELSEWHERE = View(None, "b", False, 0, True)
 
 
-def test_ids_that_another_took_are_remembered_in_a_bounded_number() -> None:
-    router = Router("a", 1_000_000, most_taken=3)
+def test_remembered_ids_taken_elsewhere_are_limited() -> None:
+    """Guards against memory that grows with every message passed on."""
+    router = Router("a", 1_000_000, max_taken=3)
     for number in range(10):
-        handed = Handed(f"m{number}", 1, 1, "c", None, 60_000_000)
-        assert router.way(number, handed, ELSEWHERE) == Ask("b")
-        assert router.answered(number, handed, "b", Answer.TAKEN, ELSEWHERE) is None
+        request = Request(f"m{number}", 1, 1, "c", None, 60_000_000)
+        assert router.decide(number, request, ELSEWHERE) == Ask("b")
+        assert router.answered(number, request, "b", Answer.TAKEN, ELSEWHERE) is None
     assert router.sizes()["taken"] == 3 and router.sizes()["asks"] == 0
 
 
-def test_a_home_that_leaves_keeps_its_shard_until_it_is_told_that_nothing_is_owed() -> None:
+def test_a_former_home_keeps_its_shard_until_the_owed_count_is_zero() -> None:
+    """An owed count from before it was home must not drop messages taken since."""
     hosting = Hosting()
-    assert hosting.be_guest(0, 7) is not None
-    hosting.rows_came(0, 7)
+    assert hosting.serve_as_guest(0, 7) is not None
+    hosting.rows_received(0, 7)
     assert hosting.owed(1, {}) == []  # nothing is owed, and it was not idle for long
-    hosting.became_home(2, 7, taught=True)
+    hosting.became_home(2, 7, learned_received=True)
     assert hosting.life(7) is Life.HOME
     hosting.left_home(3, 7)  # what was taken meanwhile has not been counted
-    assert hosting.taught(4, 7) == [] and hosting.life(7) is Life.LEAVING
+    assert hosting.learned_received(4, 7) == [] and hosting.life(7) is Life.LEAVING
     assert hosting.owed(5, {}) == [DropShard(7)]
--- a/tests/test_shard_homes.py
+++ b/tests/test_shard_homes.py
@@ -1,4 +1,4 @@
-"""Homes by membership: this courier's region alone, who takes part, and who would follow a home."""
+"""Homes by membership: only this courier's region counts, who takes part, and which courier would follow a home."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 
 
 def member(name: str, zone: str = "east/1", state: State = State.ALIVE, weight: float = 1.0) -> Member:
+    """A member of the fleet."""
     return Member(name, 1, state, "", "", weight, zone)
 
 
 def couriers(homes: Homes) -> set[str | None]:
+    """The homes of all shards."""
     return {homes.home(shard) for shard in range(SHARDS)}
 
 
-def test_this_courier_counts_from_the_first_news_on() -> None:
+def test_this_courier_is_a_member_from_the_first_update_on() -> None:
+    """Before the first update no shard has a home; an empty update makes this courier home of all."""
     homes = Homes(ME, SHARDS)
     assert couriers(homes) == {None} and homes.mine() == set() and homes.next(0) is None
     assert homes.saw(0, []) == set(range(SHARDS)) == homes.mine()
@@ -32,7 +35,8 @@
     assert homes.home(SHARDS) is None and homes.next(SHARDS) is None and homes.next(-1) is None
 
 
-def test_its_own_state_counts_too() -> None:
+def test_this_courier_is_excluded_by_its_own_state() -> None:
+    """A courier that leaves must not stay home of shards in its own view."""
     homes = Homes(ME, SHARDS)
     homes.saw(0, [member("a"), member("me", state=State.LEAVING)])
     assert homes.mine() == set() and couriers(homes) == {"a"}
@@ -42,8 +46,8 @@
     assert couriers(homes) == {None} and homes.next(0) is None
 
 
-def test_who_takes_part() -> None:
-    """Suspects stay; those that leave, are gone, weigh nothing or are of another region do not."""
+def test_only_live_weighted_members_of_the_region_are_homes() -> None:
+    """Suspected members stay; members that are leaving, gone, of weight 0 or of another region are excluded."""
     homes = Homes(ME, SHARDS)
     assert homes.saw(0, [member("a"), member("west", "west/1"), member("plain", "east"), member("none", weight=0.0),
                          member("old", state=State.GONE), member("going", state=State.LEAVING)])
@@ -61,7 +65,8 @@
 @given(news=st.lists(st.dictionaries(st.sampled_from("abcdef"), st.tuples(
     st.sampled_from(["east/1", "east/2", "east/3", "west/1"]),
     st.sampled_from([State.ALIVE, State.ALIVE, State.SUSPECT, State.GONE])), max_size=6), min_size=1, max_size=5))
-def test_next_is_of_another_zone_if_there_is_one(news: list[dict[str, tuple[str, State]]]) -> None:
+def test_the_next_courier_is_in_another_zone_if_there_is_one(news: list[dict[str, tuple[str, State]]]) -> None:
+    """Learned state pushed within the home's zone would be lost together with that zone."""
     homes = Homes(ME, SHARDS)
     zones = {"me": "east/1"}
     for at, each in enumerate(news):
--- a/tests/test_shard_links.py
+++ b/tests/test_shard_links.py
@@ -1,4 +1,4 @@
-"""Sealed streams: dialling, batches, order, bounds and ends; over sockets too."""
+"""Sealed streams: dialling, batches, order, limits and ends; also over sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from wheelstep.shards.types import Batch, Current, Forwarded
 
 
-def test_a_dialled_link_hears_its_own_peer_only_and_sends_at_once() -> None:
+def test_a_dialled_link_sends_at_once_and_accepts_its_own_peer_only() -> None:
+    """Another member that holds the key must not speak for the peer that was dialled."""
     async def work() -> None:
         async def dialled(name: str, reason: str) -> None:
             node = Node("a")
@@ -30,7 +31,7 @@
             both = bytes(wire.written[4:20]) + NONCE
             reader, seal = seal_for(both, me="b"), seal_for(both, me=name)
             said = [reader.open(packet, PAYLOAD).payload for packet in packets(bytes(wire.written))[1:]]
-            assert said == [Batch(()), Batch((Current(1),))]  # the first says at once who is there
+            assert said == [Batch(()), Batch((Current(1),))]  # the empty first batch identifies the dialler
             received(framed(seal.pack("a", Batch((Current(2),)))))
             assert node.streams.refused == ({reason: 1} if reason else {})
             assert node.frames == ([] if reason else [Current(2)]) and wire.closed is bool(reason)
@@ -47,12 +48,13 @@
     run(work())
 
 
-def test_who_does_not_greet_is_given_up_and_its_end_is_told_to_nobody() -> None:
+def test_a_peer_that_does_not_greet_is_given_up_without_reporting_an_end() -> None:
+    """A user must not hear of links that it never knew."""
     async def work() -> None:
         node = Node("a")
         assert await node.streams.dial("b", "b:1", 0.01) is None
         assert node.net.wires[0][0].closed
-        node = Node(stranger_s=0.0)
+        node = Node(first_packet_s=0.0)
         dialler = Dialler(node, hello=b"")
         ended = asyncio.Event()
         lost, dialler.wire.lost = dialler.wire.lost, lambda: (lost(), ended.set())  # type: ignore[func-returns-value]
@@ -63,9 +65,10 @@
     run(work())
 
 
-def test_links_are_bounded_and_strangers_give_way() -> None:
+def test_at_the_link_limit_unauthenticated_links_give_way() -> None:
+    """Unauthenticated peers must not keep the fleet's own couriers out."""
     async def work() -> None:
-        node = Node(most=2)
+        node = Node(max_links=2)
         first, second = Dialler(node), Dialler(node)
         second.say(Current(1))
         third = Dialler(node)
@@ -80,7 +83,8 @@
     run(work())
 
 
-def test_one_turn_is_one_batch_in_order_and_none_is_over_its_bound() -> None:
+def test_frames_of_one_turn_share_batches_in_order_within_the_size_limit() -> None:
+    """A batch over the limit would end the link at the receiver."""
     async def work() -> None:
         node = Node()
         dialler = Dialler(node)
@@ -105,7 +109,8 @@
     run(work())
 
 
-def test_a_peer_that_does_not_read_is_given_up() -> None:
+def test_a_link_to_a_peer_that_does_not_read_ends() -> None:
+    """Guards against unlimited buffers."""
     async def work() -> None:
         node = Node()
         dialler = Dialler(node)
@@ -119,7 +124,8 @@
     run(work())
 
 
-def test_a_reader_that_fails_ends_that_link_alone_and_the_rest_of_the_batch_is_not_read() -> None:
+def test_a_failing_frame_handler_ends_its_own_link_only_and_skips_the_batch() -> None:
+    """An exception in the handler must not end other links."""
     async def work() -> None:
         node = Node()
         one, other = Dialler(node), Dialler(node)
@@ -130,8 +136,8 @@
     run(work())
 
 
-def test_a_slow_link_of_two_loses_nothing_while_thousands_go_out_elsewhere() -> None:
-    """A window of 1,024 counters for all links of a sender refused what one of them was late with."""
+def test_a_slow_link_loses_nothing_while_thousands_of_packets_go_over_others() -> None:
+    """With one window of 1,024 counters for all links of a sender, late packets of one link were refused."""
     async def work() -> None:
         node = Node()
         diallers = []
@@ -153,13 +159,14 @@
             for link in links:
                 assert link.send(Current(turn))
             await asyncio.sleep(0)
-        for wire, into in reversed(diallers):  # the first sent comes last
+        for wire, into in reversed(diallers):  # the packets sent first arrive last
             into(bytes(wire.written))
         assert node.streams.refused == {} and len(node.heard) == 60 * 50
     run(work())
 
 
-def test_two_nodes_over_loopback_in_order_with_each_end_told_once() -> None:
+def test_two_nodes_over_loopback_keep_order_and_report_each_end_once() -> None:
+    """The same as above over real sockets, with datagrams beside."""
     async def work() -> None:
         a, b = Node("a", net=Sockets()), Node("b", net=Sockets())
         datagrams: asyncio.Queue[tuple[bytes, str]] = asyncio.Queue()
@@ -181,7 +188,7 @@
         link.close()
         await a.until(lambda: a.lost == [link])
         await b.until(lambda: b.lost == [back])
-        assert await a.streams.dial("c", address, 20) is not None  # it greets, and refuses what is not for it
+        assert await a.streams.dial("c", address, 20) is not None  # it greets, but is not the receiver
         await a.until(lambda: len(a.lost) == 2)
         assert b.streams.refused == {"receiver": 1} and b.lost == [back]
         await a.net.close()
@@ -191,9 +198,10 @@
     run(work())
 
 
-def test_pipes_are_bounded_and_a_port_in_use_is_told() -> None:
+def test_pipes_are_limited_and_a_port_in_use_raises_os_error() -> None:
+    """Guards against unlimited connections on either side."""
     async def work() -> None:
-        net, far, ends = Sockets(most_pipes=1), Sockets(most_pipes=2), asyncio.Queue[int]()
+        net, far, ends = Sockets(max_pipes=1), Sockets(max_pipes=2), asyncio.Queue[int]()
         here = asyncio.Queue[int]()
 
         def accept(pipe: Pipe) -> tuple[Received, Lost]:
@@ -212,7 +220,7 @@
                     for number in range(2)))
                 with pytest.raises(OSError, match="expected fewer"):
                     await far.dial(address, lambda data: None, lambda: None)
-                number = await ends.get()  # of two that came, one was beyond the bound
+                number = await ends.get()  # of two accepted pipes, one was beyond the limit
                 assert net.dropped == far.dropped and here.empty()
                 (first, there)[1 - number].close()
                 assert await ends.get() == 1 - number and await here.get() == 1
--- a/tests/test_shard_list_client.py
+++ b/tests/test_shard_list_client.py
@@ -10,9 +10,9 @@
 from shard_lists import SHARDS, World, at_work, mine, row, told
 
 from wheelstep.shards.list_acts import Changed, Dial, HangUp, Tell
-from wheelstep.shards.list_client import MOST_BACKOFF_US, ListClient
+from wheelstep.shards.list_client import MAX_BACKOFF_US, ListClient
 from wheelstep.shards.list_server import ListServer
-from wheelstep.shards.types import Current, Follow, Frame, KeysOver, ListRow, ShardRows, shard_of
+from wheelstep.shards.types import Current, Follow, Frame, KeysReleased, ListRow, ShardRows, shard_of
 
 BIG = ListRow("big", "d" * 900 + ":1", "a", "web", mine(0).block, "SERVING")
 
@@ -20,13 +20,14 @@
 @pytest.mark.parametrize("frame, why", [
     (told(0, mine(1)), "shard"), (told(0, mine(0), mine(1), whole=True), "shard"), (told(7, mine(7)), "unasked"),
     (told(SHARDS, mine(0)), "shard"), (told(SHARDS), "unasked"),
-    (told(0, mine(0), seq=9), "old"), (Current(9), "old"), (KeysOver(1, ()), "frame"), (Follow(0, ()), "frame"),
+    (told(0, mine(0), seq=9), "old"), (Current(9), "old"), (KeysReleased(1, ()), "frame"), (Follow(0, ()), "frame"),
     (told(0, row(mine(0).block, "DELETED"), whole=True), "row"), (told(0, row(mine(0).block, "WELL")), "row"),
     (told(0, msgspec.structs.replace(mine(0), dial="nowhere")), "row"),
     (told(0, msgspec.structs.replace(mine(0), host="h" * 1_100)), "row"),
     (ShardRows(10, 0, 1, True, (mine(0),) * 65_537), "size"),
     (ShardRows(10, 0, 1, True, tuple(msgspec.structs.replace(BIG, host=str(n)) for n in range(4_700))), "size")])
-def test_a_control_machine_that_tells_what_cannot_be_is_left(frame: Frame, why: str) -> None:
+def test_a_control_machine_is_left_after_an_invalid_frame(frame: Frame, why: str) -> None:
+    """Nothing of the frame may be applied, and operators get one line."""
     world = World("a", "b")
     world.listed(10, True, [])
     world.act(world.client.follow(world.now_us, range(7)))
@@ -41,7 +42,8 @@
     assert world.client.refused == {why: 2} and len(world.notes) == 1, "a second line within ten seconds"
 
 
-def test_rows_that_do_not_fit_are_asked_anew_once_then_their_control_machine_is_left() -> None:
+def test_rows_not_matching_their_digest_are_requested_once_more_then_the_machine_is_left() -> None:
+    """Guards against an endless loop of requests to a faulty machine."""
     world = at_work("a", "b", rows=[mine(0), mine(1)])
     control = world.client.control
     lie = ShardRows(11, 0, 77, False, (row(mine(0).block, "DRAINING"),))
@@ -49,14 +51,15 @@
     world.tell([("courier", lie)])
     assert world.acts[0] == Tell(control, Follow(10, ((0, 0),))) and world.client.control == control
     assert world.client.rows_of(0) == (mine(0),) and world.client.seq == 10
-    world.tell([("courier", told(1, row(mine(1).block, "DRAINING")))])  # another shard's are taken as ever
+    world.tell([("courier", told(1, row(mine(1).block, "DRAINING")))])  # another shard's rows are applied as usual
     assert world.client.rows_of(1)[0].health == "DRAINING"
     world.tell([("courier", lie)])
     assert world.client.control not in ("", control) and world.client.refused == {"digest": 2}
     assert world.client.rows_of(0) == (mine(0),)
 
 
-def test_what_was_under_way_is_passed_over_and_not_held_against_anybody() -> None:
+def test_frames_in_transit_when_unfollowed_or_left_are_ignored() -> None:
+    """Such frames are no fault of the control machine, which must not be left for them."""
     world = at_work("a", "b", rows=[mine(0), mine(1)])
     control = world.client.control
     world.act(world.client.unfollow(world.now_us, [0]))
@@ -68,7 +71,8 @@
     assert world.client.knows(0) and world.client.control == control and not world.client.refused
 
 
-def test_a_difference_that_comes_before_the_whole_set_is_passed_over() -> None:
+def test_changes_that_arrive_before_the_whole_set_are_ignored() -> None:
+    """Changes applied to an empty shard would not match the digest."""
     client = ListClient("courier", ["a"], SHARDS, random.Random(1), 0)
     client.follow(0, [0])
     assert client.tick(0) == [Dial("a")] and client.dialled(0, "a", True) == [Tell("a", Follow(0, ((0, 0),)))]
@@ -79,19 +83,21 @@
 
 @pytest.mark.parametrize("block", range(1, 12))
 def test_a_host_that_moves_to_another_destination_stays_listed(block: int) -> None:
+    """Removing it from its old shard must not remove the host itself."""
     world = at_work("a", rows=[row(0), row(20)])
     for seq, place in enumerate((block, 0, block), 11):
         world.listed(seq, False, [row(0, block=place)])
         assert world.seen == {"h0": row(0, block=place), "h20": row(20)}
     away = shard_of(block, SHARDS)
     stale = told(shard_of(0, SHARDS), *({row(0)} | set(world.client.rows_of(shard_of(0, SHARDS)))), seq=13, whole=True)
-    if away != stale.shard:  # two shards have it for a while; then the one told last has not
+    if away != stale.shard:  # the host is in two shards for a while; then the one that added it last removes it
         world.tell([("courier", stale)])
         world.tell([("courier", told(away, seq=13, whole=True))])
         assert world.seen["h0"] == row(0)
 
 
-def test_after_good_times_the_next_is_dialled_at_once() -> None:
+def test_after_a_long_connection_the_next_machine_is_dialled_at_once() -> None:
+    """Failures long ago must not delay the next attempt."""
     world = at_work("a", "b", rows=[row(1)])
     for _ in range(4):
         world.run(10_000_000)
@@ -100,7 +106,8 @@
         world.down.clear()
 
 
-def test_a_lost_control_machine_costs_no_rows_where_digests_agree() -> None:
+def test_after_a_lost_control_machine_no_rows_are_resent_where_digests_agree() -> None:
+    """Otherwise one lost machine would make all its couriers fetch the whole list at once."""
     rows = [row(number) for number in range(500)]
     world = at_work("a", "b", "c", rows=rows)
     assert world.sent["ShardRows"] == SHARDS and world.sent["bytes"] > 20_000
@@ -117,11 +124,12 @@
     assert world.sent["ShardRows"] == 1 and world.client.seq == 11 and world.seen["h1"].health == "DRAINING"
 
 
-def test_an_older_control_machine_is_passed_by() -> None:
+def test_a_control_machine_with_an_older_version_is_skipped() -> None:
+    """Its rows would undo newer ones, such as a drain."""
     world = at_work("a", "b", "c", rows=[row(1)])
     first = world.line
     world.lose()
-    old = world.line  # the next in the courier's order
+    old = world.line  # the next one in the courier's order
     world.lose()
     world.down.clear()
     world.lose(down=False)
@@ -132,7 +140,8 @@
     assert world.line not in (first, old) and world.sent["Behind"] == 1 and set(world.seen) == {"h1", "h2"}
 
 
-def test_where_all_are_behind_it_goes_on_with_what_it_has_and_asks_around_ever_later() -> None:
+def test_where_all_machines_are_behind_rows_are_kept_and_retries_back_off() -> None:
+    """For instance after all machines restarted with an older list."""
     world = at_work("a", "b", rows=[row(1)])
     world.listed(11, False, [row(2)], world.line)
     world.lose()
@@ -148,19 +157,20 @@
         world.run(world.client.next_us() - world.now_us)
         dials += [world.now_us for act in world.acts[count:] if isinstance(act, Dial)]
     gaps = [after - before for before, after in zip(dials, dials[1:], strict=False) if after > before]
-    assert max(gaps) <= MOST_BACKOFF_US < sum(gaps) and max(gaps[:2]) < 1_000_000 < max(gaps)
+    assert max(gaps) <= MAX_BACKOFF_US < sum(gaps) and max(gaps[:2]) < 1_000_000 < max(gaps)
     assert 10 < len(dials) < 100 and set(world.seen) == {"h1", "h2"} and world.client.knows(0)
     world.listed(11, False, [row(2)])
     world.run(8_000_000)
     assert world.client.control and set(world.seen) == {"h1", "h2"}
 
 
-def test_silence_of_five_seconds_is_a_loss_and_two_are_none() -> None:
+def test_a_control_machine_silent_for_five_seconds_is_left_but_not_for_two() -> None:
+    """A connection may stay open while its machine hangs."""
     world = at_work("a", "b", rows=[row(1)])
     first = world.client.control
     world.run(60_000_000)
     assert world.client.control == first
-    world.down.add(first)  # the connection stays, and nothing comes of it
+    world.down.add(first)  # the connection stays open but silent
     silent_us = world.now_us
     while world.client.control == first:
         world.run(max(0, world.client.next_us() - world.now_us))
@@ -170,12 +180,13 @@
     assert not world.client.control
     world.run(60_000_000)
     world.down.clear()
-    world.run(MOST_BACKOFF_US)
+    world.run(MAX_BACKOFF_US)
     assert world.client.control and set(world.seen) == {"h1"}
 
 
-def test_couriers_are_divided_among_control_machines() -> None:
+def test_couriers_spread_evenly_over_control_machines() -> None:
+    """Guards against all couriers choosing the same machine first."""
     names = [f"control{number}" for number in range(17)]
     first = Counter(ListClient(f"courier{number}", names, SHARDS, random.Random(1), 0).tick(0)[0].control
                     for number in range(1_100))
-    assert len(first) == 17 and max(first.values()) < 100  # 65 each, by chance
+    assert len(first) == 17 and max(first.values()) < 100  # about 65 each
--- a/tests/test_shard_list_server.py
+++ b/tests/test_shard_list_server.py
@@ -8,14 +8,15 @@
 
 from wheelstep.shards.list_rows import digest_of
 from wheelstep.shards.list_server import ANSWER_BYTES, ListServer
-from wheelstep.shards.types import Behind, Current, Follow, Frame, KeysOver, ListRow, ShardRows, Unfollow, shard_of
+from wheelstep.shards.types import Behind, Current, Follow, Frame, KeysReleased, ListRow, ShardRows, Unfollow, shard_of
 
 
 @pytest.mark.parametrize("frame, why", [
     (Follow(0, ((SHARDS, 0),)), "shard"), (Follow(0, ((0, 0), (-1, 0))), "shard"), (Unfollow((SHARDS,)), "shard"),
     (Follow(0, ((0, 0),) * (SHARDS + 1)), "size"), (Unfollow((0,) * (SHARDS + 1)), "size"),
-    (Current(3), "frame"), (KeysOver(1, ()), "frame")])
-def test_the_server_refuses_what_cannot_be_meant(frame: Frame, why: str) -> None:
+    (Current(3), "frame"), (KeysReleased(1, ()), "frame")])
+def test_invalid_frames_are_refused_and_change_nothing(frame: Frame, why: str) -> None:
+    """Also limits the lines for operators."""
     server = ListServer(SHARDS)
     server.listed(0, 1, True, [row(1)])
     server.heard(0, "good", Follow(0, ((1, 0),)))
@@ -31,8 +32,9 @@
     assert {name for name, _ in told} == {"good"}, "a refused frame made somebody follow"
 
 
-def test_one_peer_too_many_is_refused_until_one_goes() -> None:
-    server = ListServer(SHARDS, most_peers=2)
+def test_peers_beyond_the_limit_are_refused_until_one_leaves() -> None:
+    """Guards against unlimited peers."""
+    server = ListServer(SHARDS, max_peers=2)
     server.listed(0, 1, True, [])
     for name in "abc":
         server.heard(0, name, Follow(0, ((0, 0),)))
@@ -41,11 +43,12 @@
     assert server.heard(0, "c", Follow(0, ())) == [("c", Current(1))]
 
 
-def test_a_follow_ahead_of_the_server_waits_until_it_has_caught_up() -> None:
+def test_a_follow_with_a_newer_version_waits_until_the_server_has_it() -> None:
+    """Older rows than those a courier has must never be sent."""
     server = ListServer(SHARDS)
-    assert server.heard(0, "new", Follow(0, ((1, 0),))) == [("new", Behind(0))]  # no list yet: no rows are no answer
+    assert server.heard(0, "new", Follow(0, ((1, 0),))) == [("new", Behind(0))]  # no list yet: no rows are known
     server.listed(0, 5, False, [row(1)])
-    assert server.heard(0, "new", Follow(0, ((2, 0),))) == [("new", Behind(5))]  # changes are no list either
+    assert server.heard(0, "new", Follow(0, ((2, 0),))) == [("new", Behind(5))]  # changes alone do not make a list
     assert [(name, type(frame)) for name, frame in server.listed(0, 5, True, [])] == [
         ("new", ShardRows), ("new", ShardRows), ("new", Current)]
     assert server.heard(0, "ahead", Follow(7, ((1, 0),))) == [("ahead", Behind(5))]
@@ -58,7 +61,8 @@
     assert told == [ShardRows(7, shard, digest_of([row(1)]), True, (row(1),)), Current(7)]
 
 
-def test_a_long_answer_is_told_in_turns_and_changes_meanwhile_are_in_it() -> None:
+def test_a_long_answer_is_sent_in_parts_that_include_changes_made_meanwhile() -> None:
+    """Changes to a shard not sent yet would not match its digest."""
     shards = 64
     server = ListServer(shards)
     long = [ListRow(f"h{number}", f"{'x' * 800}:1", "a", "web", number, "SERVING") for number in range(1_000)]
@@ -75,7 +79,8 @@
     assert any(change in frame.rows for frame in told[:-1]) and told[-1] == Current(2)
 
 
-def test_a_new_whole_list_is_told_as_little_as_it_may() -> None:
+def test_a_new_whole_list_is_sent_as_the_smaller_of_changes_and_whole() -> None:
+    """Sending every row of unchanged shards would be costly for all followers."""
     server = ListServer(2)
     rows = [row(number) for number in range(40)]
     server.listed(0, 1, True, rows)
--- a/tests/test_shard_lists.py
+++ b/tests/test_shard_lists.py
@@ -1,4 +1,4 @@
-"""The list by shard: a control machine's decisions and a courier's, face to face, without sockets."""
+"""The list by shard: a control machine's decisions against a courier's, without sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from wheelstep.shards.types import ListRow, shard_of
 
 
-def test_whole_then_changes_then_quiet() -> None:
+def test_a_courier_gets_the_whole_list_then_changes_then_only_versions() -> None:
+    """While nothing changes, no rows must be sent."""
     rows = [row(number) for number in range(60)]
     world = at_work("a", "b", rows=rows)
     assert set(world.seen.values()) == set(rows)
@@ -35,9 +36,9 @@
     st.tuples(st.just("follow"), st.sets(st.integers(0, SHARDS - 1))),
     st.tuples(st.just("unfollow"), st.sets(st.integers(0, SHARDS - 1))),
     st.tuples(st.just("run"), st.integers(0, 9_000_000))), max_size=25))
-def test_the_courier_ends_with_the_newest_rows(steps: list[tuple]) -> None:
-    """Lists, changes, losses, replacements, control machines that hear late: once all is quiet, the courier's rows
-    are the newest, and so are those that it was told of by changes."""
+def test_after_random_changes_and_losses_the_courier_has_the_newest_rows(steps: list[tuple]) -> None:
+    """Lists, changes, losses, replacements, and control machines that are late: once all is quiet, the courier's rows
+    are the newest, and so is the list that its changes add up to."""
     world = at_work("a", "b", "c", rows=[row(number) for number in range(10)])
     names, model, seq = list(world.servers), {f"h{number}": row(number) for number in range(10)}, 10
     late: dict[str, list[tuple[int, bool, list[ListRow]]]] = {}
@@ -92,7 +93,8 @@
     assert world.seen == model and not world.client.refused
 
 
-def test_a_digest_is_of_the_rows_alone() -> None:
+def test_a_digest_depends_on_the_rows_but_not_their_order() -> None:
+    """Two machines with equal rows must agree, however these came about."""
     rows = [row(number) for number in range(9)]
     assert digest_of(rows) == digest_of(reversed(rows)) != digest_of(rows[1:])
     assert digest_of(()) != 0
--- a/tests/test_shard_settings.py
+++ b/tests/test_shard_settings.py
@@ -1,4 +1,4 @@
-"""`[fleet.shards]`: what can't be used is one line with place and expectation; off imports nothing of it."""
+"""`[fleet.shards]`: an invalid setting is one line with place and expectation; when off, nothing of it is imported."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from wheelstep.courier.config import ConfigError
 from wheelstep.operator import OperatorError, load
-from wheelstep.shards.daemon import _same_count, settings_of
+from wheelstep.shards.daemon import _check_shard_count, settings_of
 
 GOOD = """
 [fleet]
@@ -28,6 +28,7 @@
 
 
 def write(folder: Path, text: str) -> str:
+    """Writes the operator's file and its key; returns the path."""
     (folder / "fleet.key").write_text("ab" * 32)
     path = folder / "operator.toml"
     path.write_text(text)
@@ -35,6 +36,7 @@
 
 
 def test_a_good_file_needs_no_voters(tmp_path: Path) -> None:
+    """Voters belong to fleets without shards."""
     fleet = load(write(tmp_path, GOOD)).fleet
     assert fleet.part.shards.on and settings_of(fleet.part).shards == 16_384
 
@@ -51,7 +53,8 @@
     (("regions = 2", 'regions = 2\n[[contract]]\nname = "x"\norder = "strict"\n[fleet.x]'), "fleet.x: unknown key"),
     (("[fleet]\non = true", "[workers]\ncount = 2\n[fleet]\non = true"), "workers.count: 2 beside fleet.on = true"),
 ])
-def test_what_can_not_be_used_is_one_line(tmp_path: Path, change: tuple[str, str], said: str) -> None:
+def test_an_invalid_setting_is_reported_in_one_line(tmp_path: Path, change: tuple[str, str], said: str) -> None:
+    """The line names the place and what was expected."""
     text = GOOD.replace(*change)
     assert text != GOOD
     with pytest.raises(OperatorError) as caught:
@@ -60,21 +63,24 @@
 
 
 def test_contracts_and_shards_exclude_each_other(tmp_path: Path) -> None:
+    """Contracts need a fleet without shards."""
     with pytest.raises(OperatorError, match="contract: given beside fleet.shards.on = true; expected one of them"):
         load(write(tmp_path, GOOD + '\n[[contract]]\nname = "x"\norder = "strict"\n'))
 
 
-def test_the_number_of_shards_never_changes(tmp_path: Path) -> None:
-    _same_count(tmp_path / "shards", 64)
-    _same_count(tmp_path / "shards", 64)
-    with pytest.raises(ConfigError, match=r"fleet.shards.count: 128; expected 64, with which .*shards was begun"):
-        _same_count(tmp_path / "shards", 128)
+def test_another_number_of_shards_than_recorded_is_refused(tmp_path: Path) -> None:
+    """With two counts a destination could have two homes."""
+    _check_shard_count(tmp_path / "shards", 64)
+    _check_shard_count(tmp_path / "shards", 64)
+    with pytest.raises(ConfigError, match=r"fleet.shards.count: 128; expected 64, the count recorded in .*shards: "):
+        _check_shard_count(tmp_path / "shards", 128)
     (tmp_path / "shards").write_text("many")
     with pytest.raises(ConfigError, match="expected the number of shards"):
-        _same_count(tmp_path / "shards", 64)
+        _check_shard_count(tmp_path / "shards", 64)
 
 
-def test_off_imports_nothing() -> None:
+def test_without_shards_nothing_of_them_is_imported() -> None:
+    """Guards the start-up cost and dependencies of a courier without a fleet."""
     code = ("import sys, wheelstep.courier.__main__; "
             "print([name for name in sys.modules if name.startswith(('wheelstep.shards', 'wheelstep.forwarding', "
             "'wheelstep.fleet', 'msgspec', 'xxhash'))])")
--- a/tests/test_shard_streams.py
+++ b/tests/test_shard_streams.py
@@ -1,4 +1,4 @@
-"""Sealed streams: what is refused of forged, cut, huge and replayed bytes, and of former lives."""
+"""Sealed streams: refusal of forged, cut, oversized and replayed packets, and of earlier boots."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ])
 @pytest.mark.parametrize("after", [0, 1])
 def test_a_bad_seal_ends_the_link(reason: str, seal: dict[str, Any], spoil: Any, after: int) -> None:
-    """As the first packet, and behind a good one."""
+    """As the first packet, and after a valid one."""
     async def work() -> None:
         node = Node()
         dialler = Dialler(node)
@@ -38,11 +38,12 @@
         dialler.raw(framed(spoil(packet) if spoil else packet) + dialler.packed(Current(3)))
         refusal(node, dialler, reason, after)
         await asyncio.sleep(0)
-        assert len(node.lost) == after  # its user is told of the end of what it knew of
+        assert len(node.lost) == after  # the user is told of the end of links it knew
     run(work())
 
 
-def test_what_is_sealed_well_and_says_wrong_ends_the_link() -> None:
+def test_a_valid_seal_with_a_wrong_receiver_payload_or_sender_ends_the_link() -> None:
+    """Members that hold the key can still be faulty."""
     async def work() -> None:
         node = Node()
         dialler = Dialler(node)
@@ -62,7 +63,8 @@
     run(work())
 
 
-def test_lengths_are_bounded_less_for_strangers() -> None:
+def test_packet_length_is_limited_more_before_the_first_valid_packet() -> None:
+    """An unauthenticated peer must not make this side buffer megabytes."""
     async def work() -> None:
         for hello in (struct.pack(">I", 15), struct.pack(">I", 17), struct.pack(">I", 1 << 31), b"GET / HTTP/1.1\r\n"):
             node = Node()
@@ -74,7 +76,7 @@
         node = Node()
         dialler = Dialler(node)
         dialler.say()
-        dialler.raw(struct.pack(">I", STREAM_BYTES))  # not too long: waited for
+        dialler.raw(struct.pack(">I", STREAM_BYTES))  # within the limit: the rest is awaited
         assert not dialler.wire.closed
         node = Node()
         dialler = Dialler(node)
@@ -84,7 +86,8 @@
     run(work())
 
 
-def test_what_was_recorded_is_refused_on_its_link_on_another_and_after_a_restart() -> None:
+def test_replayed_packets_are_refused_on_any_link_and_after_a_restart() -> None:
+    """A recorded connection must be of no use to anyone."""
     async def work() -> None:
         node = Node()
         dialler = Dialler(node)
@@ -104,7 +107,8 @@
     run(work())
 
 
-def test_an_earlier_life_is_told_so_and_takes_a_later_boot_number() -> None:
+def test_an_earlier_boot_is_told_so_and_takes_a_higher_boot_number() -> None:
+    """A node whose disk was emptied would be refused by its peers forever."""
     async def work() -> None:
         node = Node()
         Dialler(node, boot=9).say(Current(1))
@@ -113,7 +117,7 @@
         assert node.frames == [Current(1)] and node.streams.refused == {"old-boot": 1}
         elder = old.seal.open(packets(bytes(old.wire.written))[1], PAYLOAD)
         assert elder.payload == Elder(9)
-        old.say(Current(3))  # not heard, though its pipe ends a little later
+        old.say(Current(3))  # ignored, though the pipe ends a little later
         assert node.frames == [Current(1)]
 
         other = Node("a", boot=8)
@@ -126,6 +130,6 @@
         mine = seal_for(bytes(wire.written[4:20]) + NONCE, me="b")
         received(framed(mine.pack("a", Elder(9))))
         assert other.streams.boot == 10
-        received(framed(mine.pack("a", Elder(50))))  # once in 10 s
+        received(framed(mine.pack("a", Elder(50))))  # at most once in 10 s
         assert other.streams.boot == 10 and other.heard == []
     run(work())
--- a/wheelstep/shards/book.py
+++ b/wheelstep/shards/book.py
@@ -1,4 +1,4 @@
-"""The courier's journal, and beside it which messages are owed by shard (`courier.ports.Book`)."""
+"""The courier's journal with an index of owed messages by shard (`courier.ports.Book`)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ShardBook:
-    """Everything goes to the journal beneath it. A message counts as owed until its end is written down."""
+    """Passes everything on to the journal. A message is owed until its end is written."""
 
     def __init__(self, journal: Book, shards: int) -> None:
         self._journal, self._shards = journal, shards
@@ -21,17 +21,17 @@
                 self._add(message)
 
     def of(self, shard: int) -> Mapping[str, Stored]:
-        """What is owed of it, in the order in which it was taken on."""
+        """The shard's owed messages, in the order in which they were taken."""
         return self._owed.get(shard, {})
 
     def counts(self) -> dict[int, int]:
-        """How many messages are owed, by shard."""
+        """The number of owed messages, by shard."""
         return {shard: len(messages) for shard, messages in self._owed.items()}
 
     def _add(self, message: Stored) -> None:
         self._owed.setdefault(shard_of(message.destination, self._shards), {})[message.id] = message
 
-    def _ended(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         if (message := self._journal.messages.get(name)) is None:
             return
         shard = shard_of(message.destination, self._shards)
@@ -44,36 +44,46 @@
 
     @property
     def messages(self) -> dict[str, Stored]:
+        """The messages in the journal, by id."""
         return self._journal.messages
 
     @property
     def marks(self) -> dict[str, Any]:
+        """The marks in the journal, by name."""
         return self._journal.marks
 
     @property
     def waits(self) -> bool:
+        """As the journal's."""
         return self._journal.waits
 
     def take(self, message: Stored) -> None:
+        """Writes a new message and counts it as owed."""
         self._journal.take(message)
         self._add(self._journal.messages[message.id])
 
     def attempt(self, message: str, number: int, at_ms: int, endpoint: str) -> None:
+        """Writes the start of an attempt."""
         self._journal.attempt(message, number, at_ms, endpoint)
 
     def outcome(self, message: str, number: int, may_have_run: bool) -> None:
+        """Writes the outcome of an attempt."""
         self._journal.outcome(message, number, may_have_run)
 
     def end(self, message: str, outcome: str, retry_ms: int) -> None:
-        self._ended(message)
+        """Writes the message's end; it is no longer owed."""
+        self._remove(message)
         self._journal.end(message, outcome, retry_ms)
 
     def over(self, message: str) -> None:
-        self._ended(message)
+        """Writes that the message is over; it is no longer owed."""
+        self._remove(message)
         self._journal.over(message)
 
     def mark(self, name: str, value: Any) -> None:
+        """Writes a mark."""
         self._journal.mark(name, value)
 
     async def durable(self) -> None:
+        """Returns once what was written is durable."""
         await self._journal.durable()
--- a/wheelstep/shards/control.py
+++ b/wheelstep/shards/control.py
@@ -1,6 +1,5 @@
-"""A control machine: reads discovery's whole list and tells couriers the rows of the shards that they follow.
-`python -m wheelstep.shards.control FILE.toml`; ends at SIGTERM.
-"""
+"""A control machine: reads discovery's whole list and sends couriers the rows of the shards they follow. `python -m
+wheelstep.shards.control FILE.toml`; ends at SIGTERM."""
 
 from __future__ import annotations
 
@@ -26,8 +25,8 @@
 from wheelstep.shards.streams import StreamLink, Streams
 from wheelstep.shards.types import Frame, ListRow
 
-LIST_BYTES = 64 << 20  # of one list: 140,000 indented entries are 38 to 42 MB; up to three such are held at once
-MOST_WAITING = 1_000  # lists of changes that wait to be taken up; beyond that the whole is asked for
+LIST_BYTES = 64 << 20  # of one list: 140,000 indented entries take 38 to 42 MB; up to three lists are held at once
+MOST_WAITING = 1_000  # lists of changes in the queue; beyond that the whole list is requested
 _NOTES_S = 5.0
 
 log = logging.getLogger("wheelstep.control")
@@ -38,8 +37,8 @@
 
 
 class ControlMachine:
-    """Discovery on one side, couriers on the other, `ListServer` between them. `boot` rises with each of its lives.
-    Lists are taken up in slices, so that couriers are answered meanwhile."""
+    """Discovery on one side, couriers on the other, `ListServer` between them. `boot` increases with each start. Lists
+    are handled in slices, so that couriers are answered meanwhile."""
 
     def __init__(self, name: str, keys: Sequence[bytes], fleet: str, boot: int, shards: int, net: Net,
                  discovery: Address, now_us: Callable[[], int]) -> None:
@@ -48,26 +47,26 @@
         self.streams = Streams(net, keys, fleet, name, boot, self._heard, self._lost, now_us)
         self.watch = Watch(discovery, Names((), (), (), ()), 0, self._listed,
                            reading=Reading(LIST_BYTES, read_list, _raw_rows))
-        self._links: dict[str, StreamLink] = {}  # by peer; the newest counts
+        self._links: dict[str, StreamLink] = {}  # by peer; the newest link is used
         self._waiting: deque[tuple[int, bool, list[msgspec.Raw]]] = deque()
-        self._came = asyncio.Event()
+        self._list_arrived = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
-        self._passed = 0
-        self.longest_turn_us = 0  # of what was done with lists, its reading excepted
+        self._skipped = 0
+        self.longest_turn_us = 0  # longest step spent on a list, without reading it
 
     async def start(self, listen: str) -> str:
-        """Listen to couriers; the address, with its port. Raises `OSError`."""
+        """Listens for couriers and returns the address with its port. Raises `OSError`."""
         return await self._net.listen(listen, self.streams.accept, lambda data, address: None)
 
     async def run(self) -> None:
-        """Follow discovery and serve, until cancelled."""
+        """Follows discovery and serves couriers until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.watch.run())
             group.create_task(self._take_up())
-            group.create_task(self._note())
+            group.create_task(self._log_notes())
 
     async def close(self) -> None:
-        """End all connections."""
+        """Ends all connections."""
         if self._timer is not None:
             self._timer.cancel()
         self.streams.close()
@@ -80,20 +79,20 @@
         if whole:
             self._waiting.clear()
         elif len(self._waiting) >= MOST_WAITING:
-            log.warning("discovery: %d lists of changes wait; the whole list is asked for", len(self._waiting))
+            log.warning("discovery: %d lists of changes in the queue; requesting the whole list", len(self._waiting))
             self._waiting.clear()
             self.watch.move(self._discovery)
             return
         self._waiting.append((self.watch.seq, whole, rows))
-        self._came.set()
+        self._list_arrived.set()
 
     async def _take_up(self) -> None:
         while True:
-            await self._came.wait()
-            self._came.clear()
+            await self._list_arrived.wait()
+            self._list_arrived.clear()
             while self._waiting:
                 seq, whole, rows = self._waiting.popleft()
-                begun_us, passed = self._now_us(), self._passed
+                begun_us, skipped_before = self._now_us(), self._skipped
                 steps = self.server.steps(begun_us, seq, whole, self._read(rows))
                 del rows
                 while True:
@@ -104,10 +103,10 @@
                     self._tell(tells)
                     self.longest_turn_us = max(self.longest_turn_us, self._now_us() - turn_us)
                     await asyncio.sleep(0)
-                if self._passed > passed:
-                    log.warning("discovery: passed over %d entries of list %d", self._passed - passed, seq)
+                if self._skipped > skipped_before:
+                    log.warning("discovery: skipped %d invalid entries of list %d", self._skipped - skipped_before, seq)
                 if whole:
-                    log.info("list %d: %d rows, taken up in %.1f s", seq, len(self.server),
+                    log.info("list %d: %d rows, loaded in %.1f s", seq, len(self.server),
                              (self._now_us() - begun_us) / 1e6)
 
     def _read(self, rows: list[msgspec.Raw]) -> Iterator[ListRow]:
@@ -115,7 +114,7 @@
             try:
                 yield read_entry(raw)
             except ValueError as error:
-                self._passed += 1
+                self._skipped += 1
                 log.debug("discovery: %s", error)
 
     # --- couriers ---
@@ -123,7 +122,7 @@
     def _heard(self, link: StreamLink, frame: Frame) -> None:
         known = self._links.get(link.peer)
         self._links[link.peer] = link
-        if known is not None and known is not link:  # it has dialled again, and this end has not heard of the loss
+        if known is not None and known is not link:  # it has reconnected before this side noticed the loss
             self.server.gone(link.peer)
             known.close()
         self._tell(self.server.heard(self._now_us(), link.peer, frame))
@@ -148,7 +147,7 @@
     def _tick(self) -> None:
         self._tell(self.server.tick(self._now_us()))
 
-    async def _note(self) -> None:
+    async def _log_notes(self) -> None:
         while True:
             await asyncio.sleep(_NOTES_S)
             for line in (*self.server.notes(self._now_us()), *self.streams.notes()):
@@ -182,7 +181,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """The process; its exit status."""
+    """Runs the control machine; returns the exit status."""
     from wheelstep.shards.control_settings import ControlError
 
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(0))
--- a/wheelstep/shards/control_settings.py
+++ b/wheelstep/shards/control_settings.py
@@ -1,4 +1,4 @@
-"""A control machine's file: `[control]`. Only imported where one is started."""
+"""The `[control]` table of a control machine's file. Imported only where a control machine is started."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class ControlError(Exception):
-    """The file can't be used; one line with place and expectation."""
+    """The file cannot be used; one line that names the place and what was expected."""
 
 
 class ControlPart(Part):
-    """What a control machine is told. `shards`: the same at all members of the fleet."""
+    """The settings of a control machine. `shards` must be the same at all members of the fleet."""
 
     name: Name
     fleet: Name = "fleet"
     key_file: Path
-    old_key_files: Annotated[tuple[Path, ...], Field(max_length=4)] = ()  # opened, never sealed with
+    old_key_files: Annotated[tuple[Path, ...], Field(max_length=4)] = ()  # keys accepted but not used for sealing
     listen: AddressText
     discovery: AddressText
     shards: Annotated[int, Field(ge=1, le=1 << 20)] = 16_384
@@ -38,7 +38,7 @@
 
 
 def read(path: Path) -> Control:
-    """Read and check the file; key files are looked for beside it. Raises `ControlError`."""
+    """Reads and validates the file; key files are relative to it. Raises `ControlError`."""
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/wheelstep/shards/desks.py
+++ b/wheelstep/shards/desks.py
@@ -1,4 +1,4 @@
-"""The desk of a destination that is routed: what a client hands in goes to its home, or is taken here (desk.Desk)."""
+"""The desk of a destination whose messages are routed: passed on to their home, or taken here (desk.Desk)."""
 
 from __future__ import annotations
 
@@ -12,47 +12,56 @@
 
 
 class RoutedDesk:
-    """Of one request. `mine` is the courier's own desk; `route` decides and says when the message is taken."""
+    """Serves one request. `own_desk` is the courier's own desk; `route` decides, and returns a future that is done when
+    the message is taken."""
 
     ready = True
-    syncs = True  # its answer is waited for
+    syncs = True  # the caller waits for `durable`
 
-    def __init__(self, mine: Desk, route: Route) -> None:
-        self._mine, self._route = mine, route
+    def __init__(self, own_desk: Desk, route: Route) -> None:
+        self._own_desk, self._route = own_desk, route
         self._message: Stored | None = None
-        self.inner: Desk | None = None  # who was asked to take it, and is to hear what becomes of it
+        self.inner: Desk | None = None  # the desk that was asked to take the message and hears of its progress
 
     def full(self) -> bool:
+        """False: the desk that takes the message decides."""
         return False
 
     def serves(self, destination: int) -> bool:
-        return True  # its home knows
+        """True: the message's home decides."""
+        return True
 
     def holds(self, message: str) -> bool:
-        return self._mine.holds(message)
+        """Tells whether this courier holds the message already."""
+        return self._own_desk.holds(message)
 
     def settles(self, message: str) -> bool:
-        return self._mine.settles(message)
+        """As the courier's own desk."""
+        return self._own_desk.settles(message)
 
     def take(self, message: Stored) -> None:
+        """Keeps the message until `durable` routes it."""
         self._message = message
 
     def durable(self) -> asyncio.Future[None]:
-        """Done once its home, or this courier, has taken it; the errors are those of `Desk.durable`."""
+        """Routes the message; the future is done once its home, or this courier, has taken it, with the errors of
+        `Desk.durable`."""
         assert self._message is not None
         return self._route(self, self._message)
 
     def begin(self, name: str) -> None:
+        """Starts the message's delivery at the desk that took it."""
         if self.inner is not None:
             self.inner.begin(name)
 
     def withdraw(self, name: str) -> None:
+        """Withdraws the message from the desk that was asked."""
         if self.inner is not None:
             self.inner.withdraw(name)
 
     def handed_in(self, message: Stored, status: int) -> None:
-        """Its home counts what it answers; what is turned away here is counted here."""
+        """Counts the answer: at the desk that took the message, or here if it was turned away."""
         if self.inner is not None:
             self.inner.handed_in(message, status)
         elif status != 202:
-            self._mine.handed_in(message, status)
+            self._own_desk.handed_in(message, status)
--- a/wheelstep/shards/forward_link.py
+++ b/wheelstep/shards/forward_link.py
@@ -1,4 +1,4 @@
-"""A sealed stream as what forwarded messages go over (`wheelstep.forwarding.link`)."""
+"""A sealed stream as the link for forwarded messages (`wheelstep.forwarding.link`)."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class ForwardLink:
-    """`Forwarded` frames of one `StreamLink` (forwarding.link.Link). Frames that come, and its end, are for whoever
-    hears the link: hand them to the client or the server of this one."""
+    """Sends `Forwarded` frames on one `StreamLink` (forwarding.link.Link). The owner of that link must pass arriving
+    frames, and its end, to the forwarding client or server."""
 
     def __init__(self, link: StreamLink) -> None:
         self._link = link
 
     @property
     def open(self) -> bool:
-        """Can anything be sent?"""
+        """Tells whether frames can be sent."""
         return self._link.open
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
-        """With what else is sent in this turn of the loop; False if it can't be."""
+        """Sends together with the other frames of this event loop turn; False if that is impossible."""
         return self._link.send(Forwarded(head, body))
 
     def close(self) -> None:
-        """At once; it ends the whole stream."""
+        """Ends the whole stream at once."""
         self._link.close()
--- a/wheelstep/shards/given.py
+++ b/wheelstep/shards/given.py
@@ -1,124 +1,128 @@
-"""What a home has told others of one shard: the one that it was handed to, and the next one. No I/O."""
+"""What a home has sent about one shard: to the courier that it was handed over to, and in pushes to the next courier.
+No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from wheelstep.shards.learned import ALL, KeyName, differs, keys_told, older, waits_after
-from wheelstep.shards.types import EndpointHealth, KeysOver, Learned, OwedKey
+from wheelstep.shards.learned import WHOLE_SHARD, KeyName, aged_healths, differs, frame_keys, remaining_waits
+from wheelstep.shards.types import EndpointHealth, KeysReleased, LearnedState, OwedKey
 
-_SLACK_US = 1_000_000  # a wait or a key's time that has moved by less is not told anew
+_SLACK_US = 1_000_000  # changes of a wait or a key's time below this are not sent
 
 
-def name_of(key: OwedKey) -> KeyName:
-    """What names it."""
+def key_name(key: OwedKey) -> KeyName:
+    """The destination, class and key that identify an ordered key."""
     return key.destination, key.message_class, key.key
 
 
-def _until(now_us: int, keys: Iterable[OwedKey]) -> dict[KeyName, int]:
-    until: dict[KeyName, int] = {}
+def _expiries(now_us: int, keys: Iterable[OwedKey]) -> dict[KeyName, int]:
+    expiries: dict[KeyName, int] = {}
     for key in keys:
-        until[name_of(key)] = max(until.get(name_of(key), 0), now_us + key.left_us)
-    return until
+        expiries[key_name(key)] = max(expiries.get(key_name(key), 0), now_us + key.left_us)
+    return expiries
 
 
-class Given:
-    """A shard handed over to `to`, until nothing of it is owed here. `own`: owed here; `rested`: owed by homes before,
-    which tell here when they end."""
+class Handover:
+    """A shard handed over to `to`, until nothing of it is owed here. `own_keys`: keys owed here; `inherited`: keys owed
+    by former homes, which report to this courier when they end."""
 
     def __init__(self, now_us: int, shard: int, to: str, healths: Sequence[EndpointHealth],
-                 waits: Sequence[tuple[str, int]], own: Iterable[OwedKey], rested: Iterable[OwedKey]) -> None:
+                 waits: Sequence[tuple[str, int]], own_keys: Iterable[OwedKey], inherited: Iterable[OwedKey]) -> None:
         self.to = to
         self.number = 0
         self.tries = 0
-        self.heard = False  # or given up
+        self.acknowledged = False  # or given up
         self.dropped = False
-        self.own = _until(now_us, own)
+        self.own_keys = _expiries(now_us, own_keys)
         self._shard = shard
         self._at_us = now_us
         self._healths = tuple(healths)
         self._waits = tuple(waits)
-        self._rested = _until(now_us, rested)
-        self._told: set[KeyName] = set()
-
-    def frame(self, now_us: int) -> Learned:
-        """All of it, as old as it is now."""
-        by_us = now_us - self._at_us
-        keys = keys_told([OwedKey(*name, until_us - now_us) for name, until_us in self._held().items()])
-        self._told = {name_of(key) for key in keys}
-        healths, waits = older(self._healths, by_us), waits_after(self._waits, by_us)
-        return Learned(self._shard, self.number, True, healths, waits, keys)
-
-    def owes_more(self, now_us: int, keys: Iterable[OwedKey]) -> bool:
-        """These are owed here now. Is that news for the other?"""
-        news = False
-        for name, until_us in _until(now_us, keys).items():
-            if until_us > self.own.get(name, 0) + _SLACK_US:
-                self.own[name], news = until_us + _SLACK_US, True  # beyond it, so that not each message is news
-        return news
-
-    def over(self, names: Iterable[KeyName]) -> KeysOver | None:
-        """Nothing of these is owed here."""
-        gone = {name for name in names if self.own.pop(name, None) is not None}
-        return self._over(gone)
-
-    def rested_over(self, names: Iterable[KeyName]) -> KeysOver | None:
-        """The homes before owe nothing of these."""
-        gone = {name for name in names if name != ALL and self._rested.pop(name, None) is not None}
-        return self._over(gone)
-
-    def _held(self) -> dict[KeyName, int]:
-        held = dict(self._rested)
-        for name, until_us in self.own.items():
-            held[name] = max(held.get(name, 0), until_us)
-        return held
-
-    def _over(self, gone: set[KeyName]) -> KeysOver | None:
-        """Those that it was told of and that nobody owes; a destination told as a whole once it has none left."""
+        self._inherited_keys = _expiries(now_us, inherited)
+        self._announced: set[KeyName] = set()
+
+    def frame(self, now_us: int) -> LearnedState:
+        """The complete handover, with its present age."""
+        elapsed_us = now_us - self._at_us
+        keys = frame_keys([OwedKey(*name, until_us - now_us) for name, until_us in self._all_keys().items()])
+        self._announced = {key_name(key) for key in keys}
+        healths, waits = aged_healths(self._healths, elapsed_us), remaining_waits(self._waits, elapsed_us)
+        return LearnedState(self._shard, self.number, True, healths, waits, keys)
+
+    def add_owed_keys(self, now_us: int, keys: Iterable[OwedKey]) -> bool:
+        """Adds keys now owed here. True if the other courier must be told."""
+        must_tell = False
+        for name, until_us in _expiries(now_us, keys).items():
+            if until_us > self.own_keys.get(name, 0) + _SLACK_US:
+                self.own_keys[name], must_tell = until_us + _SLACK_US, True  # rounded up: fewer frames
+        return must_tell
+
+    def release(self, names: Iterable[KeyName]) -> KeysReleased | None:
+        """This courier owes nothing of these keys any more. None if nothing is to be sent."""
+        gone = {name for name in names if self.own_keys.pop(name, None) is not None}
+        return self._release_frame(gone)
+
+    def release_inherited(self, names: Iterable[KeyName]) -> KeysReleased | None:
+        """The former homes owe nothing of these keys any more. None if nothing is to be sent."""
+        gone = {name for name in names if name != WHOLE_SHARD and self._inherited_keys.pop(name, None) is not None}
+        return self._release_frame(gone)
+
+    def _all_keys(self) -> dict[KeyName, int]:
+        keys = dict(self._inherited_keys)
+        for name, until_us in self.own_keys.items():
+            keys[name] = max(keys.get(name, 0), until_us)
+        return keys
+
+    def _release_frame(self, gone: set[KeyName]) -> KeysReleased | None:
+        """The announced keys among `gone` that no courier owes any more; a destination announced as a whole is included
+        once it has no keys left."""
         if not gone:
             return None
-        held = self._held()
-        owing = {name[0] for name in held}
-        said = {name for name in gone if name in self._told and name not in held}
-        said |= {(name[0], "", "") for name in gone if name[0] not in owing} & self._told
-        self._told -= said
-        return KeysOver(self._shard, tuple(sorted(said))) if said else None
+        keys = self._all_keys()
+        owing = {name[0] for name in keys}
+        announced = {name for name in gone if name in self._announced and name not in keys}
+        announced |= {(name[0], "", "") for name in gone if name[0] not in owing} & self._announced
+        self._announced -= announced
+        return KeysReleased(self._shard, tuple(sorted(announced))) if announced else None
 
 
 @dataclass(slots=True)
-class Told:
-    """What the next one was told last of a shard, and whether it has it."""
+class PushState:
+    """What was last pushed about a shard to the next courier, and whether that was acknowledged."""
 
     to: str
     number: int = 0
-    heard: bool = True
+    acknowledged: bool = True
     healths: dict[str, tuple[float | bool, ...]] = field(default_factory=dict)
-    waits: dict[str, int] = field(default_factory=dict)  # until then
-    keys: dict[KeyName, int] = field(default_factory=dict)  # until then
-
-    def news(self, now_us: int, shard: int, number: int, healths: Sequence[EndpointHealth],
-             waits: Sequence[tuple[str, int]], keys: Sequence[OwedKey]) -> tuple[Learned | None, KeysOver | None]:
-        """What of these it does not have, and the keys that it has and that are owed no more."""
+    waits: dict[str, int] = field(default_factory=dict)  # end of each wait
+    keys: dict[KeyName, int] = field(default_factory=dict)  # until when each may be owed
+
+    def changes(self, now_us: int, shard: int, number: int, healths: Sequence[EndpointHealth],
+                waits: Sequence[tuple[str, int]], keys: Sequence[OwedKey]
+                ) -> tuple[LearnedState | None, KeysReleased | None]:
+        """The state that the next courier lacks, and the keys it has that are no longer owed; None for either if there
+        is none."""
         owing = {key.destination for key in keys}
-        names = {name_of(key) for key in keys}
-        over = [name for name in self.keys
-                if name not in names and not (name[1:] == ("", "") and name[0] in owing)]
-        for name in over:
+        names = {key_name(key) for key in keys}
+        released = [name for name in self.keys
+                    if name not in names and not (name[1:] == ("", "") and name[0] in owing)]
+        for name in released:
             del self.keys[name]
-        new = older((health for health in healths
-                     if differs(health.fields, self.healths.get(health.endpoint, ()))), 0)
-        later = tuple((endpoint, left_us) for endpoint, left_us in waits_after(waits, 0)
+        new = aged_healths((health for health in healths
+                            if differs(health.fields, self.healths.get(health.endpoint, ()))), 0)
+        later = tuple((endpoint, left_us) for endpoint, left_us in remaining_waits(waits, 0)
                       if abs(now_us + left_us - self.waits.get(endpoint, 0)) > _SLACK_US)
-        owed = keys_told([key for key in keys if now_us + key.left_us > self.keys.get(name_of(key), 0) + _SLACK_US])
+        owed = frame_keys([key for key in keys if now_us + key.left_us > self.keys.get(key_name(key), 0) + _SLACK_US])
         listed = {health.endpoint for health in healths}
         self.healths = {endpoint: fields for endpoint, fields in self.healths.items() if endpoint in listed}
         self.healths.update((health.endpoint, health.fields) for health in new)
         self.waits = {endpoint: until_us for endpoint, until_us in self.waits.items() if until_us > now_us}
         self.waits.update((endpoint, now_us + left_us) for endpoint, left_us in later)
-        self.keys.update(_until(now_us, owed))
+        self.keys.update(_expiries(now_us, owed))
         frame = None
         if new or later or owed:
-            self.number, self.heard = number, False
-            frame = Learned(shard, number, False, new, later, owed)
-        return frame, KeysOver(shard, tuple(sorted(over))) if over else None
+            self.number, self.acknowledged = number, False
+            frame = LearnedState(shard, number, False, new, later, owed)
+        return frame, KeysReleased(shard, tuple(sorted(released))) if released else None
--- a/wheelstep/shards/handoff.py
+++ b/wheelstep/shards/handoff.py
@@ -1,6 +1,5 @@
-"""Learned state handed from a home to the next: given when another becomes home, pushed while it is home, kept and
-taken over on the other side. No I/O.
-"""
+"""Transfers learned state between homes: sent when another courier becomes home, pushed to the next courier meanwhile,
+and on the other side stored and adopted. No I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +7,19 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from wheelstep.shards.given import Given, Told
-from wheelstep.shards.kept import Kept
-from wheelstep.shards.learned import KeyName, wrong_learned, wrong_over
-from wheelstep.shards.rests import Rests
-from wheelstep.shards.timed import Timed
-from wheelstep.shards.types import EndpointHealth, Frame, KeysOver, Learned, LearnedHeard, OwedKey
+from wheelstep.shards.given import Handover, PushState
+from wheelstep.shards.kept import LearnedStore
+from wheelstep.shards.learned import KeyName, keys_released_error, learned_state_error
+from wheelstep.shards.rests import FormerHomeKeys
+from wheelstep.shards.timed import ExpiringTable
+from wheelstep.shards.types import EndpointHealth, Frame, KeysReleased, LearnedState, LearnedStateAck, OwedKey
 
-_MOST_NUMBERS = 65_536
+_MAX_NUMBERS = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class SendTo:
-    """Send it; nothing happens if it can't be."""
+    """Send the frame; if that is impossible it is dropped."""
 
     courier: str
     frame: Frame
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """Take over what another has learned: `Shelf.adopt`."""
+    """Adopt what another courier has learned: see `Shelf.adopt`."""
 
     shard: int
     healths: tuple[EndpointHealth, ...]
@@ -36,200 +35,204 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taught:
-    """The former home has handed the shard over: no need to wait for more."""
+class HandedOver:
+    """The former home has handed the shard over: there is nothing more to wait for."""
 
     shard: int
 
 
-HandAct = SendTo | Adopt | Taught
+HandoffAction = SendTo | Adopt | HandedOver
 
 
 class Handoff:
-    """For one courier, of all its shards. Bounds: what others sent is kept for `most_kept` shards and `most_bytes`, the
-    oldest out; `most_keys` resting keys (beyond: see `Rests`). `boot` rises with each start of this courier, so that
-    its numbers do. `counts` and `refused` tell what was sent, given up and turned down, and why."""
+    """Handoff of all shards of one courier. Bounds: state from others is kept for `max_kept` shards and `max_bytes`,
+    the oldest dropped first; `max_keys` keys owed by former homes (see `FormerHomeKeys` for what happens beyond).
+    `boot` increases with each start of this courier, so that frame numbers do too. `counts` and `refused` count frames
+    sent, given up, and refused by reason."""
 
-    def __init__(self, me: str, most_kept: int = 1_024, again_us: int = 1_000_000, tries: int = 5, *,
-                 shards: int = 16_384, boot: int = 0, most_bytes: int = 8_000_000, most_keys: int = 100_000) -> None:
+    def __init__(self, me: str, max_kept: int = 1_024, retry_us: int = 1_000_000, tries: int = 5, *,
+                 shards: int = 16_384, boot: int = 0, max_bytes: int = 8_000_000, max_keys: int = 100_000) -> None:
         self._me = me
         self._shards = shards
-        self._again_us = again_us
-        self._tries = tries
+        self._retry_us = retry_us
+        self._max_tries = tries
         self._number = boot << 32
-        self._given: dict[int, Given] = {}
-        self._due: Timed[int, None] = Timed()  # shards handed over and not heard of
-        self._told: dict[int, Told] = {}
-        self._kept = Kept(most_kept, most_bytes)
-        self._rests = Rests(shards, most_keys)
-        self._numbers: dict[tuple[str, int], int] = {}  # the highest heard by sender and shard
+        self._handovers: dict[int, Handover] = {}
+        self._retries: ExpiringTable[int, None] = ExpiringTable()  # handed over shards whose acknowledgement is awaited
+        self._pushed: dict[int, PushState] = {}
+        self._kept = LearnedStore(max_kept, max_bytes)
+        self._former_keys = FormerHomeKeys(shards, max_keys)
+        self._last_numbers: dict[tuple[str, int], int] = {}  # the highest received, by sender and shard
         self.counts: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
 
     # --- as home ---
 
-    def gave(self, now_us: int, shard: int, to: str, healths: Sequence[EndpointHealth],
-             waits: Sequence[tuple[str, int]], keys: Sequence[OwedKey]) -> list[HandAct]:
-        """Another is home: what it is to know, with what homes before may still owe. Sent until it is heard."""
-        self._given[shard] = Given(now_us, shard, to, healths, waits, keys, self._rests.of(now_us, shard))
-        self._told.pop(shard, None)
+    def hand_over(self, now_us: int, shard: int, to: str, healths: Sequence[EndpointHealth],
+                  waits: Sequence[tuple[str, int]], keys: Sequence[OwedKey]) -> list[HandoffAction]:
+        """Another courier is home now: sends it what was learned, and the keys that former homes may still owe, until
+        it acknowledges."""
+        self._handovers[shard] = Handover(now_us, shard, to, healths, waits, keys, self._former_keys.of(now_us, shard))
+        self._pushed.pop(shard, None)
         self.counts["given"] += 1
-        return self._give(now_us, shard, self._given[shard])
+        return self._send_handover(now_us, shard, self._handovers[shard])
 
-    def owes_more(self, now_us: int, shard: int, keys: Sequence[OwedKey]) -> list[HandAct]:
-        """A shard that was handed over: messages of these keys were taken here after that."""
-        given = self._given.get(shard)
-        if given is None or not given.owes_more(now_us, keys):
+    def add_owed_keys(self, now_us: int, shard: int, keys: Sequence[OwedKey]) -> list[HandoffAction]:
+        """Messages of these keys were taken here after the shard was handed over."""
+        handover = self._handovers.get(shard)
+        if handover is None or not handover.add_owed_keys(now_us, keys):
             return []
         self.counts["given_more"] += 1
-        return self._give(now_us, shard, given)
+        return self._send_handover(now_us, shard, handover)
 
     def push(self, now_us: int, shard: int, to: str, healths: Sequence[EndpointHealth],
-             waits: Sequence[tuple[str, int]], keys: Sequence[OwedKey]) -> list[HandAct]:
-        """Still home: what has changed (`differs`) since the last push to that courier, or all if it is another one or
-        has not said that it has the last."""
-        told = self._told.get(shard)
-        if told is None or told.to != to or not told.heard:
-            told = self._told[shard] = Told(to)
-        frame, over = told.news(now_us, shard, self._next(), healths, waits, keys)
-        acts: list[HandAct] = [SendTo(to, each) for each in (frame, over) if each is not None]
+             waits: Sequence[tuple[str, int]], keys: Sequence[OwedKey]) -> list[HandoffAction]:
+        """Sends the next courier what changed notably (`differs`) since the last push, while this courier is home;
+        everything if it is another courier than before or the last push was not acknowledged."""
+        pushed = self._pushed.get(shard)
+        if pushed is None or pushed.to != to or not pushed.acknowledged:
+            pushed = self._pushed[shard] = PushState(to)
+        frame, released = pushed.changes(now_us, shard, self._next_number(), healths, waits, keys)
+        acts: list[HandoffAction] = [SendTo(to, each) for each in (frame, released) if each is not None]
         self.counts["pushed" if acts else "nothing_new"] += 1
         return acts
 
-    def keys_over(self, now_us: int, shard: int, keys: Iterable[KeyName]) -> list[HandAct]:
-        """Nothing of these is owed here any more: the courier that the shard was handed to is told."""
-        given = self._given.get(shard)
-        if given is None:
+    def release_keys(self, now_us: int, shard: int, keys: Iterable[KeyName]) -> list[HandoffAction]:
+        """This courier owes nothing of these keys any more: tells the courier that the shard was handed to."""
+        handover = self._handovers.get(shard)
+        if handover is None:
             return []
-        return _told_over(given, given.over(keys))
+        return _release_actions(handover, handover.release(keys))
 
-    def dropped(self, now_us: int, shard: int) -> list[HandAct]:
-        """The shard is served here no more and nothing of it is owed."""
-        self._told.pop(shard, None)
-        given = self._given.get(shard)
-        if given is None:
+    def dropped(self, now_us: int, shard: int) -> list[HandoffAction]:
+        """The shard is no longer served here and nothing of it is owed."""
+        self._pushed.pop(shard, None)
+        handover = self._handovers.get(shard)
+        if handover is None:
             return []
-        acts = _told_over(given, given.over(list(given.own)))
-        given.dropped = True
-        self._forget_given(shard, given)
+        acts = _release_actions(handover, handover.release(list(handover.own_keys)))
+        handover.dropped = True
+        self._forget_handover(shard, handover)
         return acts
 
     def lost(self, courier: str) -> None:
-        """The link to it ended; it may have been started anew: the next push tells it all."""
-        for shard in [shard for shard, told in self._told.items() if told.to == courier]:
-            del self._told[shard]
+        """The link to the courier has ended; as it may have restarted, the next push is complete."""
+        for shard in [shard for shard, pushed in self._pushed.items() if pushed.to == courier]:
+            del self._pushed[shard]
 
-    # --- what others say ---
+    # --- frames received ---
 
-    def heard(self, now_us: int, sender: str, frame: Frame, home_here: bool) -> list[HandAct]:
-        """`Learned`, `LearnedHeard` or `KeysOver`. `home_here`: this courier is home of the shard, open or opening."""
+    def heard(self, now_us: int, sender: str, frame: Frame, home_here: bool) -> list[HandoffAction]:
+        """Handles a `LearnedState`, `LearnedStateAck` or `KeysReleased` frame. `home_here`: this courier is home of the
+        shard, be it open or opening."""
         match frame:
-            case Learned():
-                return self._learned(now_us, sender, frame, home_here)
-            case LearnedHeard(shard, number):
-                self._was_heard(sender, shard, number)
-            case KeysOver():
-                return self._keys_over(sender, frame)
+            case LearnedState():
+                return self._state_received(now_us, sender, frame, home_here)
+            case LearnedStateAck(shard, number):
+                self._acknowledged(sender, shard, number)
+            case KeysReleased():
+                return self._keys_released(sender, frame)
             case _:
-                self.refused["no frame of a handover"] += 1
+                self.refused["unexpected frame"] += 1
         return []
 
-    def opening(self, now_us: int, shard: int) -> list[HandAct]:
-        """This courier becomes home, or its rows are there: what was kept is adopted, as old as it is now. What was to
-        be handed to another is not any more."""
-        self._due.pop(shard)
-        self._given.pop(shard, None)
+    def opening(self, now_us: int, shard: int) -> list[HandoffAction]:
+        """This courier becomes home, or the shard's rows have arrived: state stored for it is adopted with its present
+        age. A handover of the shard to another courier is cancelled."""
+        self._retries.pop(shard)
+        self._handovers.pop(shard, None)
         kept = self._kept.take(now_us, shard)
         if kept is None:
             return []
         healths, waits, handover = kept
-        return [Adopt(shard, healths, waits), *([Taught(shard)] if handover else [])]
-
-    def tick(self, now_us: int) -> list[HandAct]:
-        """Time has passed; to be called at `next_us` or later."""
-        acts: list[HandAct] = []
-        for shard, _ in self._due.ended(now_us):
-            given = self._given[shard]
-            if given.tries >= self._tries:
+        return [Adopt(shard, healths, waits), *([HandedOver(shard)] if handover else [])]
+
+    def tick(self, now_us: int) -> list[HandoffAction]:
+        """Repeats handovers that were not acknowledged; to be called at `next_us` or later."""
+        acts: list[HandoffAction] = []
+        for shard, _ in self._retries.pop_expired(now_us):
+            handover = self._handovers[shard]
+            if handover.tries >= self._max_tries:
                 self.counts["given_up"] += 1
-                given.heard = True
-                self._forget_given(shard, given)
+                handover.acknowledged = True
+                self._forget_handover(shard, handover)
                 continue
-            given.tries += 1
-            self._due.put(shard, None, now_us + self._again_us)
+            handover.tries += 1
+            self._retries.put(shard, None, now_us + self._retry_us)
             self.counts["given_again"] += 1
-            acts.append(SendTo(given.to, given.frame(now_us)))
+            acts.append(SendTo(handover.to, handover.frame(now_us)))
         return acts
 
     def rests_us(self, now_us: int, destination: int, message_class: str, key: str) -> int:
-        """How long a former home may still owe this ordered key; 0: none does."""
-        return max(0, self._rests.until_us(destination, message_class, key) - now_us)
+        """How long a former home may still owe this ordered key; 0 if none does."""
+        return max(0, self._former_keys.until_us(destination, message_class, key) - now_us)
 
     def next_us(self) -> int:
-        """When `tick` has something to do; `NEVER_US` if nothing is awaited."""
-        return self._due.next_us()
+        """When `tick` is due; `NEVER_US` if no acknowledgement is awaited."""
+        return self._retries.next_us()
 
     def sizes(self) -> dict[str, int]:
-        """Entries in each table, and the bytes kept."""
-        return {"given": len(self._given), "told": len(self._told), "kept": len(self._kept), "rests": len(self._rests),
-                "kept_bytes": self._kept.size, "numbers": len(self._numbers)}
+        """The number of entries in each table, and the bytes kept."""
+        return {"given": len(self._handovers), "told": len(self._pushed), "kept": len(self._kept),
+                "rests": len(self._former_keys), "kept_bytes": self._kept.size, "numbers": len(self._last_numbers)}
 
-    # --- within ---
+    # --- internal ---
 
-    def _give(self, now_us: int, shard: int, given: Given) -> list[HandAct]:
-        given.number, given.tries, given.heard = self._next(), 1, False
-        self._due.put(shard, None, now_us + self._again_us)
-        return [SendTo(given.to, given.frame(now_us))]
+    def _send_handover(self, now_us: int, shard: int, handover: Handover) -> list[HandoffAction]:
+        handover.number, handover.tries, handover.acknowledged = self._next_number(), 1, False
+        self._retries.put(shard, None, now_us + self._retry_us)
+        return [SendTo(handover.to, handover.frame(now_us))]
 
-    def _next(self) -> int:
+    def _next_number(self) -> int:
         self._number += 1
         return self._number
 
-    def _learned(self, now_us: int, sender: str, frame: Learned, home_here: bool) -> list[HandAct]:
-        last = self._numbers.get((sender, frame.shard), 0)
-        wrong = "from itself" if sender == self._me else wrong_learned(frame, self._shards)
-        wrong = wrong or ("old number" if frame.number < last else "")
-        if wrong:
-            self.refused[wrong] += 1
+    def _state_received(self, now_us: int, sender: str, frame: LearnedState, home_here: bool) -> list[HandoffAction]:
+        last = self._last_numbers.get((sender, frame.shard), 0)
+        error = "sent by this courier" if sender == self._me else learned_state_error(frame, self._shards)
+        error = error or ("old number" if frame.number < last else "")
+        if error:
+            self.refused[error] += 1
             return []
-        reply = SendTo(sender, LearnedHeard(frame.shard, frame.number))
-        if frame.number == last:  # its answer was lost
+        reply = SendTo(sender, LearnedStateAck(frame.shard, frame.number))
+        if frame.number == last:  # the acknowledgement was lost
             return [reply]
-        self._numbers.pop((sender, frame.shard), None)
-        if len(self._numbers) >= _MOST_NUMBERS:
-            del self._numbers[next(iter(self._numbers))]
-        self._numbers[sender, frame.shard] = frame.number
-        self._rests.owes(now_us, frame.shard, sender, frame.keys, anew=frame.handover)
-        self._kept.keep(now_us, frame)
+        self._last_numbers.pop((sender, frame.shard), None)
+        if len(self._last_numbers) >= _MAX_NUMBERS:
+            del self._last_numbers[next(iter(self._last_numbers))]
+        self._last_numbers[sender, frame.shard] = frame.number
+        self._former_keys.add_keys(now_us, frame.shard, sender, frame.keys, replace=frame.handover)
+        self._kept.store(now_us, frame)
         if not home_here:
             return [reply]
         adopt = Adopt(frame.shard, frame.healths, frame.waits)
-        return [reply, adopt, *([Taught(frame.shard)] if frame.handover else [])]
-
-    def _was_heard(self, sender: str, shard: int, number: int) -> None:
-        given, told = self._given.get(shard), self._told.get(shard)
-        if given is not None and given.to == sender and given.number == number:
-            given.heard = True
-            self._due.pop(shard)
-            self._forget_given(shard, given)
-        elif told is not None and told.to == sender and told.number == number:
-            told.heard = True
-
-    def _keys_over(self, sender: str, frame: KeysOver) -> list[HandAct]:
-        if wrong := wrong_over(frame, self._shards):
-            self.refused[wrong] += 1
+        return [reply, adopt, *([HandedOver(frame.shard)] if frame.handover else [])]
+
+    def _acknowledged(self, sender: str, shard: int, number: int) -> None:
+        handover, pushed = self._handovers.get(shard), self._pushed.get(shard)
+        if handover is not None and handover.to == sender and handover.number == number:
+            handover.acknowledged = True
+            self._retries.pop(shard)
+            self._forget_handover(shard, handover)
+        elif pushed is not None and pushed.to == sender and pushed.number == number:
+            pushed.acknowledged = True
+
+    def _keys_released(self, sender: str, frame: KeysReleased) -> list[HandoffAction]:
+        if error := keys_released_error(frame, self._shards):
+            self.refused[error] += 1
             return []
-        self._rests.over(frame.shard, sender, frame.keys)
-        given = self._given.get(frame.shard)
-        if given is None:
+        self._former_keys.release(frame.shard, sender, frame.keys)
+        handover = self._handovers.get(frame.shard)
+        if handover is None:
             return []
-        return _told_over(given, given.rested_over([name for name in frame.keys if not self._rests.until_us(*name)]))
+        return _release_actions(handover, handover.release_inherited(
+            [name for name in frame.keys if not self._former_keys.until_us(*name)]))
 
-    def _forget_given(self, shard: int, given: Given) -> None:
-        if given.dropped and given.heard:
-            self._given.pop(shard, None)
-            self._due.pop(shard)
+    def _forget_handover(self, shard: int, handover: Handover) -> None:
+        if handover.dropped and handover.acknowledged:
+            self._handovers.pop(shard, None)
+            self._retries.pop(shard)
 
 
-def _told_over(given: Given, over: KeysOver | None) -> list[HandAct]:
-    return [] if over is None else [SendTo(given.to, over)]
+def _release_actions(handover: Handover, released: KeysReleased | None) -> list[HandoffAction]:
+    return [] if released is None else [SendTo(handover.to, released)]
--- a/wheelstep/shards/hosting.py
+++ b/wheelstep/shards/hosting.py
@@ -1,4 +1,4 @@
-"""A shard's life at a courier: which it serves as home, as guest, or until it owes nothing more. No I/O."""
+"""The lifecycle of shards at one courier: served as home, as guest, or until nothing of them is owed. No I/O."""
 
 from __future__ import annotations
 
@@ -6,207 +6,210 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from wheelstep.shards.timed import NEVER_US, Timed
+from wheelstep.shards.timed import NEVER_US, ExpiringTable
 
-__all__ = ["NEVER_US", "DropShard", "FollowShard", "HostAct", "Hosting", "Life", "Opened"]
+__all__ = ["NEVER_US", "DropShard", "FollowShard", "Hosting", "HostingAction", "Life", "Opened"]
 
 
 class Life(Enum):
-    """What a shard is to a courier that serves it. One that it does not serve has none."""
+    """The state of a shard at a courier that serves it; a shard that is not served has none."""
 
-    OPENING = "opening"  # home by view; rows or learned state are not there yet
+    OPENING = "opening"  # home by this courier's view, but rows or learned state have not arrived
     HOME = "home"
-    LEAVING = "leaving"  # another is home: takes nothing new but ordered keys that it owes, finishes what it owes
-    GUEST = "guest"  # not home; it took a message that the home could not be asked for
+    LEAVING = "leaving"  # another is home: accepts only messages of ordered keys owed here
+    GUEST = "guest"  # not home; serves messages for which the home could not be asked
 
 
 @dataclass(frozen=True, slots=True)
 class FollowShard:
-    """Follow its rows at a control machine."""
+    """Subscribe to the shard's rows at a control machine."""
 
     shard: int
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """Its rows are there and it is served from now on: as home, or as guest (`life` tells)."""
+    """The shard's rows have arrived and it is served from now on, as home or as guest (see `life`)."""
 
     shard: int
 
 
 @dataclass(frozen=True, slots=True)
 class DropShard:
-    """Served no more, and nothing of it is owed: unfollow it, forget rows, health and module state."""
+    """The shard is no longer served and nothing of it is owed: unsubscribe, and forget its rows, health and module
+    state."""
 
     shard: int
 
 
-HostAct = FollowShard | Opened | DropShard
+HostingAction = FollowShard | Opened | DropShard
 
 
 @dataclass(slots=True)
 class _Shard:
     life: Life
-    since_us: int  # when it began to open
-    used_us: int  # when a message was taken last, for guests
-    rows: bool = False
-    taught: bool = False
-    owed: bool = True  # until it is told otherwise, after the last use
+    opening_since_us: int  # when opening began
+    last_used_us: int  # when a guest took its last message
+    has_rows: bool = False
+    learned_received: bool = False
+    owed: bool = True  # assumed after each use until `owed` reports otherwise
 
 
 class Hosting:
-    """The shards served here. Those of which messages are owed are served in any number (they were taken); guests that
-    were asked for are at most `guests_most` at once."""
+    """The shards served at this courier. Shards of which messages are owed are served without limit, as those messages
+    were accepted; guest shards that `serve_as_guest` opens are limited to `max_guests`."""
 
-    def __init__(self, guests_most: int = 64, guest_idle_us: int = 30_000_000, opens_within_us: int = 300_000) -> None:
-        self._guests_most = guests_most
-        self._idle_us = guest_idle_us
-        self._within_us = opens_within_us
+    def __init__(self, max_guests: int = 64, guest_idle_us: int = 30_000_000, opens_within_us: int = 300_000) -> None:
+        self._max_guests = max_guests
+        self._guest_idle_us = guest_idle_us
+        self._open_timeout_us = opens_within_us
         self._shards: dict[int, _Shard] = {}
-        self._by_life: dict[Life, set[int]] = {life: set() for life in Life}
-        self._due: Timed[int, None] = Timed()  # opening shards whose time comes, guests that may have been idle
+        self._by_phase: dict[Life, set[int]] = {life: set() for life in Life}
+        self._timeouts: ExpiringTable[int, None] = ExpiringTable()  # open timeouts of shards, and idle checks of guests
 
-    # --- what happens ---
+    # --- events ---
 
-    def became_home(self, now_us: int, shard: int, taught: bool) -> list[HostAct]:
-        """By this courier's view it is home. `taught`: learned state is there, or there is none to wait for."""
+    def became_home(self, now_us: int, shard: int, learned_received: bool) -> list[HostingAction]:
+        """This courier is now home by its own view. `learned_received`: learned state is here, or none is to be waited
+        for."""
         state = self._shards.get(shard)
         if state is None:
-            self._shards[shard] = _Shard(Life.OPENING, now_us, now_us, taught=taught)
-            self._live(shard, Life.OPENING)
-            self._due.put(shard, None, now_us + self._within_us)
+            self._shards[shard] = _Shard(Life.OPENING, now_us, now_us, learned_received=learned_received)
+            self._set_phase(shard, Life.OPENING)
+            self._timeouts.put(shard, None, now_us + self._open_timeout_us)
             return [FollowShard(shard)]
-        state.taught = state.taught or taught
-        if state.life is Life.LEAVING and state.rows:  # what it knows is what it knew as home
+        state.learned_received = state.learned_received or learned_received
+        if state.life is Life.LEAVING and state.has_rows:  # its state from when it was home is still here
             return self._open(shard, state)
         if state.life in (Life.LEAVING, Life.GUEST):
-            state.since_us, state.taught = now_us, taught
-            self._live(shard, Life.OPENING)
-            self._due.put(shard, None, now_us + self._within_us)
+            state.opening_since_us, state.learned_received = now_us, learned_received
+            self._set_phase(shard, Life.OPENING)
+            self._timeouts.put(shard, None, now_us + self._open_timeout_us)
         return self._look(now_us, shard, state)
 
-    def left_home(self, now_us: int, shard: int) -> list[HostAct]:
-        """By this courier's view another is home, or none."""
+    def left_home(self, now_us: int, shard: int) -> list[HostingAction]:
+        """By this courier's view another is home now, or none."""
         state = self._shards.get(shard)
         if state is not None and state.life in (Life.OPENING, Life.HOME):
             state.owed = True
-            self._live(shard, Life.LEAVING)
-            self._due.pop(shard)
+            self._set_phase(shard, Life.LEAVING)
+            self._timeouts.pop(shard)
         return []
 
-    def rows_came(self, now_us: int, shard: int) -> list[HostAct]:
-        """Its rows are known here from now on, be it none."""
+    def rows_received(self, now_us: int, shard: int) -> list[HostingAction]:
+        """The shard's rows are known from now on, even if there are none."""
         state = self._shards.get(shard)
-        if state is None or state.rows:
+        if state is None or state.has_rows:
             return []
-        state.rows = True
+        state.has_rows = True
         return [Opened(shard)] if state.life is Life.GUEST else self._look(now_us, shard, state)
 
-    def taught(self, now_us: int, shard: int) -> list[HostAct]:
-        """Learned state came from the former home."""
+    def learned_received(self, now_us: int, shard: int) -> list[HostingAction]:
+        """Learned state arrived from the former home."""
         state = self._shards.get(shard)
         if state is None:
             return []
-        state.taught = True
+        state.learned_received = True
         return self._look(now_us, shard, state)
 
-    def be_guest(self, now_us: int, shard: int) -> list[HostAct] | None:
-        """A message is to be taken here though another is home. None: no room for one more guest shard."""
+    def serve_as_guest(self, now_us: int, shard: int) -> list[HostingAction] | None:
+        """Serves the shard here although another is home. None if no further guest shard is allowed."""
         state = self._shards.get(shard)
         if state is not None and state.life in (Life.OPENING, Life.HOME):
             return []
         if state is None or state.life is Life.LEAVING:
-            if len(self._by_life[Life.GUEST]) >= self._guests_most:
+            if len(self._by_phase[Life.GUEST]) >= self._max_guests:
                 return None
-            new = state is None
+            is_new = state is None
             if state is None:
                 state = self._shards[shard] = _Shard(Life.GUEST, now_us, now_us)
-            self._live(shard, Life.GUEST)
-            self._due.put(shard, None, now_us + self._idle_us)
+            self._set_phase(shard, Life.GUEST)
+            self._timeouts.put(shard, None, now_us + self._guest_idle_us)
         else:
-            new = False
-        state.used_us, state.owed = now_us, True
-        return [FollowShard(shard)] if new else []
+            is_new = False
+        state.last_used_us, state.owed = now_us, True
+        return [FollowShard(shard)] if is_new else []
 
-    def used(self, now_us: int, shard: int) -> None:
-        """A message of it was taken."""
+    def message_taken(self, now_us: int, shard: int) -> None:
+        """A message of the shard was taken here."""
         state = self._shards.get(shard)
         if state is not None:
-            state.used_us, state.owed = now_us, True
+            state.last_used_us, state.owed = now_us, True
 
-    def owed(self, now_us: int, owed: Mapping[int, int]) -> list[HostAct]:
-        """How many messages are held by shard; those not named hold none. A shard that is not served here and of which
-        messages are held, as after a start from the journal, is served until they have ended."""
-        acts: list[HostAct] = []
+    def owed(self, now_us: int, owed: Mapping[int, int]) -> list[HostingAction]:
+        """Takes the number of messages owed by shard; shards not named owe none. A shard with messages owed that is not
+        served, as after a restart from the journal, is served until they have ended."""
+        acts: list[HostingAction] = []
         for shard, count in owed.items():
             if count > 0 and shard not in self._shards:
                 self._shards[shard] = _Shard(Life.LEAVING, now_us, now_us)
-                self._live(shard, Life.LEAVING)
+                self._set_phase(shard, Life.LEAVING)
                 acts.append(FollowShard(shard))
-        for shard in sorted(self._by_life[Life.LEAVING] | self._by_life[Life.GUEST]):
+        for shard in sorted(self._by_phase[Life.LEAVING] | self._by_phase[Life.GUEST]):
             state = self._shards[shard]
             state.owed = owed.get(shard, 0) > 0
             acts += self._look(now_us, shard, state)
         return acts
 
-    def tick(self, now_us: int) -> list[HostAct]:
-        """Time has passed; to be called at `next_us` or later."""
-        acts: list[HostAct] = []
-        for shard, _ in self._due.ended(now_us):
+    def tick(self, now_us: int) -> list[HostingAction]:
+        """Handles timeouts; to be called at `next_us` or later."""
+        acts: list[HostingAction] = []
+        for shard, _ in self._timeouts.pop_expired(now_us):
             state = self._shards[shard]
-            idle_us = state.used_us + self._idle_us
-            if state.life is Life.GUEST and idle_us > now_us:
-                self._due.put(shard, None, idle_us)
-            else:  # a guest that may owe something is looked at again when `owed` tells
+            idle_until_us = state.last_used_us + self._guest_idle_us
+            if state.life is Life.GUEST and idle_until_us > now_us:
+                self._timeouts.put(shard, None, idle_until_us)
+            else:  # a guest that may owe messages is checked again by `owed`
                 acts += self._look(now_us, shard, state)
         return acts
 
-    # --- what is so ---
+    # --- queries ---
 
     def life(self, shard: int) -> Life | None:
-        """None: not served here."""
+        """The shard's state; None if it is not served here."""
         state = self._shards.get(shard)
         return None if state is None else state.life
 
     def has_rows(self, shard: int) -> bool:
-        """Are its rows known here?"""
+        """Tells whether the shard's rows are known here."""
         state = self._shards.get(shard)
-        return state is not None and state.rows
+        return state is not None and state.has_rows
 
     def guest_room(self) -> bool:
-        """Is there room for one more guest shard?"""
-        return len(self._by_life[Life.GUEST]) < self._guests_most
+        """Tells whether a further guest shard is allowed."""
+        return len(self._by_phase[Life.GUEST]) < self._max_guests
 
     def of(self, life: Life) -> list[int]:
-        """The shards in that life, in order."""
-        return sorted(self._by_life[life])
+        """The shards in that state, ascending."""
+        return sorted(self._by_phase[life])
 
     def next_us(self) -> int:
-        """When `tick` has something to do; `NEVER_US` if time alone brings nothing."""
-        return self._due.next_us()
+        """When `tick` is due; `NEVER_US` if no timeout is pending."""
+        return self._timeouts.next_us()
 
-    # --- within ---
+    # --- internal ---
 
-    def _live(self, shard: int, life: Life) -> None:
-        for shards in self._by_life.values():
+    def _set_phase(self, shard: int, life: Life) -> None:
+        """Moves the shard to that state."""
+        for shards in self._by_phase.values():
             shards.discard(shard)
-        self._by_life[life].add(shard)
+        self._by_phase[life].add(shard)
         self._shards[shard].life = life
 
-    def _open(self, shard: int, state: _Shard) -> list[HostAct]:
-        self._live(shard, Life.HOME)
-        self._due.pop(shard)
+    def _open(self, shard: int, state: _Shard) -> list[HostingAction]:
+        self._set_phase(shard, Life.HOME)
+        self._timeouts.pop(shard)
         return [Opened(shard)]
 
-    def _look(self, now_us: int, shard: int, state: _Shard) -> list[HostAct]:
-        """Is it time to open, or to go?"""
+    def _look(self, now_us: int, shard: int, state: _Shard) -> list[HostingAction]:
+        """Opens or drops the shard if its conditions are met."""
         if state.life is Life.OPENING:
-            if state.rows and (state.taught or now_us >= state.since_us + self._within_us):
+            if state.has_rows and (state.learned_received or now_us >= state.opening_since_us + self._open_timeout_us):
                 return self._open(shard, state)
         elif not state.owed and (state.life is Life.LEAVING
-                                 or (state.life is Life.GUEST and now_us >= state.used_us + self._idle_us)):
-            self._by_life[state.life].discard(shard)
-            self._due.pop(shard)
+                                 or (state.life is Life.GUEST and now_us >= state.last_used_us + self._guest_idle_us)):
+            self._by_phase[state.life].discard(shard)
+            self._timeouts.pop(shard)
             del self._shards[shard]
             return [DropShard(shard)]
         return []
--- a/wheelstep/shards/kept.py
+++ b/wheelstep/shards/kept.py
@@ -1,66 +1,67 @@
-"""What other couriers told of shards that are not open here, until they open. No I/O."""
+"""Learned state received from other couriers for shards that are not open here, stored until they open. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from wheelstep.shards.learned import MOST_US
-from wheelstep.shards.types import EndpointHealth, Learned
+from wheelstep.shards.learned import MAX_US
+from wheelstep.shards.types import EndpointHealth, LearnedState
 
-_FRESH_US = 10_000_000  # a handover that is older says nothing of the present one
+_FRESH_US = 10_000_000  # an older handover belongs to an earlier change of home
 _ROW_BYTES = 300
 
 
 @dataclass(slots=True)
-class _Shelf:
-    healths: dict[str, tuple[int, EndpointHealth]] = field(default_factory=dict)  # the moment when it was noted
-    waits: dict[str, int] = field(default_factory=dict)  # until then
+class _StoredState:
+    healths: dict[str, tuple[int, EndpointHealth]] = field(default_factory=dict)  # the time of the observation
+    waits: dict[str, int] = field(default_factory=dict)  # end of each wait
     handover_us: int | None = None
     size: int = 0
 
 
-class Kept:
-    """By shard, for `most` shards and `most_bytes` (an estimate); the shard that was heard of longest ago goes. Of two
-    tellings for one endpoint the one noted later wins, of two waits the longer."""
+class LearnedStore:
+    """State by shard, for `max_shards` shards and `max_bytes` (estimated); the shard updated longest ago is dropped
+    first. For each endpoint the later observation wins, and the longer wait."""
 
-    def __init__(self, most: int, most_bytes: int) -> None:
-        self._most = most
-        self._most_bytes = most_bytes
-        self._shards: dict[int, _Shelf] = {}
+    def __init__(self, max_shards: int, max_bytes: int) -> None:
+        self._max_shards = max_shards
+        self._max_bytes = max_bytes
+        self._shards: dict[int, _StoredState] = {}
         self.size = 0
 
     def __len__(self) -> int:
         return len(self._shards)
 
-    def keep(self, now_us: int, frame: Learned) -> None:
-        """It has been found sound."""
-        shelf = self._shards.pop(frame.shard, None) or _Shelf()
-        self._shards[frame.shard] = shelf
-        self.size -= shelf.size
+    def store(self, now_us: int, frame: LearnedState) -> None:
+        """Stores a frame that has been validated."""
+        state = self._shards.pop(frame.shard, None) or _StoredState()
+        self._shards[frame.shard] = state
+        self.size -= state.size
         for health in frame.healths:
             noted_us = now_us - health.ago_us
-            held = shelf.healths.get(health.endpoint)
+            held = state.healths.get(health.endpoint)
             if held is None or noted_us > held[0] or (noted_us == held[0] and frame.handover):
-                shelf.healths[health.endpoint] = noted_us, health
-        shelf.waits = {endpoint: until_us for endpoint, until_us in shelf.waits.items() if until_us > now_us}
+                state.healths[health.endpoint] = noted_us, health
+        state.waits = {endpoint: until_us for endpoint, until_us in state.waits.items() if until_us > now_us}
         for endpoint, left_us in frame.waits:
-            shelf.waits[endpoint] = max(shelf.waits.get(endpoint, 0), now_us + left_us)
+            state.waits[endpoint] = max(state.waits.get(endpoint, 0), now_us + left_us)
         if frame.handover:
-            shelf.handover_us = now_us
-        shelf.size = _ROW_BYTES * (1 + len(shelf.healths) + len(shelf.waits))
-        shelf.size += sum(map(len, shelf.healths)) + sum(map(len, shelf.waits))
-        self.size += shelf.size
-        while self._shards and (len(self._shards) > self._most or self.size > self._most_bytes):
+            state.handover_us = now_us
+        state.size = _ROW_BYTES * (1 + len(state.healths) + len(state.waits))
+        state.size += sum(map(len, state.healths)) + sum(map(len, state.waits))
+        self.size += state.size
+        while self._shards and (len(self._shards) > self._max_shards or self.size > self._max_bytes):
             self.size -= self._shards.pop(next(iter(self._shards))).size
 
     def take(self, now_us: int, shard: int
              ) -> tuple[tuple[EndpointHealth, ...], tuple[tuple[str, int], ...], bool] | None:
-        """Healths and waits as they are now, and whether a handover has just come; it is kept no more."""
-        shelf = self._shards.pop(shard, None)
-        if shelf is None:
+        """Removes the shard's state and returns its healths and waits with their present ages, and whether a recent
+        handover is part of it; None if there is none."""
+        state = self._shards.pop(shard, None)
+        if state is None:
             return None
-        self.size -= shelf.size
-        healths = tuple(EndpointHealth(health.endpoint, min(MOST_US, max(0, now_us - noted_us)), health.fields)
-                        for noted_us, health in shelf.healths.values())
-        waits = tuple((endpoint, until_us - now_us) for endpoint, until_us in shelf.waits.items() if until_us > now_us)
-        return healths, waits, shelf.handover_us is not None and now_us - shelf.handover_us <= _FRESH_US
+        self.size -= state.size
+        healths = tuple(EndpointHealth(health.endpoint, min(MAX_US, max(0, now_us - noted_us)), health.fields)
+                        for noted_us, health in state.healths.values())
+        waits = tuple((endpoint, until_us - now_us) for endpoint, until_us in state.waits.items() if until_us > now_us)
+        return healths, waits, state.handover_us is not None and now_us - state.handover_us <= _FRESH_US
--- a/wheelstep/shards/learned.py
+++ b/wheelstep/shards/learned.py
@@ -1,4 +1,4 @@
-"""Learned state as it travels: is it sound, what of it has changed, and what it is after a while. No I/O."""
+"""Learned state on the wire: validation, comparison with what was sent before, and ageing. No I/O."""
 
 from __future__ import annotations
 
@@ -7,83 +7,84 @@
 from collections.abc import Iterable
 
 from wheelstep.interface import Health
-from wheelstep.shards.types import EndpointHealth, KeysOver, Learned, OwedKey, shard_of
+from wheelstep.shards.types import EndpointHealth, KeysReleased, LearnedState, OwedKey, shard_of
 
-MOST_KEYS = 4_096  # of one shard in one frame
-MOST_US = 30 * 86_400_000_000  # no age, wait or deadline is longer
-_MOST_ROWS = 65_536
-_MOST_TEXT = 512
+MAX_KEYS = 4_096  # per frame, which is for one shard
+MAX_US = 30 * 86_400_000_000  # the longest age, wait or deadline that is accepted
+_MAX_ROWS = 65_536
+_MAX_TEXT = 512
 _FLAGS = sum(field.type == "bool" for field in dataclasses.fields(Health))
 _FIELDS = len(dataclasses.fields(Health))
 
 Waits = Iterable[tuple[str, int]]  # endpoint, left_us
-KeyName = tuple[int, str, str]  # destination, class, key; class and key empty: all of the destination's
-ALL: KeyName = (-1, "", "")  # all of the shard's
+KeyName = tuple[int, str, str]  # destination, class, key; with class and key empty: all keys of the destination
+WHOLE_SHARD: KeyName = (-1, "", "")  # all keys of the shard
 
 
-def wrong_learned(frame: Learned, shards: int) -> str:
-    """Why nothing of it may be taken over; empty if it is sound."""
+def learned_state_error(frame: LearnedState, shards: int) -> str:
+    """Why the frame is refused as a whole; empty if it is valid."""
     if not 0 <= frame.shard < shards:
         return "shard out of range"
     if not 0 < frame.number < 1 << 63:
         return "number out of range"
-    if max(len(frame.healths), len(frame.waits), len(frame.keys)) > _MOST_ROWS:
+    if max(len(frame.healths), len(frame.waits), len(frame.keys)) > _MAX_ROWS:
         return "too many rows"
     for health in frame.healths:
-        if wrong := wrong_health(health):
-            return wrong
-    if not all(_is_text(endpoint) and 0 < left_us <= MOST_US for endpoint, left_us in frame.waits):
-        return "wait makes no sense"
-    if not all(0 < key.left_us <= MOST_US for key in frame.keys):
-        return "key's time makes no sense"
-    return _wrong_keys(frame.shard, ((key.destination, key.message_class, key.key) for key in frame.keys), shards)
+        if error := health_error(health):
+            return error
+    if not all(_is_valid_text(endpoint) and 0 < left_us <= MAX_US for endpoint, left_us in frame.waits):
+        return "invalid wait"
+    if not all(0 < key.left_us <= MAX_US for key in frame.keys):
+        return "invalid key lifetime"
+    return _keys_error(frame.shard, ((key.destination, key.message_class, key.key) for key in frame.keys), shards)
 
 
-def wrong_over(frame: KeysOver, shards: int) -> str:
-    """Why nothing of it may be taken over; empty if it is sound."""
+def keys_released_error(frame: KeysReleased, shards: int) -> str:
+    """Why the frame is refused as a whole; empty if it is valid."""
     if not 0 <= frame.shard < shards:
         return "shard out of range"
-    return "too many rows" if len(frame.keys) > _MOST_ROWS else _wrong_keys(frame.shard, frame.keys, shards)
+    return "too many rows" if len(frame.keys) > _MAX_ROWS else _keys_error(frame.shard, frame.keys, shards)
 
 
-def _is_text(text: str) -> bool:
-    return 0 < len(text) <= _MOST_TEXT
+def _is_valid_text(text: str) -> bool:
+    return 0 < len(text) <= _MAX_TEXT
 
 
-def wrong_health(health: EndpointHealth) -> str:
-    """Why it may not be taken over, nor sent; empty if it is sound."""
-    if not _is_text(health.endpoint):
-        return "endpoint makes no sense"
-    if not 0 <= health.ago_us <= MOST_US:
-        return "age makes no sense"
+def health_error(health: EndpointHealth) -> str:
+    """Why it must be neither adopted nor sent; empty if it is valid."""
+    if not _is_valid_text(health.endpoint):
+        return "invalid endpoint"
+    if not 0 <= health.ago_us <= MAX_US:
+        return "invalid age"
     if len(health.fields) != _FIELDS:
         return "wrong number of health fields"
     if not all(isinstance(value, bool) for value in health.fields[:_FLAGS]):
-        return "health flag is none"
+        return "health flag is not a bool"
     for value in health.fields[_FLAGS:]:
         if isinstance(value, bool) or not math.isfinite(value) or not 0 <= value < 1 << 62:
-            return "health field makes no sense"
+            return "invalid health field"
     return ""
 
 
-def _wrong_keys(shard: int, names: Iterable[KeyName], shards: int) -> str:
+def _keys_error(shard: int, names: Iterable[KeyName], shards: int) -> str:
     of_shard: set[int] = set()
     for destination, message_class, key in names:
-        if max(len(message_class), len(key)) > _MOST_TEXT:
-            return "key makes no sense"
-        if destination not in of_shard and (destination, message_class, key) != ALL:
+        if max(len(message_class), len(key)) > _MAX_TEXT:
+            return "key too long"
+        if destination not in of_shard and (destination, message_class, key) != WHOLE_SHARD:
             if shard_of(destination, shards) != shard:
                 return "key of another shard"
             of_shard.add(destination)
     return ""
 
 
-def differs(new: tuple[float | bool, ...], told: tuple[float | bool, ...]) -> bool:
-    """Is it worth telling? A flag that changed is; a number that has moved by more than an eighth of the larger one is,
-    from or to zero always. Compared with what was told last, so what drifts slowly is told in time."""
-    if len(new) != len(told):
+def differs(new: tuple[float | bool, ...], sent: tuple[float | bool, ...]) -> bool:
+    """Tells whether the new values are worth sending: a flag that changed, or a number that changed by more than an
+    eighth of the larger value (from or to zero: always). The comparison is with the values sent last, so that slow
+    drift is sent eventually."""
+    if len(new) != len(sent):
         return True
-    for now, then in zip(new, told, strict=True):
+    for now, then in zip(new, sent, strict=True):
         if isinstance(now, bool) or isinstance(then, bool):
             if now is not then:
                 return True
@@ -92,37 +93,40 @@
     return False
 
 
-def older(healths: Iterable[EndpointHealth], by_us: int) -> tuple[EndpointHealth, ...]:
-    """The same after that time; those that nobody would take over are left out."""
-    aged = (EndpointHealth(health.endpoint, min(MOST_US, health.ago_us + by_us), health.fields) for health in healths)
-    return tuple(health for health in aged if not wrong_health(health))
+def aged_healths(healths: Iterable[EndpointHealth], elapsed_us: int) -> tuple[EndpointHealth, ...]:
+    """The healths after that time, without those that a receiver would refuse."""
+    aged = (EndpointHealth(health.endpoint, min(MAX_US, health.ago_us + elapsed_us), health.fields)
+            for health in healths)
+    return tuple(health for health in aged if not health_error(health))
 
 
-def waits_after(waits: Waits, by_us: int) -> tuple[tuple[str, int], ...]:
-    """Those that have not ended after that time."""
-    return tuple((endpoint, min(MOST_US, left_us - by_us)) for endpoint, left_us in waits if left_us > by_us)
+def remaining_waits(waits: Waits, elapsed_us: int) -> tuple[tuple[str, int], ...]:
+    """The waits that have not ended after that time."""
+    return tuple((endpoint, min(MAX_US, left_us - elapsed_us)) for endpoint, left_us in waits if left_us > elapsed_us)
 
 
-def _short(key: OwedKey) -> tuple[str, str]:
-    long = max(len(key.message_class), len(key.key)) > _MOST_TEXT
+def _shortened(key: OwedKey) -> tuple[str, str]:
+    long = max(len(key.message_class), len(key.key)) > _MAX_TEXT
     return ("", "") if long else (key.message_class, key.key)
 
 
-def keys_told(keys: Iterable[OwedKey], most: int = MOST_KEYS) -> tuple[OwedKey, ...]:
-    """As many as one frame may have. Beyond `most`, the destinations with most keys are told as a whole (class and key
-    empty, the longest of their times): every key of them counts as owed. So is one with a key that is too long."""
-    found = tuple(OwedKey(key.destination, *_short(key), min(MOST_US, key.left_us)) for key in keys if key.left_us > 0)
-    if len(found) <= most:
+def frame_keys(keys: Iterable[OwedKey], max_keys: int = MAX_KEYS) -> tuple[OwedKey, ...]:
+    """The keys that one frame may hold. Beyond `max_keys`, destinations with the most keys are sent as a whole (class
+    and key empty, with the longest of their times), so that every key of theirs counts as owed. So are destinations
+    with a key that is too long."""
+    found = tuple(OwedKey(key.destination, *_shortened(key), min(MAX_US, key.left_us))
+                  for key in keys if key.left_us > 0)
+    if len(found) <= max_keys:
         return found
     by_destination: dict[int, list[OwedKey]] = {}
     for key in found:
         by_destination.setdefault(key.destination, []).append(key)
-    told: list[OwedKey] = []
-    left = len(found)
-    for destination, its in sorted(by_destination.items(), key=lambda item: -len(item[1])):
-        if left > most:
-            told.append(OwedKey(destination, "", "", max(key.left_us for key in its)))
-            left -= len(its) - 1
+    chosen: list[OwedKey] = []
+    count = len(found)
+    for destination, keys_of_destination in sorted(by_destination.items(), key=lambda item: -len(item[1])):
+        if count > max_keys:
+            chosen.append(OwedKey(destination, "", "", max(key.left_us for key in keys_of_destination)))
+            count -= len(keys_of_destination) - 1
         else:
-            told += its
-    return tuple(told)
+            chosen += keys_of_destination
+    return tuple(chosen)
--- a/wheelstep/shards/links.py
+++ b/wheelstep/shards/links.py
@@ -1,4 +1,5 @@
-"""A node's links to other couriers and to control machines: found by peer, dialled when needed. No policy here."""
+"""A node's links to other couriers and to control machines, found by peer and dialled when needed. Decides nothing
+itself."""
 
 from __future__ import annotations
 
@@ -13,87 +14,88 @@
 from wheelstep.shards.streams import StreamLink, Streams
 from wheelstep.shards.types import Forwarded, Frame
 
-MOST_WAIT = 64  # frames that wait for a link to one courier
+MAX_WAITING_FRAMES = 64  # maximum number of frames that wait for a link to one courier
 
 
 class Links:
-    """`address_of` gives a peer's address ("" if it is not known); `heard` gets every frame that is not of forwarding;
-    `server` makes the asked side of forwarding for a link that another has opened."""
+    """`address_of` returns a peer's address ("" if unknown); `heard` receives every frame except those of forwarding;
+    `server` makes the forwarding server for a link that a peer has opened."""
 
     def __init__(self, address_of: Callable[[str], str], server: Callable[[], ForwardServer],
                  heard: Callable[[StreamLink, Frame], None], lost: Callable[[StreamLink], None], dial_s: float) -> None:
-        self._address_of, self._server, self._heard, self._gone, self._dial_s = address_of, server, heard, lost, dial_s
+        self._address_of, self._server, self._heard, self._link_lost, self._dial_s = (
+            address_of, server, heard, lost, dial_s)
         self.streams: Streams
         self._by_peer: dict[str, list[StreamLink]] = {}
-        self._asking: dict[StreamLink, tuple[Heard, Lost]] = {}  # links that this courier forwards on
-        self._asked: dict[StreamLink, ForwardServer] = {}
+        self._forward_clients: dict[StreamLink, tuple[Heard, Lost]] = {}  # links for passing messages on
+        self._forward_servers: dict[StreamLink, ForwardServer] = {}
         self._waiting: dict[str, deque[Frame]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # --- what comes ---
+    # --- incoming ---
 
     def heard(self, link: StreamLink, frame: Frame) -> None:
-        """From `Streams`."""
-        self._note(link)
+        """Handles a frame from `Streams`."""
+        self._add(link)
         if not isinstance(frame, Forwarded):
             self._heard(link, frame)
-        elif (asking := self._asking.get(link)) is not None:
-            asking[0](frame.head, frame.body)
+        elif (client := self._forward_clients.get(link)) is not None:
+            client[0](frame.head, frame.body)
         else:
-            if (server := self._asked.get(link)) is None:
-                server = self._asked[link] = self._server()
+            if (server := self._forward_servers.get(link)) is None:
+                server = self._forward_servers[link] = self._server()
                 server.attach(ForwardLink(link))
             server.heard(frame.head, frame.body)
 
     def lost(self, link: StreamLink) -> None:
-        """From `Streams`."""
+        """Handles the end of a link, as reported by `Streams`."""
         links = self._by_peer.get(link.peer, [])
         if link in links:
             links.remove(link)
             if not links:
                 del self._by_peer[link.peer]
-        if (asking := self._asking.pop(link, None)) is not None:
-            asking[1]()
-        if (server := self._asked.pop(link, None)) is not None:
+        if (client := self._forward_clients.pop(link, None)) is not None:
+            client[1]()
+        if (server := self._forward_servers.pop(link, None)) is not None:
             server.lost()
-        self._gone(link)
+        self._link_lost(link)
 
-    def _note(self, link: StreamLink) -> None:
+    def _add(self, link: StreamLink) -> None:
         links = self._by_peer.setdefault(link.peer, [])
         if link not in links:
             links.append(link)
 
-    # --- what goes ---
+    # --- outgoing ---
 
     async def dial(self, name: str, address: str, within_s: float) -> StreamLink | None:
-        """A link of its own to a peer."""
+        """Opens a separate link to the peer; None if that fails within `within_s` seconds."""
         link = await self.streams.dial(name, address, within_s) if address else None
         if link is not None:
-            self._note(link)
+            self._add(link)
         return link
 
     async def forward(self, courier: str, heard: Heard, lost: Lost) -> Link | None:
-        """A link that messages are passed on by (`forwarding.link.Dial`)."""
+        """Opens a link for passing messages on (`forwarding.link.Dial`); None if that fails."""
         link = await self.dial(courier, self._address_of(courier), self._dial_s)
         if link is None or not link.open:
             return None
-        self._asking[link] = heard, lost
+        self._forward_clients[link] = heard, lost
         return ForwardLink(link)
 
     def peers(self) -> list[str]:
-        """Those that a link is open to."""
+        """The peers with an open link."""
         return sorted(self._by_peer)
 
     def send(self, courier: str, frame: Frame) -> None:
-        """By any link that is open to it, or by a new one; what can't be sent is dropped."""
+        """Sends the frame on any open link to the courier, or on a new one; drops it if that is impossible."""
         for link in self._by_peer.get(courier, ()):
             if link.open and link.send(frame):
                 return
         waiting = self._waiting.get(courier)
         if waiting is None:
-            self._waiting[courier] = deque([frame], MOST_WAIT)
-            self.keep(self._deliver(courier))
-        elif len(waiting) < MOST_WAIT:
+            self._waiting[courier] = deque([frame], MAX_WAITING_FRAMES)
+            self.spawn(self._deliver(courier))
+        elif len(waiting) < MAX_WAITING_FRAMES:
             waiting.append(frame)
 
     async def _deliver(self, courier: str) -> None:
@@ -105,14 +107,14 @@
             for frame in waiting:
                 link.send(frame)
 
-    def keep(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run it to its end, or to `close`."""
+    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Runs the coroutine as a task until it ends or `close` is called."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """At once."""
+        """Ends all links and tasks at once."""
         for task in list(self._tasks):
             task.cancel()
         self.streams.close()
--- a/wheelstep/shards/list_acts.py
+++ b/wheelstep/shards/list_acts.py
@@ -1,4 +1,4 @@
-"""What a courier is to do so that it follows the list by shard. No I/O."""
+"""Actions by which a courier follows the list by shard. No I/O."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Connect to this control machine and tell `dialled`."""
+    """Connect to this control machine and report the result to `dialled`."""
 
     control: str
 
 
 @dataclass(frozen=True, slots=True)
 class HangUp:
-    """End the connection, or the attempt; `lost` need not be told."""
+    """Close the connection, or abort connecting; `lost` need not be called."""
 
     control: str
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """Send."""
+    """Send the frame to this control machine."""
 
     control: str
     frame: Frame
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Rows of a shard that changed; those that are gone are DELETED. `first`: the shard is known from now on."""
+    """Rows of a shard that changed; removed ones are DELETED. `first`: the shard's rows are known from now on."""
 
     shard: int
     rows: tuple[ListRow, ...]
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """A line for the operators."""
+    """A line for operators."""
 
     text: str
 
--- a/wheelstep/shards/list_server.py
+++ b/wheelstep/shards/list_server.py
@@ -1,4 +1,4 @@
-"""A control machine's decisions: the list by shard, and who is told what of it. No I/O."""
+"""A control machine's decisions: keeps the list by shard and sends each courier the shards it follows. No I/O."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from wheelstep.shards.refusals import Refusals
 from wheelstep.shards.types import Behind, Current, Follow, Frame, ListRow, ShardRows, Unfollow
 
-SLICE_ROWS = 1_000  # taken up in one step of a whole list
-SLICE_CHANGES = 200  # and of changes
-ANSWER_BYTES = 256 << 10  # of rows to one peer in one turn; the rest follows
-ANSWER_US = 50_000  # the pause between such turns
+SLICE_ROWS = 1_000  # rows handled in one step of a whole list
+SLICE_CHANGES = 200  # rows handled in one step of changes
+ANSWER_BYTES = 256 << 10  # of rows to one peer at a time; the rest follows later
+ANSWER_US = 50_000  # the pause before the rest
 NEVER_US = 1 << 62
 
 Tells = list[tuple[str, Frame]]
@@ -24,21 +24,21 @@
 @dataclass(slots=True)
 class _Peer:
     follows: set[int] = field(default_factory=set)
-    owed: dict[int, None] = field(default_factory=dict)  # shards to be told whole, in this order
-    waiting: dict[int, int] | None = None  # followed with these digests, once the list here is new enough
-    waits_for: int = 0
+    owed: dict[int, None] = field(default_factory=dict)  # shards to be sent whole, in this order
+    pending_follows: dict[int, int] | None = None  # followed, with digests, once the list here is new enough
+    awaited_seq: int = 0
 
 
 class ListServer:
-    """Rows by shard, and followers by shard. All bounds: `most_peers` peers, each of a shard at most once."""
+    """Rows by shard and followers by shard. Bounded by `max_peers` peers, each following a shard once."""
 
-    def __init__(self, shards: int, current_us: int = 2_000_000, most_peers: int = 4_096) -> None:
-        self._shards, self._every_us, self._most_peers = shards, current_us, most_peers
+    def __init__(self, shards: int, current_us: int = 2_000_000, max_peers: int = 4_096) -> None:
+        self._shards, self._current_interval_us, self._max_peers = shards, current_us, max_peers
         self._table = ListTable(shards)
-        self._known = False  # has any list come?
+        self._has_list = False  # whether any whole list has been received
         self._peers: dict[str, _Peer] = {}
         self._followers: dict[int, set[str]] = {}
-        self._current_us = self._owed_us = NEVER_US
+        self._current_due_us = self._owed_due_us = NEVER_US
         self.seq = 0
         self._refusals = Refusals("list by shard")
 
@@ -47,27 +47,28 @@
 
     @property
     def peers(self) -> int:
-        """How many follow here."""
+        """The number of peers."""
         return len(self._peers)
 
     def rows_of(self, shard: int) -> tuple[ListRow, ...]:
-        """The shard's rows as they stand."""
+        """The shard's current rows."""
         return self._table.rows(shard)
 
     def digest(self, shard: int) -> int:
-        """Of the shard's rows."""
+        """The digest of the shard's rows."""
         return self._table.digest(shard)
 
     # --- from discovery ---
 
     def listed(self, now_us: int, seq: int, whole: bool, rows: Iterable[ListRow]) -> Tells:
-        """A list, or changes of it; what to send to whom. The version told never goes down: a whole list with a
-        lower one is discovery's counting anew, and its rows are told under the highest."""
+        """Applies a list, or changes of it, and returns the frames to send. The version sent never decreases: a whole
+        list with a lower one means that discovery has started counting again, and is sent with the highest version so
+        far."""
         return [tell for step in self.steps(now_us, seq, whole, rows) for tell in step]
 
     def steps(self, now_us: int, seq: int, whole: bool, rows: Iterable[ListRow]) -> Iterator[Tells]:
-        """The same in small steps, so that a loop can turn between them. A whole list counts with its last
-        step, changes with each; no other list may be begun before the last."""
+        """As `listed`, in small steps between which an event loop can run. A whole list takes effect with its last
+        step, changes with each; the next call must not start before the last step."""
         if not whole:
             yield from self._changes(now_us, seq, rows)
             return
@@ -82,17 +83,17 @@
         yield self._replace(now_us, seq, table)
 
     def _replace(self, now_us: int, seq: int, table: ListTable) -> Tells:
-        before, self._table, self._known = self._table, table, True
+        before, self._table, self._has_list = self._table, table, True
         self.seq = max(self.seq, seq)
         tells: Tells = []
         for shard, names in self._followers.items():
             if before.digest(shard) != table.digest(shard):
                 tells += self._differences(shard, names, before.rows(shard), table.rows(shard))
-        return tells + self._caught_up(now_us)
+        return tells + self._answer_pending(now_us)
 
     def _differences(self, shard: int, names: Iterable[str], before: tuple[ListRow, ...],
                      rows: tuple[ListRow, ...]) -> Tells:
-        """Whole, or what is different, whichever has fewer rows; to those that have been told what was before."""
+        """All rows or those that differ, whichever are fewer, for followers that have the previous rows."""
         known, hosts = set(before), {row.host for row in rows}
         changes = [row for row in rows if row not in known]
         changes += [deleted(row) for row in before if row.host not in hosts]
@@ -101,7 +102,8 @@
         return [(name, frame) for name in sorted(names) if shard not in self._peers[name].owed]
 
     def _changes(self, now_us: int, seq: int, rows: Iterable[ListRow]) -> Iterator[Tells]:
-        """Told slice by slice, all under the new version: whoever has a part of it must not be told older rows."""
+        """Applies changes slice by slice, all under the new version: a courier that has part of it must not receive
+        older rows."""
         self.seq, left = max(self.seq, seq), iter(rows)
         while part := list(islice(left, SLICE_CHANGES)):
             before: dict[int, tuple[ListRow, ...]] = {}
@@ -117,20 +119,20 @@
                 if set(new) != set(old):
                     tells += self._differences(shard, self._followers[shard], old, new)
             yield tells
-        yield self._caught_up(now_us)
+        yield self._answer_pending(now_us)
 
-    def _caught_up(self, now_us: int) -> Tells:
+    def _answer_pending(self, now_us: int) -> Tells:
         tells: Tells = []
         for name, peer in self._peers.items():
-            if peer.waiting is not None and self._known and peer.waits_for <= self.seq:
-                digests, peer.waiting = peer.waiting, None
+            if peer.pending_follows is not None and self._has_list and peer.awaited_seq <= self.seq:
+                digests, peer.pending_follows = peer.pending_follows, None
                 tells += self._follow(now_us, name, peer, digests)
         return tells
 
     # --- from couriers ---
 
     def heard(self, now_us: int, peer: str, frame: Frame) -> Tells:
-        """What a courier says; what to send to whom. What can't be meant is refused and changes nothing."""
+        """Handles a courier's frame and returns the frames to send. An invalid frame is refused and changes nothing."""
         match frame:
             case Follow():
                 return self._heard_follow(now_us, peer, frame)
@@ -138,9 +140,9 @@
                 if (known := self._peers.get(peer)) is not None:
                     for shard in frame.shards:
                         self._unfollow(peer, known, shard)
-                    if known.waiting is not None:
+                    if known.pending_follows is not None:
                         for shard in frame.shards:
-                            known.waiting.pop(shard, None)
+                            known.pending_follows.pop(shard, None)
             case Unfollow():
                 pass
             case _:
@@ -152,14 +154,14 @@
             return []
         peer = self._peers.get(name)
         if peer is None:
-            if len(self._peers) >= self._most_peers:
-                self._refusals.add("peers", f"{name}: one more than {self._most_peers} peers")
+            if len(self._peers) >= self._max_peers:
+                self._refusals.add("peers", f"{name}: refused as peer; expected at most {self._max_peers} peers")
                 return []
             peer = self._peers[name] = _Peer()
-            self._current_us = min(self._current_us, now_us + self._every_us)
-        if peer.waiting is not None or frame.seq > self.seq or not self._known:
-            peer.waiting = {**(peer.waiting or {}), **dict(frame.shards)}
-            peer.waits_for = max(peer.waits_for, frame.seq)
+            self._current_due_us = min(self._current_due_us, now_us + self._current_interval_us)
+        if peer.pending_follows is not None or frame.seq > self.seq or not self._has_list:
+            peer.pending_follows = {**(peer.pending_follows or {}), **dict(frame.shards)}
+            peer.awaited_seq = max(peer.awaited_seq, frame.seq)
             return [(name, Behind(self.seq))]
         return self._follow(now_us, name, peer, dict(frame.shards))
 
@@ -172,7 +174,7 @@
         return self._answer(now_us, name, peer)
 
     def _answer(self, now_us: int, name: str, peer: _Peer) -> Tells:
-        """As much of what is owed as one turn may carry."""
+        """The shards owed to the peer, up to the limit for one turn."""
         tells: Tells = []
         room = ANSWER_BYTES
         while peer.owed and room > 0:
@@ -181,7 +183,7 @@
             room -= self._table.bytes_of(shard) + 32
             tells.append((name, ShardRows(self.seq, shard, self._table.digest(shard), True, self._table.rows(shard))))
         if peer.owed:
-            self._owed_us = min(self._owed_us, now_us + ANSWER_US)
+            self._owed_due_us = min(self._owed_due_us, now_us + ANSWER_US)
         else:
             tells.append((name, Current(self.seq)))
         return tells
@@ -195,34 +197,34 @@
                 del self._followers[shard]
 
     def gone(self, peer: str) -> None:
-        """Its connection has ended."""
+        """The peer's connection has ended."""
         if (known := self._peers.pop(peer, None)) is not None:
             for shard in list(known.follows):
                 self._unfollow(peer, known, shard)
         if not self._peers:
-            self._current_us = self._owed_us = NEVER_US
+            self._current_due_us = self._owed_due_us = NEVER_US
 
-    # --- time ---
+    # --- timers ---
 
     def next_us(self) -> int:
-        """When `tick` has something to do."""
-        return min(self._current_us, self._owed_us)
+        """When `tick` is due."""
+        return min(self._current_due_us, self._owed_due_us)
 
     def tick(self, now_us: int) -> Tells:
-        """What is due."""
+        """Sends what is due."""
         tells: Tells = []
-        if now_us >= self._owed_us:
-            self._owed_us = NEVER_US
+        if now_us >= self._owed_due_us:
+            self._owed_due_us = NEVER_US
             for name, peer in self._peers.items():
                 if peer.owed:
                     tells += self._answer(now_us, name, peer)
-        if now_us >= self._current_us:
-            self._current_us = now_us + self._every_us
+        if now_us >= self._current_due_us:
+            self._current_due_us = now_us + self._current_interval_us
             tells += [(name, Current(self.seq)) for name, peer in self._peers.items()
-                      if not peer.owed and peer.waiting is None]
+                      if not peer.owed and peer.pending_follows is None]
         return tells
 
-    # --- what is refused ---
+    # --- refused input ---
 
     def _in_range(self, peer: str, shards: list[int] | tuple[int, ...], what: str) -> bool:
         if len(shards) > self._shards:
@@ -235,9 +237,9 @@
 
     @property
     def refused(self) -> Counter[str]:
-        """What was refused, by reason."""
+        """Counts of refused input, by reason."""
         return self._refusals.counts
 
     def notes(self, now_us: int) -> list[str]:
-        """A line for the operators about what was refused: at most one in 10 seconds."""
+        """Lines for operators about refused input, rate-limited (see `Refusals.lines`)."""
         return self._refusals.lines(now_us)
--- a/wheelstep/shards/list_shard.py
+++ b/wheelstep/shards/list_shard.py
@@ -1,35 +1,36 @@
-"""One shard of the list as a courier has it, and what of a control machine's frames may be taken. No I/O."""
+"""One shard of the list as held by a courier, and validation of a control machine's frames. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from wheelstep.shards.list_rows import DELETED, SHARD_ROWS, deleted, digest_of_sum, fault_of, hash_of, packed
+from wheelstep.shards.list_rows import DELETED, SHARD_ROWS, deleted, digest_of_sum, hash_of, packed, row_error
 from wheelstep.shards.types import ListRow, ShardRows, shard_of
 
-FRAME_BYTES = 4 << 20  # of a frame's rows, at most
+FRAME_BYTES = 4 << 20  # maximum size of a frame's rows
 
 
 class RefusedError(Exception):
-    """A frame that nothing is taken of; what was found and expected."""
+    """An invalid frame, of which nothing is used. The text says what was found and expected; `reason` is the reason
+    that is counted."""
 
-    def __init__(self, why: str, line: str) -> None:
+    def __init__(self, reason: str, line: str) -> None:
         super().__init__(line)
-        self.why = why
+        self.reason = reason
 
 
-def check(frame: ShardRows, shards: int) -> None:
-    """Raises `RefusedError` for rows that are too many, unfit, or another shard's."""
+def validate(frame: ShardRows, shards: int) -> None:
+    """Raises `RefusedError` if the rows are too many or too large, invalid, or of another shard."""
     if len(frame.rows) > SHARD_ROWS:
         raise RefusedError("size", f"{len(frame.rows)} rows; expected {SHARD_ROWS} at most")
     size = 0
     for row in frame.rows:
-        if fault := fault_of(row):
-            raise RefusedError("row", fault)
+        if error := row_error(row):
+            raise RefusedError("row", error)
         if shard_of(row.block, shards) != frame.shard:
-            raise RefusedError("shard", f"a row of {row.block} for shard {frame.shard}; expected rows of that shard")
+            raise RefusedError("shard", f"row of {row.block} in shard {frame.shard}; expected rows of that shard")
         if frame.whole and row.health == DELETED:
-            raise RefusedError("row", "DELETED in a whole set; expected rows that are listed")
+            raise RefusedError("row", "DELETED row in a whole set; expected listed rows only")
         size += len(packed(row))
     if size > FRAME_BYTES:
         raise RefusedError("size", f"{size} bytes of rows; expected {FRAME_BYTES} at most")
@@ -37,22 +38,22 @@
 
 @dataclass(slots=True)
 class FollowedShard:
-    """Its rows by host. What doesn't fit the digest told with it changes nothing."""
+    """The shard's rows by host. A frame whose digest does not match changes nothing."""
 
     known: bool = False
-    awaits: bool = True  # a whole set was asked for
-    again: bool = False  # asked anew of the control machine in use
+    awaits_whole: bool = True  # a whole set was requested
+    requested_again: bool = False  # requested a second time from the control machine in use
     rows: dict[str, ListRow] = field(default_factory=dict)
-    _total: int = 0  # of the rows' hashes
+    _total: int = 0  # sum of the rows' hashes
 
     @property
     def digest(self) -> int:
-        """Of the rows that are here; 0 where a whole set is needed."""
-        return 0 if self.awaits else digest_of_sum(self._total)
+        """The digest of the rows held; 0 while a whole set is awaited."""
+        return 0 if self.awaits_whole else digest_of_sum(self._total)
 
     def take(self, frame: ShardRows) -> tuple[ListRow, ...] | None:
-        """The changes that it makes, with rows that are gone as DELETED; None where it does not fit. Raises
-        `RefusedError` where the shard gets too large."""
+        """Applies the frame and returns the changed rows, removed ones as DELETED; None if the digest does not match.
+        Raises `RefusedError` if the shard becomes too large."""
         rows = {} if frame.whole else dict(self.rows)
         total = 0 if frame.whole else self._total
         for row in frame.rows:
@@ -67,23 +68,24 @@
             return None
         changes = [row for host, row in rows.items() if self.rows.get(host) != row]
         changes += [deleted(row) for host, row in self.rows.items() if host not in rows]
-        self.rows, self._total, self.known, self.awaits = rows, total, True, False
+        self.rows, self._total, self.known, self.awaits_whole = rows, total, True, False
         return tuple(changes)
 
 
 class Hosts:
-    """In which shards a host is listed here. A host that moves to a destination of another shard is in both for a
-    while, or in neither; couriers know hosts by name alone, so it must not be taken away for the one it has left."""
+    """The shards in which each host is listed. A host that moves to a destination in another shard is in both for a
+    while, or in neither; as couriers know hosts by name alone, removing it from the old shard must not remove the host.
+    """
 
     def __init__(self) -> None:
         self._shards: dict[str, tuple[int, ...]] = {}
 
     def add(self, host: str, shard: int) -> None:
-        """It is listed there; the one added last is last."""
+        """Adds the shard as the host's last one."""
         self._shards[host] = (*(other for other in self._shards.get(host, ()) if other != shard), shard)
 
     def remove(self, host: str, shard: int) -> int | None:
-        """It is not listed there; the shard added last of those where it still is."""
+        """Removes the shard, and returns the last remaining shard of the host; None if there is none."""
         left = tuple(other for other in self._shards.get(host, ()) if other != shard)
         if left:
             self._shards[host] = left
--- a/wheelstep/shards/lives.py
+++ b/wheelstep/shards/lives.py
@@ -1,6 +1,5 @@
-"""What is decided about a courier's shards, carried out: rows are followed and handed to the module, learned state goes
-and comes, shards open and are dropped. No policy here.
-"""
+"""Carries out the decisions about a courier's shards: subscribes to rows and passes them to the module, exchanges
+learned state, opens and drops shards. Decides nothing itself."""
 
 from __future__ import annotations
 
@@ -17,101 +16,102 @@
 from wheelstep.shards.hosting import Hosting, Life
 from wheelstep.shards.links import Links
 from wheelstep.shards.list_client import ListClient
-from wheelstep.shards.ports import Shelf
+from wheelstep.shards.ports import CourierPort
 from wheelstep.shards.router import Router
 from wheelstep.shards.settings import NodeSettings
 from wheelstep.shards.streams import StreamLink
-from wheelstep.shards.teaching import Teaching
+from wheelstep.shards.teaching import LearnedStateSender
 from wheelstep.shards.types import (
     Behind,
     Current,
     Frame,
-    KeysOver,
-    Learned,
-    LearnedHeard,
+    KeysReleased,
+    LearnedState,
+    LearnedStateAck,
     ListRow,
     ShardRows,
     shard_of,
 )
-from wheelstep.shards.waits import Waits
+from wheelstep.shards.waits import ShardWaiters
 
 
-class Lives:
-    """The lives of shards at courier `me`. `arm` is called when something may be due sooner than before."""
+class ShardLifecycles:
+    """The shards of courier `me`. `arm` is called whenever something may be due earlier than before."""
 
-    def __init__(self, me: str, boot: int, settings: NodeSettings, control: Mapping[str, str], shelf: Shelf,
-                 homes: Homes, router: Router, waits: Waits, read: Callable[[ListRow], Row], rng: random.Random,
+    def __init__(self, me: str, boot: int, settings: NodeSettings, control: Mapping[str, str], courier: CourierPort,
+                 homes: Homes, router: Router, waits: ShardWaiters, read: Callable[[ListRow], Row], rng: random.Random,
                  now_us: Callable[[], int], arm: Callable[[], None], note: Callable[[str], None]) -> None:
         self._shards = settings.shards
-        self._control, self._shelf, self._waits, self._read = dict(control), shelf, waits, read
+        self._control, self._courier, self._waits, self._read = dict(control), courier, waits, read
         self._now_us, self._arm, self._note, self._dial_s = now_us, arm, note, settings.control_dial_us / 1e6
         self.hosting = Hosting(settings.guests, settings.guest_idle_us, settings.opens_within_us)
         self.handoff = Handoff(me, shards=settings.shards, boot=boot)
         self._router = router
-        self.teaching = Teaching(shelf, homes, self.handoff, settings.push_us, now_us())
+        self.state_sender = LearnedStateSender(courier, homes, self.handoff, settings.push_us, now_us())
         self.list_client = ListClient(me, sorted(control), settings.shards, rng, now_us())
         self.links: Links
         self._control_links: dict[str, StreamLink] = {}
         self.counts: Counter[str] = Counter()
 
-    # --- homes by this courier's view ---
+    # --- changes of homes, by this courier's view ---
 
-    def came_home(self, shard: int, taught: bool) -> None:
-        """It is home here from now on; `taught`: nobody is there to hand learned state over."""
-        if self.hosting.has_rows(shard):  # else once they are there: what is adopted needs them
-            self.handed(self.handoff.opening(self._now_us(), shard))
-        self.hosted(self.hosting.became_home(self._now_us(), shard, taught))
+    def became_home(self, shard: int, learned_received: bool) -> None:
+        """This courier is home of the shard from now on; `learned_received`: no courier is there that could hand over
+        learned state."""
+        if self.hosting.has_rows(shard):  # otherwise once they arrive: adoption needs them
+            self.run_handoff_actions(self.handoff.opening(self._now_us(), shard))
+        self.run_hosting_actions(self.hosting.became_home(self._now_us(), shard, learned_received))
 
     def left_home(self, shard: int, to: str | None) -> None:
-        """It is home elsewhere, and was here, or is owed here still."""
-        self.hosted(self.hosting.left_home(self._now_us(), shard))
+        """Another courier is home (`to`; None: no courier), and this one was, or still owes messages of the shard."""
+        self.run_hosting_actions(self.hosting.left_home(self._now_us(), shard))
         if to is not None:
-            self.handed(self.teaching.give(self._now_us(), shard, to))
+            self.run_handoff_actions(self.state_sender.hand_over(self._now_us(), shard, to))
 
-    def be_guest(self, shard: int) -> bool:
-        """Serve it for a while; False without room."""
-        acts = self.hosting.be_guest(self._now_us(), shard)
-        self.hosted(acts or ())
+    def serve_as_guest(self, shard: int) -> bool:
+        """Starts serving the shard as guest; False if there is no room."""
+        acts = self.hosting.serve_as_guest(self._now_us(), shard)
+        self.run_hosting_actions(acts or ())
         return acts is not None
 
-    def took(self, message: Stored) -> None:
-        """A message was taken for a shard whose home is another."""
+    def taken_for_other_home(self, message: Stored) -> None:
+        """A message was taken for a shard whose home is another courier."""
         now_us, shard = self._now_us(), shard_of(message.destination, self._shards)
-        self.hosting.used(now_us, shard)
+        self.hosting.message_taken(now_us, shard)
         if message.key is not None and self.hosting.life(shard) is Life.LEAVING:
-            self.handed(self.teaching.owes_more(now_us, shard))
+            self.run_handoff_actions(self.state_sender.add_owed_keys(now_us, shard))
 
     def owed(self) -> None:
-        """Serve what is owed for as long as it is; drop what is served for nothing."""
-        self.hosted(self.hosting.owed(self._now_us(), self._shelf.owed()))
+        """Serves shards while messages of them are owed, and drops those that are no longer needed."""
+        self.run_hosting_actions(self.hosting.owed(self._now_us(), self._courier.owed()))
 
-    # --- what is to be done ---
+    # --- actions to carry out ---
 
-    def hosted(self, acts: Iterable[hosting.HostAct]) -> None:
-        """Of `Hosting`."""
+    def run_hosting_actions(self, acts: Iterable[hosting.HostingAction]) -> None:
+        """Carries out actions of `Hosting`."""
         follow = []
         for act in acts:
             match act:
                 case hosting.FollowShard(shard):
                     follow.append(shard)
                 case hosting.Opened(shard):
-                    self._waits.news(shard)
+                    self._waits.notify(shard)
                 case hosting.DropShard(shard):
-                    self._drop(shard)
+                    self._drop_shard(shard)
         if follow:
-            self.listed(self.list_client.follow(self._now_us(), follow))
+            self.run_list_actions(self.list_client.follow(self._now_us(), follow))
 
-    def _drop(self, shard: int) -> None:
+    def _drop_shard(self, shard: int) -> None:
         rows = [ListRow(row.host, row.dial, row.site, row.kind, row.block, "DELETED", row.share)
                 for row in self.list_client.rows_of(shard)]
-        self.listed(self.list_client.unfollow(self._now_us(), [shard]))
-        self._shelf.listed(self._rows(rows))
-        self._shelf.drop({row.block for row in rows})
-        self.teaching.dropped(shard)
-        self.handed(self.handoff.dropped(self._now_us(), shard))
-        self._waits.news(shard)
-
-    def _rows(self, rows: Iterable[ListRow]) -> list[Row]:
+        self.run_list_actions(self.list_client.unfollow(self._now_us(), [shard]))
+        self._courier.listed(self._read_rows(rows))
+        self._courier.drop({row.block for row in rows})
+        self.state_sender.dropped(shard)
+        self.run_handoff_actions(self.handoff.dropped(self._now_us(), shard))
+        self._waits.notify(shard)
+
+    def _read_rows(self, rows: Iterable[ListRow]) -> list[Row]:
         found = []
         for row in rows:
             try:
@@ -120,12 +120,12 @@
                 self.counts["unreadable_rows"] += 1
         return found
 
-    def listed(self, acts: Iterable[list_client.ListAct]) -> None:
-        """Of `ListClient`."""
+    def run_list_actions(self, acts: Iterable[list_client.ListAct]) -> None:
+        """Carries out actions of `ListClient`."""
         for act in acts:
             match act:
                 case list_client.Dial(control):
-                    self.links.keep(self._dial_control(control))
+                    self.links.spawn(self._dial_control(control))
                 case list_client.HangUp(control):
                     if (link := self._control_links.pop(control, None)) is not None:
                         link.close()
@@ -133,12 +133,12 @@
                     if (link := self._control_links.get(control)) is not None:
                         link.send(frame)
                 case list_client.Changed(shard, rows, first):
-                    self._shelf.listed(self._rows(rows))
+                    self._courier.listed(self._read_rows(rows))
                     if first:
                         if self.hosting.life(shard) in (Life.OPENING, Life.HOME):
-                            self.handed(self.handoff.opening(self._now_us(), shard))
-                        self.hosted(self.hosting.rows_came(self._now_us(), shard))
-                        self._waits.news(shard)
+                            self.run_handoff_actions(self.handoff.opening(self._now_us(), shard))
+                        self.run_hosting_actions(self.hosting.rows_received(self._now_us(), shard))
+                        self._waits.notify(shard)
                 case list_client.Note(text):
                     self._note(text)
 
@@ -146,34 +146,34 @@
         link = await self.links.dial(control, self._control[control], self._dial_s)
         if link is not None:
             self._control_links[control] = link
-        self.listed(self.list_client.dialled(self._now_us(), control, link is not None))
+        self.run_list_actions(self.list_client.dialled(self._now_us(), control, link is not None))
         self._arm()
 
-    def handed(self, acts: Iterable[handoff.HandAct]) -> None:
-        """Of `Handoff`."""
+    def run_handoff_actions(self, acts: Iterable[handoff.HandoffAction]) -> None:
+        """Carries out actions of `Handoff`."""
         for act in acts:
             match act:
                 case handoff.SendTo(courier, frame):
                     self.links.send(courier, frame)
                 case handoff.Adopt(_, healths, waits):
-                    self._shelf.adopt(healths, waits)
-                case handoff.Taught(shard):
-                    self.hosted(self.hosting.taught(self._now_us(), shard))
+                    self._courier.adopt(healths, waits)
+                case handoff.HandedOver(shard):
+                    self.run_hosting_actions(self.hosting.learned_received(self._now_us(), shard))
 
-    # --- what comes ---
+    # --- frames received ---
 
     def heard(self, link: StreamLink, frame: Frame) -> None:
-        """From another courier or a control machine."""
+        """Handles a frame from another courier or a control machine."""
         now_us = self._now_us()
         match frame:
             case ShardRows() | Current() | Behind() if self._control_links.get(link.peer) is link:
-                self.listed(self.list_client.heard(now_us, link.peer, frame))
-            case Learned() | LearnedHeard() | KeysOver() if link.peer not in self._control:
+                self.run_list_actions(self.list_client.heard(now_us, link.peer, frame))
+            case LearnedState() | LearnedStateAck() | KeysReleased() if link.peer not in self._control:
                 here = self.hosting.life(frame.shard) in (Life.OPENING, Life.HOME)
                 if acts := self.handoff.heard(now_us, link.peer, frame, here):
-                    if here and isinstance(frame, Learned) and frame.handover:
+                    if here and isinstance(frame, LearnedState) and frame.handover:
                         self._router.handed_over(now_us, frame.shard, link.peer)
-                    self.handed(acts)
+                    self.run_handoff_actions(acts)
             case _:
                 self.counts["unexpected_frames"] += 1
         self._arm()
@@ -182,7 +182,7 @@
         """A link has ended."""
         if self._control_links.get(link.peer) is link:
             del self._control_links[link.peer]
-            self.listed(self.list_client.lost(self._now_us(), link.peer))
+            self.run_list_actions(self.list_client.lost(self._now_us(), link.peer))
             self._arm()
         else:
             self.handoff.lost(link.peer)
@@ -190,14 +190,15 @@
     # --- the clock ---
 
     def next_us(self) -> int:
-        """When `tick` is wanted."""
-        return min(self.list_client.next_us(), self.hosting.next_us(), self.handoff.next_us(), self.teaching.next_us)
+        """When `tick` is due."""
+        return min(self.list_client.next_us(), self.hosting.next_us(), self.handoff.next_us(),
+                   self.state_sender.next_us)
 
     def tick(self, now_us: int) -> None:
-        """What is due."""
-        self.listed(self.list_client.tick(now_us))
-        self.hosted(self.hosting.tick(now_us))
-        self.handed(self.handoff.tick(now_us))
-        if now_us >= self.teaching.next_us:
-            self.handed(self.teaching.tick(now_us, self.hosting.of(Life.HOME)))
+        """Does what is due."""
+        self.run_list_actions(self.list_client.tick(now_us))
+        self.run_hosting_actions(self.hosting.tick(now_us))
+        self.run_handoff_actions(self.handoff.tick(now_us))
+        if now_us >= self.state_sender.next_us:
+            self.run_handoff_actions(self.state_sender.tick(now_us, self.hosting.of(Life.HOME)))
             self.owed()
--- a/wheelstep/shards/points.py
+++ b/wheelstep/shards/points.py
@@ -1,4 +1,4 @@
-"""The points of couriers on a ring of 64 bits. No I/O; imports xxhash."""
+"""Couriers' points and shards' positions on a 64-bit hash ring. No I/O; imports xxhash."""
 
 from __future__ import annotations
 
@@ -9,106 +9,109 @@
 import xxhash
 
 MASK = (1 << 64) - 1
-FEW = 1_024  # so many changed points are put in or taken out one by one; more of them in one pass over all
+MAX_SINGLE_CHANGES = 1_024  # up to this many changed points are inserted or removed singly; more are merged in one pass
 
 
-def place_of(text: str) -> int:
-    """Where something of this name lies on the ring."""
+def position_of(text: str) -> int:
+    """The position on the ring of an item with this name."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-class ShardPlaces:
-    """Where shards 0 to `shards` - 1 lie."""
+class ShardPositions:
+    """The positions of shards 0 to `shards` - 1."""
 
     def __init__(self, shards: int) -> None:
-        self.of = array("Q", [place_of(f"shard {shard}") for shard in range(shards)])
-        self._shards = array("I", sorted(range(shards), key=lambda shard: (self.of[shard], shard)))
-        self._places = array("Q", [self.of[shard] for shard in self._shards])
-
-    def before(self, place: int, far: int) -> Iterator[tuple[int, int]]:
-        """Shards from which it is not further than that clockwise to the place, the nearest first, and how far."""
-        index = bisect_right(self._places, place) - 1
-        for step in range(len(self._places)):
-            distance = (place - self._places[index - step]) & MASK
-            if distance > far:
+        self.positions = array("Q", [position_of(f"shard {shard}") for shard in range(shards)])
+        self._shards = array("I", sorted(range(shards), key=lambda shard: (self.positions[shard], shard)))
+        self._positions = array("Q", [self.positions[shard] for shard in self._shards])
+
+    def preceding(self, position: int, max_distance: int) -> Iterator[tuple[int, int]]:
+        """Yields the shards whose clockwise distance to the position is at most `max_distance`, the nearest first, with
+        that distance."""
+        index = bisect_right(self._positions, position) - 1
+        for step in range(len(self._positions)):
+            distance = (position - self._positions[index - step]) & MASK
+            if distance > max_distance:
                 return
             yield self._shards[index - step], distance
 
 
 class Points:
-    """Points by place, those at one place by their courier's name. Distances are clockwise, from 0 to `MASK`."""
+    """Points ordered by position, then by their courier's name. Distances are clockwise, from 0 to `MASK`."""
 
     def __init__(self) -> None:
-        self.places = array("Q")
-        self.names: list[str] = []  # whose point it is, in the order of `places`
-        self.of: dict[str, array[int]] = {}  # each courier's places, ascending
+        self.positions = array("Q")
+        self.names: list[str] = []  # the courier of each point, in the order of `positions`
+        self.by_courier: dict[str, array[int]] = {}  # each courier's positions, ascending
 
     def change(self, counts: Mapping[str, tuple[int, int]]) -> dict[str, list[int]]:
-        """Couriers and how many points each has now and is to have; the places that are new. Point `k` of a courier
-        is always the same, and the last ones go first."""
-        come = {name: [place_of(f"{name}#{k}") for k in range(before, after)]
-                for name, (before, after) in counts.items() if after > before}
-        go = {name: [place_of(f"{name}#{k}") for k in range(after, before)]
-              for name, (before, after) in counts.items() if after < before}
-        for name, places in go.items():
-            left = self.of[name]
-            for place in places:
-                left.remove(place)
-            if not left:
-                del self.of[name]
-        for name, places in come.items():
-            self.of[name] = array("Q", sorted([*self.of.get(name, ()), *places]))
-        if sum(map(len, come.values())) + sum(map(len, go.values())) > FEW:
-            self._all_anew()
-            return come
-        for name, places in go.items():
-            for place in places:
-                at = self.index(place, name)
-                del self.places[at], self.names[at]
-        for name, places in come.items():
-            for place in places:
-                at = self._bisect(place, name)
-                self.places.insert(at, place)
+        """Takes each courier's number of points before and after, and returns the positions that are new. Point `k` of
+        a courier always has the same position; the highest `k` are removed first."""
+        added = {name: [position_of(f"{name}#{k}") for k in range(before, after)]
+                 for name, (before, after) in counts.items() if after > before}
+        removed = {name: [position_of(f"{name}#{k}") for k in range(after, before)]
+                   for name, (before, after) in counts.items() if after < before}
+        for name, positions in removed.items():
+            remaining = self.by_courier[name]
+            for position in positions:
+                remaining.remove(position)
+            if not remaining:
+                del self.by_courier[name]
+        for name, positions in added.items():
+            self.by_courier[name] = array("Q", sorted([*self.by_courier.get(name, ()), *positions]))
+        if sum(map(len, added.values())) + sum(map(len, removed.values())) > MAX_SINGLE_CHANGES:
+            self._rebuild()
+            return added
+        for name, positions in removed.items():
+            for position in positions:
+                at = self.index(position, name)
+                del self.positions[at], self.names[at]
+        for name, positions in added.items():
+            for position in positions:
+                at = self._bisect(position, name)
+                self.positions.insert(at, position)
                 self.names.insert(at, name)
-        return come
-
-    def _all_anew(self) -> None:
-        names = [name for name in sorted(self.of) for _ in self.of[name]]
-        places = [place for name in sorted(self.of) for place in self.of[name]]
-        order = sorted(range(len(places)), key=places.__getitem__)  # stable: at one place by name
-        self.places = array("Q", [places[at] for at in order])
+        return added
+
+    def _rebuild(self) -> None:
+        """Rebuilds the arrays from the points by courier."""
+        names = [name for name in sorted(self.by_courier) for _ in self.by_courier[name]]
+        positions = [position for name in sorted(self.by_courier) for position in self.by_courier[name]]
+        order = sorted(range(len(positions)), key=positions.__getitem__)  # stable: names order points at one position
+        self.positions = array("Q", [positions[at] for at in order])
         self.names = [names[at] for at in order]
 
-    def _bisect(self, place: int, name: str) -> int:
-        at = bisect_left(self.places, place)
-        while at < len(self.places) and self.places[at] == place and self.names[at] < name:
+    def _bisect(self, position: int, name: str) -> int:
+        """The index of this point, or where it belongs."""
+        at = bisect_left(self.positions, position)
+        while at < len(self.positions) and self.positions[at] == position and self.names[at] < name:
             at += 1
         return at
 
-    def index(self, place: int, name: str) -> int:
-        """Of the first point from there on, this courier's or a later name's if there are several at the place; there
-        has to be any."""
-        at = self._bisect(place, name)
-        return at if at < len(self.places) else 0
-
-    def nearest(self, place: int, name: str) -> int:
-        """Where the courier's nearest point clockwise lies; it has to have any."""
-        mine = self.of[name]
-        at = bisect_left(mine, place)
-        return mine[at] if at < len(mine) else mine[0]
-
-    def gap(self, place: int, name: str) -> int:
-        """From the courier's point before this one of its points, 1 to `MASK` + 1."""
-        mine = self.of[name]
-        return ((place - mine[bisect_left(mine, place) - 1] - 1) & MASK) + 1
-
-    def walk(self, place: int) -> Iterator[str]:
-        """Each courier once, by its nearest point. Ends when points change meanwhile."""
-        names, count = self.names, len(self.of)
+    def index(self, position: int, name: str) -> int:
+        """The index of the first point at or after the position, not counting points there of couriers with smaller
+        names. There must be at least one point."""
+        at = self._bisect(position, name)
+        return at if at < len(self.positions) else 0
+
+    def nearest(self, position: int, name: str) -> int:
+        """The position of the courier's nearest point clockwise. The courier must have one."""
+        own_positions = self.by_courier[name]
+        at = bisect_left(own_positions, position)
+        return own_positions[at] if at < len(own_positions) else own_positions[0]
+
+    def gap(self, position: int, name: str) -> int:
+        """The distance to this point of the courier from its previous one, 1 to `MASK` + 1."""
+        own_positions = self.by_courier[name]
+        return ((position - own_positions[bisect_left(own_positions, position) - 1] - 1) & MASK) + 1
+
+    def walk(self, position: int) -> Iterator[str]:
+        """Yields each courier once, by its nearest point. Ends early when points change meanwhile."""
+        names, count = self.names, len(self.by_courier)
         seen: set[str] = set()
-        start = bisect_left(self.places, place)
+        start = bisect_left(self.positions, position)
         for step in range(len(names)):
-            if len(seen) == count or names is not self.names or len(names) != len(self.places):
+            if len(seen) == count or names is not self.names or len(names) != len(self.positions):
                 return
             name = names[(start + step) % len(names)]
             if name not in seen:
--- a/wheelstep/shards/shares.py
+++ b/wheelstep/shards/shares.py
@@ -1,47 +1,51 @@
-"""What a courier's weight gives it on the ring: points, and a cap on the shards that it is home of. No I/O."""
+"""What a courier's weight entitles it to on the ring: a number of points, and a cap on its shards. No I/O."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable, Mapping
 
-from wheelstep.shards.points import MASK, place_of
+from wheelstep.shards.points import MASK, position_of
 
-LEAST_WEIGHT, MOST_WEIGHT = 1e-6, 64.0  # couriers that are lighter or heavier count as these
+MIN_WEIGHT, MAX_WEIGHT = 1e-6, 64.0  # weights outside are clamped to these
 
 
-def counted(weight: float) -> float:
-    """A weight as it counts on the ring; 0: not at all."""
-    return min(max(weight, LEAST_WEIGHT), MOST_WEIGHT) if 0 < weight < math.inf else 0.0
+def clamped_weight(weight: float) -> float:
+    """The weight as clamped for the ring; 0 excludes the courier."""
+    return min(max(weight, MIN_WEIGHT), MAX_WEIGHT) if 0 < weight < math.inf else 0.0
 
 
-def points_of(points: int, weight: float) -> int:
-    """How many points a courier has, at so many for weight 1; any has one at least."""
+def point_count(points: int, weight: float) -> int:
+    """How many points a courier of this weight has, given the number at weight 1; at least one unless the weight is 0.
+    """
     return max(1, round(points * weight)) if weight > 0 else 0
 
 
-def counts_of(points: int, weights: Iterable[tuple[str, float, float]]) -> dict[str, tuple[int, int]]:
-    """From couriers with their weight before and now, those with another number of points: before, and now."""
-    counts = {name: (points_of(points, before), points_of(points, now)) for name, before, now in weights}
+def changed_point_counts(points: int, weights: Iterable[tuple[str, float, float]]) -> dict[str, tuple[int, int]]:
+    """Takes each courier's weight before and after, and returns the number of points before and after of those for
+    which it changes."""
+    counts = {name: (point_count(points, before), point_count(points, now)) for name, before, now in weights}
     return {name: count for name, count in counts.items() if count[0] != count[1]}
 
 
 class Caps:
-    """`load` times a courier's exact share, rounded up or down by the courier's own name, and never under its
-    share rounded up: at most that bound rounded up, and all couriers together have room for all shards.
+    """Limits on shards per courier: `load` times the exact share, rounded up or down by a hash of the courier's name,
+    and never below the share rounded up. So no courier exceeds that bound rounded up, and all couriers together have
+    room for all shards.
 
-    Were it rounded up for all, or the total weight rounded to a grid, then the caps of couriers of one weight would
-    all rise at the same total: one death in some ten would move a shard at every full courier. So a death
-    moves that of a few."""
+    The rounding differs by courier because otherwise (rounding up for all, or rounding the total weight to a grid) the
+    caps of all couriers of one weight rise at the same total: about one death in ten then moved a shard at every full
+    courier. With this rule a death moves shards of few couriers.
+    """
 
     def __init__(self, shards: int, load: float) -> None:
         self._shards, self._load = shards, load
-        self._part: dict[str, float] = {}  # of each courier, 0 to 1: its cap is rounded up from 1 less this on
+        self._rounding: dict[str, float] = {}  # per courier, 0 to 1: its cap is rounded up from 1 minus this on
 
     def of(self, weights: Mapping[str, float]) -> dict[str, int]:
-        """By the weights alone, all of which count."""
-        self._part = {name: self._part.get(name) or place_of(f"cap {name}") / (MASK + 1) for name in weights}
-        part_of_one = self._shards / math.fsum(weights.values()) if weights else 0.0
-        return {name: max(math.ceil(part_of_one * weight),
-                          math.floor(self._load * part_of_one * weight + self._part[name]))
+        """The caps, as a function of the weights alone; all of these couriers count."""
+        self._rounding = {name: self._rounding.get(name) or position_of(f"cap {name}") / (MASK + 1) for name in weights}
+        shards_per_weight = self._shards / math.fsum(weights.values()) if weights else 0.0
+        return {name: max(math.ceil(shards_per_weight * weight),
+                          math.floor(self._load * shards_per_weight * weight + self._rounding[name]))
                 for name, weight in weights.items()}
--- a/wheelstep/shards/stream_link.py
+++ b/wheelstep/shards/stream_link.py
@@ -1,13 +1,13 @@
 """One sealed stream between two couriers, over a pipe.
 
-On the wire, each way: packets with a length before them (4 bytes, network order). The first is the sender's nonce, in
-clear; each later one is sealed by `fleet.packets.Seal` under a lane that both nonces name, and holds a `Batch` (or an
-`Elder`). The dialler's first batch is empty, so that who accepts knows at once who is there.
-
-What protects against replay: a packet recorded on another link, in either direction and of any life of either side, has
-another lane, as each side's nonce is new; one that was on this link already has a counter that the link's own window
-knows. So links don't share a window, and none can fall out of it by what goes over others. Who sits on the path may
-still leave packets out, as it may cut the link.
+Wire format, in each direction: packets prefixed with their length (4 bytes, network order). The first packet is the
+sender's nonce in clear; each later one is sealed by `fleet.packets.Seal` under a lane derived from both nonces, and
+holds a `Batch` (or an `Elder`). The dialler's first batch is empty, so that the accepting side knows the peer at once.
+
+Protection against replay: a packet recorded on another link, in either direction and at any boot of either side, has
+another lane, as each side's nonce is new; one recorded on this link has a counter that the link's own window knows.
+Links share no window, so traffic on one cannot push packets out of another's window. An attacker on the path can still
+drop packets, as it can cut the link.
 """
 
 from __future__ import annotations
@@ -25,77 +25,78 @@
 from wheelstep.shards.types import Batch, Frame
 
 NONCE_BYTES = 16
-FIRST_BYTES = 1_024  # of a packet from whom nothing good has come yet
-BEHIND_BYTES = 4 << 20  # that may wait to be written
+FIRST_BYTES = 1_024  # size limit of a packet from a peer without a valid packet so far
+BEHIND_BYTES = 4 << 20  # limit of bytes that wait to be written
 BATCH_BYTES = STREAM_BYTES - 1_024  # the rest is for the seal and names
-_ELDER_S = 0.2  # for an `Elder` to be read before the link ends
+_ELDER_GRACE_S = 0.2  # delay before the link ends, so that the peer can read the `Elder`
 _LENGTH = struct.Struct(">I")
 _PAYLOAD: Decoder[Batch | Elder] = msgspec.msgpack.Decoder(Batch | Elder)
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class _Sent(msgspec.Struct, frozen=True, array_like=True, tag=80):
-    """A `Batch` whose frames are encoded already."""
+    """A `Batch` whose frames are already encoded."""
 
     frames: tuple[msgspec.Raw, ...]
 
 
 class Owner(Protocol):
-    """Who has the link, and what is the same for all links."""
+    """The owner of the link, with the state shared by all links."""
 
     def seal(self, lane: str) -> Seal:
-        """For one link."""
+        """The seal for one link."""
 
     def current(self, sender: str, boot: int) -> int:
-        """The highest boot number known of a sender, this one included."""
+        """The highest known boot number of a sender, including this one."""
 
     def elder(self, elder: Elder) -> None:
-        """A peer knows a later life of ours."""
+        """A peer knows a higher boot number of this node."""
 
-    def known(self, link: StreamLink) -> None:
-        """Who dialled it is known now."""
+    def authenticated(self, link: StreamLink) -> None:
+        """The link's peer is authenticated."""
 
     def heard(self, link: StreamLink, frame: Frame) -> None:
-        """A frame."""
+        """A frame has arrived."""
 
     def refuse(self, link: StreamLink, reason: str, expected: str, who: str = "") -> None:
-        """The link ends, or a frame was not sent, for this."""
+        """The link ends, or a frame was not sent, for this reason."""
 
     def ended(self, link: StreamLink) -> None:
-        """Told once."""
+        """The link has ended; called once."""
 
 
 class StreamLink:
-    """Frames to and from one peer, in order; frames of one turn of the loop go out under one seal. `peer` is "" until
-    one that was accepted has said who it is. More than 4 MB that wait to be written end it."""
+    """Frames to and from one peer, in order; the frames of one event loop turn are sent under one seal. `peer` is ""
+    until the peer of an accepted link is authenticated. The link ends when more than 4 MB wait to be written."""
 
     def __init__(self, owner: Owner, peer: str, nonce: bytes) -> None:
         self.peer, self.dialled = peer, peer != ""
-        self.shown = False  # does its user know of it, and is to hear of its end?
+        self.reported = False  # whether its user knows of it and must be told of its end
         self.greeted: asyncio.Future[bool] | None = None  # what `dial` waits for
         self._owner, self._nonce = owner, nonce
         self._pipe: Pipe | None = None
         self._seal: Seal | None = None
-        self._trusted = False  # something good has come
+        self._authenticated = False  # a valid packet has arrived
         self._ended = self._gone = False
         self._buffer = bytearray()
-        self._out: list[msgspec.Raw] = []  # of this turn of the loop
+        self._out: list[msgspec.Raw] = []  # frames of this turn of the event loop
         self._out_size = 0
 
     # --- for its user ---
 
     @property
     def open(self) -> bool:
-        """Can anything be sent?"""
+        """Tells whether frames can be sent."""
         return not self._ended and self._seal is not None and self.peer != ""
 
     @property
     def behind(self) -> int:
-        """Bytes that wait to be written."""
+        """The number of bytes that wait to be written."""
         return self._out_size + (self._pipe.behind if self._pipe is not None else 0)
 
     def send(self, frame: Frame) -> bool:
-        """With what else is sent in this turn of the loop. False if it can't be: nothing of it was sent."""
+        """Sends the frame together with the others of this event loop turn. False if that is impossible, and nothing
+        was sent."""
         if not self.open:
             return False
         if self.behind > BEHIND_BYTES:
@@ -115,7 +116,7 @@
         return True
 
     def close(self) -> None:
-        """At once: what waits is dropped. Its end is told like any other."""
+        """Ends the link at once and drops what waits. The end is reported like any other."""
         self._ended = True
         self._out, self._out_size = [], 0
         self._buffer.clear()
@@ -126,7 +127,7 @@
     # --- for the pipe ---
 
     def attach(self, pipe: Pipe) -> None:
-        """The pipe is there: say our nonce."""
+        """The pipe is open: sends this side's nonce."""
         self._pipe = pipe
         if self._ended:
             pipe.close()
@@ -134,7 +135,7 @@
             pipe.write(_LENGTH.pack(NONCE_BYTES) + self._nonce)
 
     def received(self, data: bytes) -> None:
-        """Bytes from the pipe."""
+        """Handles bytes from the pipe."""
         if self._ended:
             return
         self._buffer += data
@@ -143,7 +144,7 @@
             size, = _LENGTH.unpack_from(self._buffer, at)
             if self._seal is None and size != NONCE_BYTES:
                 self._refuse("hello", f"{NONCE_BYTES} bytes first")
-            elif size > (STREAM_BYTES if self._trusted or self.dialled else FIRST_BYTES):
+            elif size > (STREAM_BYTES if self._authenticated or self.dialled else FIRST_BYTES):
                 self._refuse("length", f"{STREAM_BYTES} bytes at most, {FIRST_BYTES} of the first packet")
             elif len(self._buffer) - at - _LENGTH.size < size:
                 break
@@ -159,12 +160,12 @@
             self._greet(False)
             self._owner.ended(self)
 
-    def silent(self) -> None:
-        """Its time to say something good is up."""
-        if not self._trusted:
+    def time_out_first_packet(self) -> None:
+        """The time limit for the first valid packet has passed."""
+        if not self._authenticated:
             self._refuse("silent", "a good packet in time")
 
-    # --- inside ---
+    # --- internal ---
 
     def _greet(self, good: bool) -> None:
         if self.greeted is not None and not self.greeted.done():
@@ -176,7 +177,7 @@
             name = base64.b64encode(hashlib.blake2b(both, digest_size=15).digest()).decode()
             self._seal = self._owner.seal(f"shards {name}")
             if self.dialled:
-                self._write_batch()  # empty
+                self._write_batch()  # an empty batch
                 self._greet(True)
             return
         try:
@@ -189,11 +190,11 @@
             return
         boot = self._owner.current(opened.sender, opened.boot)
         if boot > opened.boot:
-            self._too_old(opened.sender, boot)
+            self._refuse_old_boot(opened.sender, boot)
             return
-        if not self._trusted:
-            self._trusted, self.peer = True, opened.sender
-            self._owner.known(self)
+        if not self._authenticated:
+            self._authenticated, self.peer = True, opened.sender
+            self._owner.authenticated(self)
         if isinstance(opened.payload, Elder):
             self._owner.elder(opened.payload)
             return
@@ -202,14 +203,15 @@
                 return
             self._owner.heard(self, frame)
 
-    def _too_old(self, sender: str, boot: int) -> None:
-        """Tell a former life of the sender, or one whose disk was emptied, and end the link a little later."""
+    def _refuse_old_boot(self, sender: str, boot: int) -> None:
+        """Tells an earlier boot of the sender, or one whose disk was emptied, the higher number, and ends the link soon
+        after."""
         assert self._seal is not None and self._pipe is not None
         self._owner.refuse(self, Reason.OLD_BOOT, EXPECTED[Reason.OLD_BOOT], sender)
         self._write(self._seal.pack(sender, Elder(boot)))
         self._ended = True
         self._greet(False)
-        asyncio.get_running_loop().call_later(_ELDER_S, self._pipe.close)
+        asyncio.get_running_loop().call_later(_ELDER_GRACE_S, self._pipe.close)
 
     def _refuse(self, reason: str, expected: str, who: str = "") -> None:
         self._owner.refuse(self, reason, expected, who)
