--- a/wheelstep/shards/teaching.py
+++ b/wheelstep/shards/teaching.py
@@ -1,64 +1,65 @@
-"""When a node tells what it has learned of its shards, and of keys that it owed. No I/O."""
+"""Schedules what a node sends about learned state of its shards and about keys that it owed. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from wheelstep.shards.handoff import HandAct, Handoff
+from wheelstep.shards.handoff import Handoff, HandoffAction
 from wheelstep.shards.homes import Homes
-from wheelstep.shards.ports import Shelf
+from wheelstep.shards.ports import CourierPort
 from wheelstep.shards.types import OwedKey
 
-LOOK_US = 250_000  # whether owed keys have ended is looked at so often, and a part of the shards is pushed
+INTERVAL_US = 250_000  # interval of the check for ended keys and of pushes of a part of the shards
 
 
-class Teaching:
-    """Each home shard is pushed to its next courier once in `push_us`, some in each look."""
+class LearnedStateSender:
+    """Pushes each home shard to its next courier once in `push_us`, a part of them in each interval."""
 
-    def __init__(self, shelf: Shelf, homes: Homes, out: Handoff, push_us: int, now_us: int) -> None:
-        self._shelf, self._homes, self._handoff, self._push_us = shelf, homes, out, push_us
-        self._owed: dict[int, set[tuple[int, str, str]]] = {}  # given shards -> keys still owed here
-        self._turn: list[int] = []  # home shards that are still to be pushed in this round
-        self._share = 1
-        self.next_us = now_us + LOOK_US
+    def __init__(self, courier: CourierPort, homes: Homes, out: Handoff, push_us: int, now_us: int) -> None:
+        self._courier, self._homes, self._handoff, self._push_us = courier, homes, out, push_us
+        self._owed: dict[int, set[tuple[int, str, str]]] = {}  # shards handed over -> keys still owed here
+        self._round: list[int] = []  # home shards still to be pushed in this round
+        self._per_tick = 1
+        self.next_us = now_us + INTERVAL_US
 
-    def give(self, now_us: int, shard: int, to: str) -> list[HandAct]:
-        """This courier was home, and `to` is now."""
-        healths, waits = self._shelf.learned(shard)
-        keys = self._shelf.owed_keys(shard)
+    def hand_over(self, now_us: int, shard: int, to: str) -> list[HandoffAction]:
+        """Hands over a shard whose home was this courier and is now `to`."""
+        healths, waits = self._courier.learned(shard)
+        keys = self._courier.owed_keys(shard)
         if keys:
             self._owed[shard] = _names(keys)
-        return self._handoff.gave(now_us, shard, to, healths, waits, keys)
+        return self._handoff.hand_over(now_us, shard, to, healths, waits, keys)
 
-    def owes_more(self, now_us: int, shard: int) -> list[HandAct]:
-        """A message of an ordered key was taken here after the shard was given."""
-        keys = self._shelf.owed_keys(shard)
+    def add_owed_keys(self, now_us: int, shard: int) -> list[HandoffAction]:
+        """A message of an ordered key was taken here after the shard was handed over."""
+        keys = self._courier.owed_keys(shard)
         self._owed[shard] = _names(keys)
-        return self._handoff.owes_more(now_us, shard, keys)
+        return self._handoff.add_owed_keys(now_us, shard, keys)
 
     def dropped(self, shard: int) -> None:
-        """It is served here no more."""
+        """The shard is no longer served here."""
         self._owed.pop(shard, None)
 
-    def tick(self, now_us: int, mine: Sequence[int]) -> list[HandAct]:
-        """At `next_us`: keys that have ended, and a part of what is to be pushed."""
-        self.next_us = now_us + LOOK_US
-        acts: list[HandAct] = []
+    def tick(self, now_us: int, mine: Sequence[int]) -> list[HandoffAction]:
+        """Releases keys that have ended and pushes the next part of the home shards `mine`; to be called at `next_us`.
+        """
+        self.next_us = now_us + INTERVAL_US
+        acts: list[HandoffAction] = []
         for shard, owed in list(self._owed.items()):
-            left = _names(self._shelf.owed_keys(shard))
-            if over := owed - left:
-                acts += self._handoff.keys_over(now_us, shard, sorted(over))
+            left = _names(self._courier.owed_keys(shard))
+            if ended := owed - left:
+                acts += self._handoff.release_keys(now_us, shard, sorted(ended))
                 self._owed[shard] = owed & left
             if not self._owed[shard]:
                 del self._owed[shard]
-        if not self._turn:
-            self._turn = list(mine)
-            self._share = max(1, len(mine) * LOOK_US // self._push_us + 1)
-        for _ in range(min(self._share, len(self._turn))):
-            shard = self._turn.pop()
+        if not self._round:
+            self._round = list(mine)
+            self._per_tick = max(1, len(mine) * INTERVAL_US // self._push_us + 1)
+        for _ in range(min(self._per_tick, len(self._round))):
+            shard = self._round.pop()
             to = self._homes.next(shard)
             if to is not None:
-                healths, waits = self._shelf.learned(shard)
+                healths, waits = self._courier.learned(shard)
                 if healths or waits:
                     acts += self._handoff.push(now_us, shard, to, healths, waits, ())
         return acts
--- a/wheelstep/shards/timed.py
+++ b/wheelstep/shards/timed.py
@@ -1,4 +1,4 @@
-"""A table whose entries end at their moments, found without a look at the others. No I/O."""
+"""A table whose entries expire at given times; expired entries are found without a scan. No I/O."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 V = TypeVar("V")
 
 
-class Timed(Generic[K, V]):
-    """Values by key, each until its moment in microseconds. Its owner bounds the number of entries; the heap beside it
-    is at most twice that and 64."""
+class ExpiringTable(Generic[K, V]):
+    """Values by key, each with its expiry time in microseconds. The caller bounds the number of entries; the internal
+    heap has at most twice as many and 64."""
 
     def __init__(self) -> None:
-        self._entries: dict[K, tuple[V, int, int]] = {}  # value, its moment, its number in the heap
+        self._entries: dict[K, tuple[V, int, int]] = {}  # value, expiry time, sequence number in the heap
         self._heap: list[tuple[int, int, K]] = []
         self._numbers = itertools.count()
 
@@ -32,12 +32,12 @@
         return iter(self._entries)
 
     def get(self, key: K) -> V | None:
-        """The value, also one whose moment has come and that `ended` has not given out yet."""
+        """The value, also after its expiry until `ended` has returned it; None if there is none."""
         entry = self._entries.get(key)
         return None if entry is None else entry[0]
 
     def put(self, key: K, value: V, until_us: int) -> None:
-        """Hold it until then, in place of what was held; a key that was there keeps its place in the order."""
+        """Stores or replaces the value; a key that is already in the table keeps its place in the order."""
         number = next(self._numbers)
         self._entries[key] = value, until_us, number
         heapq.heappush(self._heap, (until_us, number, key))
@@ -46,17 +46,17 @@
             heapq.heapify(self._heap)
 
     def pop(self, key: K) -> V | None:
-        """Take it out; None if it is not there."""
+        """Removes and returns the value; None if there is none."""
         entry = self._entries.pop(key, None)
         return None if entry is None else entry[0]
 
     def pop_first(self) -> tuple[K, V]:
-        """Take out what has been here longest. Raises `StopIteration` when empty."""
+        """Removes and returns the entry inserted first. Raises `StopIteration` if the table is empty."""
         key = next(iter(self._entries))
         return key, self._entries.pop(key)[0]
 
     def next_us(self) -> int:
-        """When the next one ends; `NEVER_US` if none does."""
+        """When the next entry expires; `NEVER_US` if the table is empty."""
         while self._heap:
             until_us, number, key = self._heap[0]
             entry = self._entries.get(key)
@@ -65,10 +65,10 @@
             heapq.heappop(self._heap)
         return NEVER_US
 
-    def ended(self, now_us: int) -> list[tuple[K, V]]:
-        """Take out all whose moment has come, in the order of their moments."""
-        gone = []
+    def pop_expired(self, now_us: int) -> list[tuple[K, V]]:
+        """Removes and returns all expired entries, by expiry time."""
+        expired = []
         while self.next_us() <= now_us:
             key = heapq.heappop(self._heap)[2]
-            gone.append((key, self._entries.pop(key)[0]))
-        return gone
+            expired.append((key, self._entries.pop(key)[0]))
+        return expired
--- a/wheelstep/shards/types.py
+++ b/wheelstep/shards/types.py
@@ -1,6 +1,7 @@
-"""What couriers and control machines of a sharded fleet tell each other, beside membership. No I/O; imports msgspec.
+"""Frames that the couriers and control machines of a sharded fleet exchange, besides membership packets. No I/O;
+imports msgspec.
 
-Spans travel, moments do not; spans are whole microseconds.
+Frames carry durations, never points in time, as clocks differ between machines; durations are whole microseconds.
 """
 
 from __future__ import annotations
@@ -22,33 +23,34 @@
 # --- the list by shard ---
 
 class ListRow(msgspec.Struct, frozen=True, array_like=True):
-    """One line of discovery's list, with its own names: see `courier.config.Names.entry`."""
+    """One entry of discovery's list, with the names used here; `courier.config.Names.entry` reads the same entry."""
 
     host: str
     dial: str
     site: str
     kind: str
-    block: int  # the destination
-    health: str  # SERVING, DRAINING, or DELETED among changes
+    block: int  # the destination's number
+    health: str  # SERVING or DRAINING; DELETED for a row that a change removes
     share: float = 1.0
 
 
 class Follow(msgspec.Struct, frozen=True, array_like=True, tag=50):
-    """To a control machine: tell me of these shards from now on. `seq`: the highest version that this courier has had
-    of any control machine; each shard with the digest of the rows that it has (0: none)."""
+    """Sent to a control machine: subscribes to these shards. `seq` is the highest list version that this courier has
+    received from any control machine; each shard comes with the digest of the rows held here (0: none)."""
 
     seq: int
     shards: tuple[tuple[int, int], ...]
 
 
 class Unfollow(msgspec.Struct, frozen=True, array_like=True, tag=51):
-    """No more of these."""
+    """Sent to a control machine: ends the subscription to these shards."""
 
     shards: tuple[int, ...]
 
 
 class ShardRows(msgspec.Struct, frozen=True, array_like=True, tag=52):
-    """From a control machine: the shard's rows (`whole`), or those that changed; `digest` of all its rows then."""
+    """Sent by a control machine: all rows of the shard (`whole`) or only those that changed, and the digest of all its
+    rows after the change."""
 
     seq: int
     shard: int
@@ -58,13 +60,13 @@
 
 
 class Current(msgspec.Struct, frozen=True, array_like=True, tag=53):
-    """From a control machine: all that is followed here has been told up to this version."""
+    """Sent by a control machine: everything subscribed to on this connection has been sent up to this version."""
 
     seq: int
 
 
 class Behind(msgspec.Struct, frozen=True, array_like=True, tag=54):
-    """From a control machine: this is the newest version here, and the courier has had a newer one."""
+    """Sent by a control machine: its newest version is `seq`, older than one that the courier already has."""
 
     seq: int
 
@@ -72,7 +74,7 @@
 # --- learned state ---
 
 class EndpointHealth(msgspec.Struct, frozen=True, array_like=True):
-    """The fields of `interface.Health` in their order, and how long ago they were noted."""
+    """The fields of `interface.Health` in order, and the age of the observation."""
 
     endpoint: str
     ago_us: int
@@ -80,7 +82,8 @@
 
 
 class OwedKey(msgspec.Struct, frozen=True, array_like=True):
-    """An ordered key of which the sender still owes messages, until then at the latest."""
+    """An ordered key of which the sender still owes messages (accepted, end not yet recorded), for `left_us` at most.
+    """
 
     destination: int
     message_class: str
@@ -88,9 +91,9 @@
     left_us: int
 
 
-class Learned(msgspec.Struct, frozen=True, array_like=True, tag=60):
-    """What a home, or who held it for one, has learned of a shard. `number` rises with each of the sender's;
-    `handover`: the sender is home no more and takes nothing new for the shard."""
+class LearnedState(msgspec.Struct, frozen=True, array_like=True, tag=60):
+    """What a home, or a courier that received it from one, has learned about a shard. `number` increases with every
+    such frame of the sender; `handover`: the sender is no longer home and takes no new messages for the shard."""
 
     shard: int
     number: int
@@ -100,15 +103,15 @@
     keys: tuple[OwedKey, ...] = ()
 
 
-class LearnedHeard(msgspec.Struct, frozen=True, array_like=True, tag=61):
-    """To a `Learned`: it is kept here."""
+class LearnedStateAck(msgspec.Struct, frozen=True, array_like=True, tag=61):
+    """Acknowledges a `LearnedState`: the receiver has stored it."""
 
     shard: int
     number: int
 
 
-class KeysOver(msgspec.Struct, frozen=True, array_like=True, tag=62):
-    """The sender owes nothing of these keys any more: (destination, class, key)."""
+class KeysReleased(msgspec.Struct, frozen=True, array_like=True, tag=62):
+    """The sender no longer owes any message of these keys: (destination, class, key)."""
 
     shard: int
     keys: tuple[tuple[int, str, str], ...]
@@ -117,16 +120,16 @@
 # --- forwarding ---
 
 class Forwarded(msgspec.Struct, frozen=True, array_like=True, tag=70):
-    """A frame of `wheelstep.forwarding`, either way."""
+    """A frame of `wheelstep.forwarding`, in either direction."""
 
     head: dict[str, Any]
     body: bytes = b""
 
 
-Frame = (Follow | Unfollow | ShardRows | Current | Behind | Learned | LearnedHeard | KeysOver | Forwarded)
+Frame = (Follow | Unfollow | ShardRows | Current | Behind | LearnedState | LearnedStateAck | KeysReleased | Forwarded)
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True, tag=80):
-    """What one turn of the loop had to say to one peer, under one seal."""
+    """The frames that one turn of the event loop has for one peer, sealed together."""
 
     frames: tuple[Frame, ...]
--- a/wheelstep/shards/waits.py
+++ b/wheelstep/shards/waits.py
@@ -1,4 +1,4 @@
-"""What waits until something is new of a shard, each for a bounded time, so many in all."""
+"""Callbacks that wait for a shard to change, each with a timeout, and limited in number."""
 
 from __future__ import annotations
 
@@ -6,44 +6,44 @@
 from collections.abc import Callable
 from functools import partial
 
-MOST = 2_000
+MAX_WAITERS = 2_000
 
 
-class Waits:
-    """`then` hears True once something is new of its shard (go and look), False once its time is over or where there
-    is no room."""
+class ShardWaiters:
+    """Calls `then(True)` once the shard has changed (the caller looks it up again), or `then(False)` on timeout or when
+    `MAX_WAITERS` callbacks wait already."""
 
     def __init__(self) -> None:
-        self._ends: dict[int, dict[int, Callable[[], None]]] = {}  # shard -> number -> end it
+        self._callbacks: dict[int, dict[int, Callable[[], None]]] = {}  # shard -> number -> function that ends the wait
         self._count = self._waiting = 0
 
     def wait(self, shard: int, for_s: float, then: Callable[[bool], None]) -> None:
-        """Wait for news of the shard."""
-        if self._waiting >= MOST:
+        """Calls `then` on the shard's next change, or after `for_s` seconds."""
+        if self._waiting >= MAX_WAITERS:
             then(False)
             return
         self._count += 1
         self._waiting += 1
         number = self._count
 
-        def end(new: bool) -> None:
-            ends = self._ends.get(shard, {})
-            if ends.pop(number, None) is None:
+        def end(changed: bool) -> None:
+            callbacks = self._callbacks.get(shard, {})
+            if callbacks.pop(number, None) is None:
                 return
-            if not ends:
-                del self._ends[shard]
+            if not callbacks:
+                del self._callbacks[shard]
             self._waiting -= 1
             timer.cancel()
-            then(new)
+            then(changed)
         timer = asyncio.get_running_loop().call_later(for_s, end, False)
-        self._ends.setdefault(shard, {})[number] = partial(end, True)
+        self._callbacks.setdefault(shard, {})[number] = partial(end, True)
 
-    def news(self, shard: int) -> None:
-        """It has opened, has got its rows, or is served here no more."""
-        for end in list(self._ends.get(shard, {}).values()):
+    def notify(self, shard: int) -> None:
+        """The shard has opened, received its rows, or is no longer served here."""
+        for end in list(self._callbacks.get(shard, {}).values()):
             end()
 
     def close(self) -> None:
-        """Nothing more comes."""
-        for shard in list(self._ends):
-            self.news(shard)
+        """Ends all waits."""
+        for shard in list(self._callbacks):
+            self.notify(shard)
--- a/wheelstep/shards/ways.py
+++ b/wheelstep/shards/ways.py
@@ -1,4 +1,4 @@
-"""What the router is told of a message and what it answers. No I/O."""
+"""The router's input (a message, and what this courier knows of its shard) and its decisions. No I/O."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
-    """A message that a client hands in. `key` in ordered classes only; `until_us`: its deadline by this clock."""
+class Request:
+    """A message that a client hands in. `key` is set in ordered classes only; `until_us` is its deadline on this
+    courier's clock."""
 
     id: str
     destination: int
@@ -21,9 +22,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class View:
     """What this courier knows of the message's shard and key. `rests_us`: how long a former home may still owe the key;
-    `has_rows`: a guest shard's rows are there."""
+    `has_rows`: the rows of a shard served as guest have arrived."""
 
     life: Life | None
     home: str | None
@@ -34,54 +35,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Here:
-    """Take it at this courier, now."""
+class Take:
+    """Take the message at this courier, now."""
 
     guest: bool
 
 
 @dataclass(frozen=True, slots=True)
-class WaitOpen:
-    """Home, and not open yet: wait, then ask `way` again."""
+class Wait:
+    """This courier is home, but the shard is still opening: wait, then call `decide` again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Ask that courier, then tell `answered`, whatever becomes of it."""
+    """Pass the message on to that courier and report the result to `answered` in every case."""
 
     courier: str
 
 
 @dataclass(frozen=True, slots=True)
-class AsGuest:
-    """Become guest of its shard; once the rows are there, ask `way` again."""
+class BeGuest:
+    """Become guest of the message's shard and call `decide` again once its rows have arrived."""
 
 
 @dataclass(frozen=True, slots=True)
-class ComeAgain:
-    """503: nothing of it was taken anywhere."""
+class Retry:
+    """Answer 503: no courier has taken the message."""
 
     after_us: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """End the client's connection: it may have been taken, and it may not."""
+    """Close the client's connection without an answer: whether the message was taken is unknown."""
 
-    why: str
+    reason: str
 
 
-Way = Here | WaitOpen | Ask | AsGuest | ComeAgain | NoAnswer
+Decision = Take | Wait | Ask | BeGuest | Retry | NoAnswer
 
 
 class Answer(Enum):
-    """What became of an ask."""
+    """The result of asking a courier to take a message."""
 
     TAKEN = "taken"
     KNOWN = "known"
     FULL = "full"
     BAD = "bad"
-    AWAY = "away"  # not home there; holds nothing of it, and owes nothing of its ordered key
+    AWAY = "away"  # not home there; neither holds the message nor owes any of its ordered key
     NOT_ASKED = "not asked"  # nothing was sent
-    SILENT = "silent"  # sent, and no answer in time
+    SILENT = "silent"  # sent, but not answered in time
