--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -22,13 +22,13 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from spread import Play  # noqa: E402
+from spread import SpreadRun  # noqa: E402
 from spread_scenes import SCENES, Scene  # noqa: E402
 
-from wheelstep.policy import choice  # noqa: E402
+from wheelstep.policy import dispatch  # noqa: E402
+from wheelstep.policy.balancing import next_in_turn, relative_times  # noqa: E402
 from wheelstep.policy.endpoint import Endpoint  # noqa: E402
 from wheelstep.policy.messages import Destination  # noqa: E402
-from wheelstep.policy.spread import next_in_turn, relative_times  # noqa: E402
 
 Way = Callable[[Destination, list[Endpoint], int, random.Random], Endpoint]
 OWN, NEAR = "module", 6
@@ -98,7 +98,7 @@
 def in_turn_blind(destination: Destination, fits: list[Endpoint], now_us: int, rng: random.Random) -> Endpoint:
     """Turns that know no times."""
     for endpoint in fits:
-        endpoint.answers.value = endpoint.taken.value = 0.0
+        endpoint.recent_answers.value = endpoint.recent_time_us.value = 0.0
     return next_in_turn(destination, fits, now_us, rng)
 
 
@@ -122,8 +122,8 @@
 def play(job: tuple[Scene, int, str]) -> dict[str, float]:
     """The figures of one play."""
     scene, seed, way = job
-    choice.next_in_turn = WAYS[way][1] if way in WAYS else next_in_turn  # type: ignore[attr-defined]
-    return Play(scene, seed, OWN if way in WAYS else way).figures()
+    dispatch.next_in_turn = WAYS[way][1] if way in WAYS else next_in_turn  # type: ignore[attr-defined]
+    return SpreadRun(scene, seed, OWN if way in WAYS else way).figures()
 
 
 def line(name: str, figures: dict[str, float]) -> str:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -92,7 +92,8 @@
 
     def _module(self, number: int) -> Sender:
         settings = Settings(classes=(CLASS,), slots=4, hold_limit=100, senders=self.senders, tick_us=5 * MS,
-                            kinds=(api.Kind(per_call=self.per_call),), conn_idle_us=10 * S, handshake_price=0.06,
+                            kinds=(api.DestinationKind(per_call=self.per_call),),
+                            conn_idle_us=10 * S, handshake_price=0.06,
                             fall_multiple=1.5, cold_from=0.3, cold_us=12 * S, max_attempts=12,
                             limits_reported=self.reports)
         return Sender(settings, self.rng.randrange(1 << 30))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
 ORDERED = api.MessageClass(2 * S, 20 * S, api.Effect.SAFE, worth=1.0, late_worth=0.5, ordered=True)
 
 
-class Drive:
+class SenderDriver:
     """Runs a sender at a simulated time and records its actions. `listed`: it starts with a list of `endpoints`
     endpoints of destination 7."""
 
@@ -63,11 +63,11 @@
     return api.EndpointInfo(endpoint, destination, **fields)
 
 
-def sends(actions: list[api.Action]) -> list[str]:
+def sent_messages(actions: list[api.Action]) -> list[str]:
     """Return the messages that these actions send, in order."""
     return [action.message for action in actions if isinstance(action, api.StartAttempt)]
 
 
-def finals(actions: list[api.Action]) -> list[tuple[str, str]]:
+def final_answers(actions: list[api.Action]) -> list[tuple[str, str]]:
     """Return the final answers among these actions, as (`Refuse` or `Fail`, message)."""
     return [(type(a).__name__, a.message) for a in actions if isinstance(a, api.Refuse | api.Fail)]
--- a/tests/spread.py
+++ b/tests/spread.py
@@ -24,7 +24,7 @@
 CLASS = api.MessageClass(2_500 * MS, 12 * S, api.Effect.KEYED, 1.0, 0.5, 10 * S)
 
 
-class Play:
+class SpreadRun:
     """Runs one scene at one seed with one way to choose endpoints."""
 
     def __init__(self, scene: Scene, seed: int, way: str = "module") -> None:
@@ -229,5 +229,5 @@
 
 def mean(scene: Scene, seeds: Iterable[int], way: str = "module") -> dict[str, float]:
     """Return the mean figures of the runs with these seeds."""
-    plays = [Play(scene, seed, way).figures() for seed in seeds]
+    plays = [SpreadRun(scene, seed, way).figures() for seed in seeds]
     return {name: sum(play[name] for play in plays) / len(plays) for name in plays[0]}
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -9,47 +9,47 @@
 from typing import Any
 
 import pytest
-from helpers import MS, SAFE, Drive, S, info
+from helpers import MS, SAFE, S, SenderDriver, info
 from loopback import Scene, free_address, host, run
 
 from wheelstep import interface as api
 from wheelstep.account.lines import LineError, read, write
 from wheelstep.account.tally import Account, Book
 from wheelstep.cli.__main__ import main
-from wheelstep.interface import EndpointState, Holdup, Outcome
+from wheelstep.interface import EndpointState, Outcome, WaitReason
 
 HEAD = {"once": [1.0, 2000, 10_000, 0.5, False], "ordered": [2.0, 2000, 10_000, 0.0, False]}
 
 
-def held(drive: Drive) -> list[Holdup]:
-    return [why for _, why, _ in drive.sender.holdups(drive.now)]
+def held(drive: SenderDriver) -> list[WaitReason]:
+    return [why for _, why, _ in drive.sender.wait_reasons(drive.now)]
 
 
 def test_the_policy_module_reports_what_holds_messages_up() -> None:
-    drive = Drive(slots=8)
-    assert drive.sender.holdups(0) == []
+    drive = SenderDriver(slots=8)
+    assert drive.sender.wait_reasons(0) == []
     drive.members(info("e0", state=EndpointState.DRAINING))
     drive.submit("a")
-    assert drive.sender.holdups(drive.now) == [(7, Holdup.GONE, 1)]
+    assert drive.sender.wait_reasons(drive.now) == [(7, WaitReason.GONE, 1)]
     drive.members(info("e0"))
-    assert held(drive) == [Holdup.RETURNING]
+    assert held(drive) == [WaitReason.RETURNING]
 
 
 def test_a_full_window_is_told_from_no_slots() -> None:
-    drive, other = Drive(slots=8), Drive(slots=1)
+    drive, other = SenderDriver(slots=8), SenderDriver(slots=1)
     for name in "abcd":
         drive.submit(name)
         other.submit(name)
-    assert (held(drive), held(other)) == ([Holdup.WINDOW], [Holdup.SLOTS])
-    assert drive.sender.holdups(drive.now) == [(7, Holdup.WINDOW, 2)]
+    assert (held(drive), held(other)) == ([WaitReason.WINDOW], [WaitReason.SLOTS])
+    assert drive.sender.wait_reasons(drive.now) == [(7, WaitReason.WINDOW, 2)]
 
 
 @pytest.mark.parametrize("outcome,limit,why", [
-    (Outcome.FULL, api.LimitReport(0.0, 10.0), Holdup.LIMIT), (Outcome.FULL, None, Holdup.CROWDED),
-    (Outcome.CONNECT_FAILED, None, Holdup.SICK)])
+    (Outcome.FULL, api.LimitReport(0.0, 10.0), WaitReason.LIMIT), (Outcome.FULL, None, WaitReason.CROWDED),
+    (Outcome.CONNECT_FAILED, None, WaitReason.SICK)])
 def test_a_limit_a_full_table_and_an_outage_are_told_apart(
-        outcome: Outcome, limit: api.LimitReport | None, why: Holdup) -> None:
-    drive = Drive(slots=8, senders=40, limits_reported=True)
+        outcome: Outcome, limit: api.LimitReport | None, why: WaitReason) -> None:
+    drive = SenderDriver(slots=8, senders=40, limits_reported=True)
     drive.submit("a")
     drive.end("a", Outcome.OK, limit=api.LimitReport(0.9, 40_000.0))
     drive.tick(drive.now + 30 * S)
@@ -60,14 +60,14 @@
 
 
 def test_a_message_that_may_not_go_where_calls_fail_is_in_doubt() -> None:
-    drive = Drive(slots=8)
+    drive = SenderDriver(slots=8)
     for name in ("a", "b", "c", "d"):
         drive.submit(name)
         drive.end(name, Outcome.OK)
     drive.submit("e")
     drive.end("e", Outcome.ERROR)
     drive.submit("fee", cls=2)
-    assert held(drive) == [Holdup.DOUBT]
+    assert held(drive) == [WaitReason.DOUBT]
 
 
 class FakeLogs:
@@ -84,7 +84,7 @@
         self.takes[courier]("2026-12-01 10:00:00,000 INFO wheelstep.account " + write(at_ms, kind, *fields))
         return self
 
-    def held(self, courier: str, until_ms: int, why: Holdup, from_ms: int = 0) -> FakeLogs:
+    def held(self, courier: str, until_ms: int, why: WaitReason, from_ms: int = 0) -> FakeLogs:
         for at_ms in range(from_ms + 250, until_ms + 1, 250):
             self.line(courier, at_ms, "gauge", 0, 0, 0, 0, [[7, why.value, 1]])
         return self
@@ -94,11 +94,12 @@
 
 
 @pytest.mark.parametrize("why,cause", [
-    (Holdup.LIMIT, "limit waited for"), (Holdup.SICK, "sick destination"), (Holdup.CROWDED, "connection not to be had"),
-    (Holdup.RETURNING, "destination on its way back"), (Holdup.GONE, "no endpoint up"),
-    (Holdup.DOUBT, "no endpoint that it may go to"), (Holdup.SLOTS, "slots or window"),
-    (Holdup.WINDOW, "slots or window"), (Holdup.NOTHING, "connection not to be had")])
-def test_a_late_delivery_is_put_on_what_held_its_destination_up(why: Holdup, cause: str) -> None:
+    (WaitReason.LIMIT, "limit waited for"), (WaitReason.SICK, "sick destination"),
+    (WaitReason.CROWDED, "connection not to be had"),
+    (WaitReason.RETURNING, "destination on its way back"), (WaitReason.GONE, "no endpoint up"),
+    (WaitReason.DOUBT, "no endpoint that it may go to"), (WaitReason.SLOTS, "slots or window"),
+    (WaitReason.WINDOW, "slots or window"), (WaitReason.NOTHING, "connection not to be had")])
+def test_a_late_delivery_is_put_on_what_held_its_destination_up(why: WaitReason, cause: str) -> None:
     logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False).held("n0", 6000, why)
     logs.line("n0", 6000, "go", "m", 0, "e0").line("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, 0.5, 10.0)
     account = logs.account()
@@ -140,7 +141,7 @@
 
 
 def test_the_time_between_two_processes_is_put_on_the_courier_that_was_down() -> None:
-    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False).held("n0", 1000, Holdup.LIMIT)
+    logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False).held("n0", 1000, WaitReason.LIMIT)
     logs.line("n0", 5000, "head", "n0", HEAD).line("n0", 5100, "back", "m", "once", 7, None, 4900, False)
     logs.line("n0", 6000, "go", "m", 0, "e0").line("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, 0.5, 10.0)
     causes = logs.account().causes
@@ -150,7 +151,7 @@
 
 def test_a_message_behind_another_of_its_key_waits_in_order() -> None:
     logs = FakeLogs().line("n0", 0, "take", "first", "ordered", 7, "k", 10_000, False)
-    logs.line("n0", 0, "take", "then", "ordered", 7, "k", 10_000, False).held("n0", 6000, Holdup.LIMIT)
+    logs.line("n0", 0, "take", "then", "ordered", 7, "k", 10_000, False).held("n0", 6000, WaitReason.LIMIT)
     logs.line("n0", 4000, "out", "first", 0, "e0", "ok", 0, True, None, None)
     logs.line("n0", 6000, "out", "then", 0, "e0", "ok", 0, True, None, None)
     rows = {row.message: row for row in logs.account().losses}
@@ -165,7 +166,7 @@
     logs = FakeLogs()
     for number in range(3000):
         logs.line("n0", number, "take", f"m{number}", "ordered", 7, "k", 10_000, False)
-    logs.held("n0", 6000, Holdup.SICK)
+    logs.held("n0", 6000, WaitReason.SICK)
     for number in range(3000):
         logs.line("n0", 6000 + number, "out", f"m{number}", 0, "e0", "ok", 0, True, None, None)
     account = logs.account()
@@ -198,7 +199,7 @@
 
 def test_a_gauge_of_a_later_version_spoils_nothing() -> None:
     logs = FakeLogs().line("n0", 0, "take", "m", "once", 7, None, 10_000, False)
-    logs.line("n0", 250, "gauge", 0, 0, 0, 0, [[7, "a new holdup", 1]])
+    logs.line("n0", 250, "gauge", 0, 0, 0, 0, [[7, "a new wait reason", 1]])
     logs.line("n0", 6000, "out", "m", 0, "e0", "ok", 0, True, None, None)
     assert logs.book.damaged == 1 and logs.account().lost == pytest.approx(0.25)
 
--- a/tests/test_crossings_restart.py
+++ b/tests/test_crossings_restart.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from helpers import MS, Drive, S, finals, info, sends
+from helpers import MS, S, SenderDriver, final_answers, info, sent_messages
 from loopback import LIMIT_S, Call, Courier, Reply, Scene, run
 from restart import Client, PlatformWithEndpoints, fill, play, settings
 
@@ -82,7 +82,8 @@
     run(scene())
 
 
-def restored(drive: Drive, name: str, left_us: int = 20 * S, attempts: int = 0, cls: int = 0) -> list[api.Action]:
+def restored(drive: SenderDriver, name: str, left_us: int = 20 * S, attempts: int = 0,
+             cls: int = 0) -> list[api.Action]:
     """Return the actions of the decision module when it is given a restored message."""
     return drive.at(drive.now, api.MessageRestored(
         api.MessageAccepted(name, cls, 7, left_us, resubmitted=True), attempts))
@@ -90,44 +91,44 @@
 
 def test_at_the_hold_limit_the_newest_messages_are_handed_back_and_no_restored_ones() -> None:
     """Guards against a choice by id or worth that gives restored, untried messages up."""
-    drive = Drive(listed=False, hold_limit=4)
+    drive = SenderDriver(listed=False, hold_limit=4)
     for number in range(4):
-        assert not finals(restored(drive, f"old{number}"))
+        assert not final_answers(restored(drive, f"old{number}"))
     drive.members(info("far", destination=8, state=api.EndpointState.DRAINING))
     for number in range(3):
         drive.submit(f"new{number}", destination=8)
-    assert finals(drive.actions) == [("Refuse", "new0"), ("Refuse", "new1")]
-    assert set(sends(drive.members(info("e0")))) <= {f"old{number}" for number in range(4)}
+    assert final_answers(drive.actions) == [("Refuse", "new0"), ("Refuse", "new1")]
+    assert set(sent_messages(drive.members(info("e0")))) <= {f"old{number}" for number in range(4)}
     drive.tick(19 * S)
-    ended = [name for _, name in finals(drive.actions) if name.startswith("old")]
+    ended = [name for _, name in final_answers(drive.actions) if name.startswith("old")]
     assert not ended  # their deadlines have not passed
 
 
 @pytest.mark.parametrize("outcome", [Outcome.NOT_SENT, Outcome.CONNECT_FAILED])
 def test_the_retry_limit_does_not_count_attempts_that_reached_no_endpoint(outcome: Outcome) -> None:
     """Guards against a restored message that ends untried because repeats are denied after a failed connect."""
-    drive = Drive(endpoints=1, max_attempts=100)
+    drive = SenderDriver(endpoints=1, max_attempts=100)
     restored(drive, "old")
-    drive.sender._destination(7).loop.may_retry = lambda now_us: False  # type: ignore[method-assign]
+    drive.sender._destination(7).retry_controller.may_retry = lambda now_us: False  # type: ignore[method-assign]
     drive.end("old", outcome)
     drive.tick(10 * S)
-    assert sends(drive.actions).count("old") >= 2 and not finals(drive.actions)
+    assert sent_messages(drive.actions).count("old") >= 2 and not final_answers(drive.actions)
     drive.end("old", Outcome.FULL, attempt=1)  # now it has been tried, and the limit applies
     drive.tick(15 * S)
-    assert finals(drive.actions) == [("Refuse", "old")]
+    assert final_answers(drive.actions) == [("Refuse", "old")]
 
 
 def test_a_message_that_would_be_late_is_kept_until_its_deadline() -> None:
     """Guards against a restored message that is given up early as its delivery is expected to take too long."""
-    drive = Drive(endpoints=1, slots=1)
+    drive = SenderDriver(endpoints=1, slots=1)
     drive.submit("slow")
     drive.tick(3 * S)
     drive.end("slow", Outcome.OK, spent_us=3 * S)  # calls take 3 s here
     restored(drive, "old", left_us=2 * S)
     drive.tick(drive.now + 2 * S - 100 * MS)
-    assert not finals(drive.actions)
+    assert not final_answers(drive.actions)
     drive.tick(drive.now + 200 * MS)
-    assert finals(drive.actions) == [("Refuse", "old")]
+    assert final_answers(drive.actions) == [("Refuse", "old")]
 
 
 def changed_settings(**changes: Any) -> dict[str, Any]:
--- a/tests/test_crossings_window.py
+++ b/tests/test_crossings_window.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import KEYED, MS, SAFE, UNSAFE, Drive, S, finals, sends
+from helpers import KEYED, MS, SAFE, UNSAFE, S, SenderDriver, final_answers, sent_messages
 from loopback import LIMIT_S, host, run
 from test_core import FakePolicy, configured
 from test_crossings_calls import ManualPeer, loop_turns
@@ -130,10 +130,10 @@
     return next(action for action in actions if isinstance(action, api.StartAttempt))
 
 
-def again(drive: Drive) -> api.StartAttempt:
+def again(drive: SenderDriver) -> api.StartAttempt:
     """Return the next attempt after one that may have run."""
     drive.end("a", Outcome.RESET)
-    while not sends(actions := drive.at(drive.now + 50 * MS, api.TimerFired(0))):
+    while not sent_messages(actions := drive.at(drive.now + 50 * MS, api.TimerFired(0))):
         assert drive.now < 20 * S
     return first(actions)
 
@@ -143,7 +143,7 @@
 def test_latest_start_is_bounded_by_the_deadline_and_the_key_memory(cls: int, ran: bool, latest_us: int) -> None:
     """Guards against an attempt after its message's end, or a repeat after the destination forgot the key, counted
     from the first attempt that may have run."""
-    drive = Drive(tick_us=5 * MS)
+    drive = SenderDriver(tick_us=5 * MS)
     started = first(drive.submit("a", cls))
     if ran:
         started = again(drive)
@@ -152,12 +152,12 @@
 
 def test_repeat_after_a_restart_or_class_change_keeps_its_remaining_key_memory() -> None:
     """Guards against a key's memory that is counted anew after a restart, or by a class that changed since."""
-    drive = Drive(tick_us=5 * MS)
+    drive = SenderDriver(tick_us=5 * MS)
     drive.at(0, api.ClassesChanged((SAFE, replace(KEYED, key_ttl_us=2 * S), UNSAFE)))
     drive.submit("a", 1)
     drive.at(0, api.ClassesChanged((SAFE, UNSAFE, UNSAFE)))
     assert again(drive).latest_us == 2 * S - drive.now - 10 * MS
-    drive = Drive(tick_us=5 * MS)
+    drive = SenderDriver(tick_us=5 * MS)
     accepted = api.MessageAccepted("new", 1, 7, 20 * S)
     started = first(drive.at(0, api.MessageRestored(accepted, 1, ran_ago_us=4900 * MS)))
     assert started.latest_us == 90 * MS
@@ -166,12 +166,12 @@
 @pytest.mark.parametrize("ran_ago_us", [4900 * MS, None])
 def test_attempt_not_sent_for_lack_of_time_ends_its_message_at_once(ran_ago_us: int | None) -> None:
     """Guards against a message that is held or tried on after its time."""
-    drive = Drive(tick_us=5 * MS)
+    drive = SenderDriver(tick_us=5 * MS)
     accepted = api.MessageAccepted("a", 1, 7, 20 * S if ran_ago_us else 100 * MS)
     started = first(drive.at(0, api.MessageRestored(accepted, 1 if ran_ago_us else 0, ran_ago_us)))
     drive.now = started.latest_us
     actions = drive.end("a", Outcome.NOT_SENT, 1)
-    assert finals(actions) == [("Refuse", "a")] and sends(actions) == []
+    assert final_answers(actions) == [("Refuse", "a")] and sent_messages(actions) == []
 
 
 def test_latest_start_counts_from_the_time_of_the_decision(tmp_path: Path) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,11 +8,11 @@
 
 import pytest
 from fleet import MS, Fleet, Limit, S, collapsed, crowded, halved, hot, restarted, small, uneven
-from helpers import Drive
+from helpers import SenderDriver
 
 from wheelstep import interface as api
 from wheelstep.interface import Outcome
-from wheelstep.policy.pacer import CALM, LOW, Pacer
+from wheelstep.policy.pacer import MIN_SHARE, SUSTAINABLE_SHARE, Pacer
 
 SEEDS = range(20)
 
@@ -102,7 +102,7 @@
     (200, None, False), (200, api.LimitReport(40.0, 0.0), True), (3, None, True)])
 def test_in_a_large_fleet_only_a_refusal_with_a_report_slows_the_pace(
         senders: int, report: api.LimitReport | None, slower: bool) -> None:
-    drive = Drive(senders=senders, limits_reported=True)
+    drive = SenderDriver(senders=senders, limits_reported=True)
     drive.submit("m0")
     drive.end("m0", Outcome.OK, limit=api.LimitReport(40.0, 0.9))
     drive.tick(30 * S)
@@ -130,34 +130,34 @@
     (48.0, 1.1)])
 def test_a_report_that_cannot_be_so_changes_nothing(per_s: float, left: float) -> None:
     fresh, told = pacer(), pacer()
-    told.report(S, 48.0, 0.8)
-    before = told.rate, told.even
+    told.apply_report(S, 48.0, 0.8)
+    before = told.rate, told.even_rate
     for one in (fresh, told):
-        one.report(2 * S, per_s, left)
-    assert fresh.rate == math.inf and not fresh.reported
-    assert (told.rate, told.even) == before
+        one.apply_report(2 * S, per_s, left)
+    assert fresh.rate == math.inf and not fresh.limit_reported
+    assert (told.rate, told.even_rate) == before
 
 
 def test_a_report_that_contradicts_the_one_before_changes_nothing_for_good() -> None:
     one = pacer()
-    one.report(S, 48.0, 0.8)
+    one.apply_report(S, 48.0, 0.8)
     before = one.rate
-    one.report(2 * S, 4800.0, 0.8)
-    one.report(3 * S, 48.0, 0.8)
+    one.apply_report(2 * S, 4800.0, 0.8)
+    one.apply_report(3 * S, 48.0, 0.8)
     assert one.rate == pytest.approx(before)
 
 
 def test_a_pacer_follows_a_limit_at_once_and_never_stays_under_its_least() -> None:
     one = pacer()
-    one.report(S, 48.0, 0.9)
-    assert one.rate == pytest.approx(CALM * 48 / 40)
-    one.report(2 * S, 24.0, 0.9)
-    assert one.rate == pytest.approx(CALM * 24 / 40)
+    one.apply_report(S, 48.0, 0.9)
+    assert one.rate == pytest.approx(SUSTAINABLE_SHARE * 48 / 40)
+    one.apply_report(2 * S, 24.0, 0.9)
+    assert one.rate == pytest.approx(SUSTAINABLE_SHARE * 24 / 40)
     for second in range(3, 60):
         one.refused(second * S, 0.4)
-    assert one.rate == pytest.approx(LOW * 24 / 40)
-    one.served(61 * S)
-    one.served(63 * S)
+    assert one.rate == pytest.approx(MIN_SHARE * 24 / 40)
+    one.record_delivery(61 * S)
+    one.record_delivery(63 * S)
     assert one.rate >= 0.8 * 24 / 40
 
 
@@ -165,8 +165,8 @@
     for senders in (1, 3):
         one = pacer(senders)
         for _ in range(5):
-            one.spend(S)
+            one.record_call(S)
         assert one.ready_us() <= S
     many = pacer(40)
-    many.spend(S)
+    many.record_call(S)
     assert many.ready_us() > S
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import MS, Drive, S, info
+from helpers import MS, S, SenderDriver, info
 
 from wheelstep import interface as api
 from wheelstep.interface import EndpointState, Outcome
@@ -38,7 +38,7 @@
     return found
 
 
-def end_attempts(drive: Drive, actions: list[api.Action], rng: random.Random) -> None:
+def end_attempts(drive: SenderDriver, actions: list[api.Action], rng: random.Random) -> None:
     """End all attempts that these actions start, and those that start in consequence, with random outcomes."""
     begun = deque(action for action in actions if isinstance(action, api.StartAttempt))
     while begun:
@@ -47,7 +47,7 @@
                   if isinstance(action, api.StartAttempt)]
 
 
-def send_messages(drive: Drive, rng: random.Random, messages: int, generation: int) -> None:
+def send_messages(drive: SenderDriver, rng: random.Random, messages: int, generation: int) -> None:
     """Pass messages for eight destinations, all with keys, which only one class of four uses; replace all endpoints
     with each hundred."""
     for number in range(messages):
@@ -63,7 +63,7 @@
         drive.actions.clear()
 
 
-def end_and_count(drive: Drive) -> int:
+def end_and_count(drive: SenderDriver) -> int:
     """End what is left, advance the time by two minutes, and return the number of entries."""
     for _ in range(1200):
         end_attempts(drive, drive.at(drive.now + 100 * MS, api.TimerFired(0)), random.Random(0))
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_sender_is_back_at_its_size_after_thousands_of_messages(seed: int) -> None:
-    drive, rng = Drive(listed=False, may_probe=True), random.Random(seed)
+    drive, rng = SenderDriver(listed=False, may_probe=True), random.Random(seed)
     send_messages(drive, rng, 500, 0)
     first = end_and_count(drive)
     send_messages(drive, rng, MESSAGES, 1_000)
@@ -81,7 +81,7 @@
 
 
 def test_one_entry_kept_for_each_message_is_detected() -> None:
-    drive, rng = Drive(listed=False, may_probe=True), random.Random(1)
+    drive, rng = SenderDriver(listed=False, may_probe=True), random.Random(1)
     kept: list[str] = []
     drive.sender.kept = kept  # type: ignore[attr-defined]
     send_messages(drive, rng, 500, 0)
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, Drive, S, sends
+from helpers import MS, S, SenderDriver, sent_messages
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -158,31 +158,31 @@
 def test_policy_waits_for_the_settle_periods_of_the_previous_process() -> None:
     """Guards against a policy module that starts a message which the send guard would stop, as its key still
     settles from the previous process."""
-    drive = Drive(order_settle_us=300 * MS)
+    drive = SenderDriver(order_settle_us=300 * MS)
     drive.at(0, api.KeysSettling((("k", 200 * MS),)))
-    assert not sends(drive.submit("a", 3, key="k")) and sends(drive.submit("b", 3, key="o")) == ["b"]
-    assert not sends(drive.tick(199 * MS, MS))
-    assert sends(drive.tick(201 * MS, MS)) == ["a"]
+    assert not sent_messages(drive.submit("a", 3, key="k")) and sent_messages(drive.submit("b", 3, key="o")) == ["b"]
+    assert not sent_messages(drive.tick(199 * MS, MS))
+    assert sent_messages(drive.tick(201 * MS, MS)) == ["a"]
 
 
 def test_policy_lets_all_keys_settle_after_a_restart_except_for_what_was_tried() -> None:
     """Guards against a policy module that starts messages which the send guard would stop after a restart, or that
     delays tried or unordered messages needlessly."""
-    drive = Drive(order_settle_us=300 * MS)
+    drive = SenderDriver(order_settle_us=300 * MS)
     tried = api.MessageAccepted("tried", 3, 7, 20 * S, "o")
     untried = api.MessageAccepted("untried", 3, 7, 20 * S, "k")
     free = api.MessageAccepted("free", 0, 7, 20 * S)
     started = drive.at(0, api.KeysSettling(all_us=100 * MS), api.MessageRestored(tried, 1, 50 * MS),
                        api.MessageRestored(untried), api.MessageRestored(free))
-    assert set(sends(started)) == {"tried", "free"}
-    assert not sends(drive.submit("new", 3, key="n"))
-    assert not sends(drive.tick(99 * MS, MS))
-    assert set(sends(drive.tick(102 * MS, MS))) == {"untried", "new"}
+    assert set(sent_messages(started)) == {"tried", "free"}
+    assert not sent_messages(drive.submit("new", 3, key="n"))
+    assert not sent_messages(drive.tick(99 * MS, MS))
+    assert set(sent_messages(drive.tick(102 * MS, MS))) == {"untried", "new"}
 
 
 def test_policy_forgets_a_key_that_only_settles() -> None:
     """Guards against a queue that is kept for a key without messages."""
-    drive = Drive(order_settle_us=300 * MS)
+    drive = SenderDriver(order_settle_us=300 * MS)
     drive.at(0, api.KeysSettling((("k", 200 * MS),)))
     drive.tick(300 * MS)
     assert not drive.sender._key_queues
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -11,7 +11,7 @@
 
 from wheelstep import Sender, Settings
 from wheelstep import interface as api
-from wheelstep.interface import UNRUN, Effect, Outcome
+from wheelstep.interface import NEVER_EXECUTED, Effect, Outcome
 
 ZONED = api.MessageClass(2 * S, 20 * S, Effect.KEYED, key_ttl_us=3 * S, zone_keys=True, ordered=True)
 CLASSES = (SAFE, KEYED, UNSAFE, ORDERED, ZONED)
@@ -83,7 +83,7 @@
         if wait_us:
             number = self.endpoints[endpoint].destination
             self.wait_us[number] = max(self.wait_us.get(number, 0), self.now + wait_us)
-        if outcome in UNRUN and message["ran"] == sent_us:
+        if outcome in NEVER_EXECUTED and message["ran"] == sent_us:
             message["ran"] = None
         if message["key"] and outcome in SETTLING:
             message["rest"] = self.now + self.settings.order_settle_us
@@ -157,7 +157,7 @@
 def test_random_events_break_no_rule(seed: int, slots: int, per_call: int, hold: int, tries: int,
                                      decay: api.Decay) -> None:
     checker = RuleChecker(random.Random(seed), {
-        "slots": slots, "kinds": (api.Kind(per_call=per_call),), "hold_limit": hold, "max_attempts": tries,
+        "slots": slots, "kinds": (api.DestinationKind(per_call=per_call),), "hold_limit": hold, "max_attempts": tries,
         "decay": decay, "cold_from": 0.2, "cold_us": 5 * S, "tick_us": 5 * MS,
     })
     for _ in range(120):
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -10,7 +10,7 @@
 from wheelstep import Sender, Settings
 from wheelstep import interface as api
 from wheelstep.interface import Outcome
-from wheelstep.policy import choice, holding, ranking
+from wheelstep.policy import dispatch, ranking, sender_state
 from wheelstep.policy.messages import Message
 
 MS, S = 1_000, 1_000_000
@@ -40,7 +40,9 @@
         classes=(api.MessageClass(2 * S, 12 * S, api.Effect.KEYED, 1.0, 0.5, 8 * S),
                  api.MessageClass(3 * S, 9 * S, api.Effect.UNSAFE, 3.0, 0.3),
                  api.MessageClass(1 * S, 6 * S, api.Effect.SAFE, 0.5, 0.0)),
-        slots=12, hold_limit=300, kinds=(api.Kind(per_call=5), api.Kind(), api.Kind(routes_apart=True)), decay=decay,
+        slots=12, hold_limit=300, kinds=(
+            api.DestinationKind(per_call=5), api.DestinationKind(), api.DestinationKind(routes_apart=True)),
+        decay=decay,
         senders=3, may_probe=True, may_duplicate=True, conn_idle_us=10 * S, max_attempts=12, fall_multiple=1.5,
         cold_from=0.3, cold_us=8 * S, order_settle_us=300 * MS, overload_for_us=3 * S, tick_us=5 * MS,
         max_retry_after_us=3 * S)
@@ -109,7 +111,7 @@
 @pytest.mark.parametrize("few", [0, 4, 64])
 def test_dispatch_by_bounds_takes_the_actions_of_exhaustive_ranking(destinations: int, decay: api.Decay, few: int,
                                  monkeypatch: pytest.MonkeyPatch) -> None:
-    for module in (holding, ranking):
+    for module in (sender_state, ranking):
         monkeypatch.setattr(module, "FEW", few)  # bounds are used always, sometimes and never at these sizes
-    monkeypatch.setattr(choice, "NEAR", 0.0)  # exact order; what `NEAR` allows is tested in test_scale.py
+    monkeypatch.setattr(dispatch, "NEAR", 0.0)  # exact order; what `NEAR` allows is tested in test_scale.py
     assert sum(compare(seed, destinations, decay) for seed in range(4)) > 300
--- a/tests/test_renewal.py
+++ b/tests/test_renewal.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, Drive, S, finals, sends
+from helpers import KEYED, SAFE, UNSAFE, S, SenderDriver, final_answers, sent_messages
 from hypothesis import given
 from hypothesis import strategies as st
 from loopback import SETTINGS, Call, Reply, Scene, run
@@ -116,7 +116,7 @@
 
 
 def test_the_policy_module_keeps_a_held_message_under_its_old_class() -> None:
-    drive = Drive()
+    drive = SenderDriver()
     for name in ("old", "new"):
         if name == "new":
             drive.at(drive.now, api.ClassesChanged((SAFE, KEYED, replace(SAFE, most_attempts=1))))
@@ -124,8 +124,8 @@
     drive.now += S
     drive.end("old", Outcome.RESET)
     drive.end("new", Outcome.RESET)
-    assert finals(drive.actions) == [("Fail", "old"), ("Refuse", "new")]
-    assert len(sends(drive.actions)) == 2
+    assert final_answers(drive.actions) == [("Fail", "old"), ("Refuse", "new")]
+    assert len(sent_messages(drive.actions)) == 2
 
 
 def test_sighup_adds_a_class_changes_an_effect_and_removes_a_class(tmp_path: Path) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 
 from wheelstep import Sender, Settings
 from wheelstep import interface as api
-from wheelstep.policy import choice, holding, ranking
+from wheelstep.policy import dispatch, ranking, sender_state
 from wheelstep.policy import sender as batch
 
 S = 1_000_000
@@ -68,7 +68,7 @@
 
 def test_a_bound_clearly_above_the_best_gain_rate_is_followed_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a slot for a destination whose gain rate is clearly lower than another's."""
-    for module in (holding, ranking):
+    for module in (sender_state, ranking):
         monkeypatch.setattr(module, "FEW", 0)
     made = sender(200, classes=(api.MessageClass(2 * S, 20 * S, api.Effect.SAFE, worth=1.0, late_worth=0.5),
                                 api.MessageClass(2 * S, 20 * S, api.Effect.SAFE, worth=1.05, late_worth=0.5)), slots=1)
@@ -93,7 +93,7 @@
         made.handle(1 + len(batches), [
             api.AttemptEnded(attempt.message, 0, attempt.endpoint, api.Outcome.OK, 1, True)])
         batches.append(ranks.count - before)
-    assert max(batches) <= choice.MAX_RANKED_PER_BATCH + 2 * 64 and len(made._dirty) < 64
+    assert max(batches) <= dispatch.MAX_RANKED_PER_BATCH + 2 * 64 and len(made._dirty) < 64
     assert sum(batches) >= 3_500
 
 
--- a/tests/test_shard_module.py
+++ b/tests/test_shard_module.py
@@ -4,7 +4,7 @@
 
 import random
 
-from tests.helpers import Drive, S, info, sends
+from tests.helpers import S, SenderDriver, info, sent_messages
 from wheelstep import interface as api
 
 
@@ -12,16 +12,16 @@
     return info(endpoint, destination, state=api.EndpointState.REMOVED)
 
 
-def changes(drive: Drive, *entries: api.EndpointInfo) -> list[api.Action]:
+def changes(drive: SenderDriver, *entries: api.EndpointInfo) -> list[api.Action]:
     return drive.members(*entries, kind=api.ListKind.CHANGES)
 
 
-def drop(drive: Drive, *numbers: int) -> list[api.Action]:
+def drop(drive: SenderDriver, *numbers: int) -> list[api.Action]:
     return drive.at(drive.now, api.DestinationsDropped(numbers))
 
 
 def test_a_destination_without_anything_is_forgotten() -> None:
-    drive = Drive(0, listed=False)
+    drive = SenderDriver(0, listed=False)
     changes(drive, info("a", 1), info("b", 2))
     drive.submit("m", destination=1)
     drive.end("m", api.Outcome.OK, endpoint="a")
@@ -31,7 +31,7 @@
 
 
 def test_one_with_an_endpoint_a_message_or_a_call_is_kept() -> None:
-    drive = Drive(0, listed=False)
+    drive = SenderDriver(0, listed=False)
     changes(drive, info("a", 1), info("b", 2), info("c", 3))
     drive.submit("out", destination=2)
     changes(drive, gone("b", 2), gone("c", 3))
@@ -41,14 +41,14 @@
     drive.end("out", api.Outcome.OK, endpoint="b")
     changes(drive, info("c2", 3))
     drive.tick(drive.now + S)
-    assert sends(drive.actions) == ["out", "waits"]
+    assert sent_messages(drive.actions) == ["out", "waits"]
 
 
 def test_random_days_with_drops_end_every_message_once() -> None:
     """Destinations come, go and are dropped while messages run; nothing is lost, and nothing raises."""
     for seed in range(20):
         rng = random.Random(seed)
-        drive = Drive(0, seed, listed=False, slots=4)
+        drive = SenderDriver(0, seed, listed=False, slots=4)
         listed: set[int] = set()
         out: list[api.StartAttempt] = []
         taken, ended = 0, 0
--- a/tests/test_spread_turns.py
+++ b/tests/test_spread_turns.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from helpers import MS, Drive, S, info
+from helpers import MS, S, SenderDriver, info
 from spread import mean
 from spread_scenes import Scene
 
@@ -38,7 +38,7 @@
 
 
 def test_an_endpoint_that_is_no_longer_slow_gets_its_part_again() -> None:
-    drive = Drive(endpoints=3, slots=32)
+    drive = SenderDriver(endpoints=3, slots=32)
     took = {"e0": 50 * MS, "e1": 400 * MS, "e2": 50 * MS}
     counts: list[Counter[str]] = []
     number = 0
@@ -62,7 +62,7 @@
     """Count the endpoints of the first calls of senders with these seeds."""
     found: Counter[str] = Counter()
     for seed in seeds:
-        drive = Drive(endpoints=4, seed=seed)
+        drive = SenderDriver(endpoints=4, seed=seed)
         found[next(a.endpoint for a in drive.submit("m0") if isinstance(a, api.StartAttempt))] += 1
     return found
 
@@ -77,7 +77,7 @@
     """Guards against couriers that all choose a new endpoint next because an untried one has the lowest cost."""
     next_ones: Counter[str] = Counter()
     for seed in range(100):
-        drive = Drive(endpoints=4, seed=seed)
+        drive = SenderDriver(endpoints=4, seed=seed)
         for number in range(8 + seed % 4):
             [start] = [a for a in drive.submit(f"m{number}") if isinstance(a, api.StartAttempt)]
             drive.now += 50 * MS
@@ -89,7 +89,7 @@
 
 
 def test_a_single_courier_rotates_over_all_endpoints() -> None:
-    drive = Drive(endpoints=5, seed=3)
+    drive = SenderDriver(endpoints=5, seed=3)
     found = []
     for number in range(20):
         [start] = [a for a in drive.submit(f"m{number}") if isinstance(a, api.StartAttempt)]
--- a/wheelstep/account/course.py
+++ b/wheelstep/account/course.py
@@ -94,7 +94,7 @@
         if turn_ms > span.from_ms:
             parts += behind(front(turn[1]), span.from_ms, turn_ms)
         start_ms = max(span.from_ms, turn_ms)
-        parts += log.split_by_holdup(Span(start_ms, span.to_ms, cause), self.destination)
+        parts += log.split_by_wait_reason(Span(start_ms, span.to_ms, cause), self.destination)
         return [piece for part in parts for piece in log.split_by_downtime(part)]
 
 
--- a/wheelstep/account/lines.py
+++ b/wheelstep/account/lines.py
@@ -10,7 +10,7 @@
 | out | message, attempt, endpoint, outcome, ms spent, over, share of the limit left and limit, or nulls | its outcome |
 | end | message, outcome, and since 0.2 the reason | on an end without delivery |
 | probe | endpoint, outcome | after a probe |
-| gauge | slots out, connections, handshakes, list calls, [[destination, holdup, waiting], ...] | each 250 ms |
+| gauge | slots out, connections, handshakes, list calls, [[destination, wait reason, waiting], ...] | each 250 ms |
 
 Handshakes and list calls are counted from the start. A reader skips and counts lines that are cut off or of a later
 version.
--- a/wheelstep/account/log.py
+++ b/wheelstep/account/log.py
@@ -10,12 +10,12 @@
 
 from wheelstep.account.lines import Line
 from wheelstep.account.spans import Cause, Span
-from wheelstep.interface import Holdup
+from wheelstep.interface import WaitReason
 
-_CAUSE_BY_HOLDUP = {
-    Holdup.SLOTS: Cause.SLOTS, Holdup.WINDOW: Cause.SLOTS, Holdup.LIMIT: Cause.LIMIT, Holdup.SICK: Cause.SICK,
-    Holdup.RETURNING: Cause.RETURNING, Holdup.CROWDED: Cause.CONNECTION, Holdup.GONE: Cause.GONE,
-    Holdup.DOUBT: Cause.DOUBT}
+_CAUSE_BY_WAIT_REASON = {
+    WaitReason.SLOTS: Cause.SLOTS, WaitReason.WINDOW: Cause.SLOTS, WaitReason.LIMIT: Cause.LIMIT,
+    WaitReason.SICK: Cause.SICK, WaitReason.RETURNING: Cause.RETURNING, WaitReason.CROWDED: Cause.CONNECTION,
+    WaitReason.GONE: Cause.GONE, WaitReason.DOUBT: Cause.DOUBT}
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
         self.last_ms = 0  # 0: no line yet
         self.downtimes: list[tuple[int, int]] = []  # (last line of a process, first line of the next)
         self._gauges: list[int] = []
-        self._holdups: list[dict[int, Cause]] = []
+        self._wait_causes: list[dict[int, Cause]] = []
         self._key_queues: dict[str, list[str]] = {}  # key -> its messages, in order
         self._ended_ms: dict[str, int] = {}  # message -> when it ended at this courier
 
@@ -66,8 +66,9 @@
                 self._key_queues.clear()  # each process hashes keys with its own salt
                 self.classes.update({name: Class(*values) for name, values in line.fields[1].items()})
             case "gauge":
-                self._holdups.append({number: _CAUSE_BY_HOLDUP[Holdup(holdup)] for number, holdup, _ in line.fields[4]
-                                    if Holdup(holdup) in _CAUSE_BY_HOLDUP})
+                self._wait_causes.append({
+                    number: _CAUSE_BY_WAIT_REASON[WaitReason(reason)] for number, reason, _ in line.fields[4]
+                    if WaitReason(reason) in _CAUSE_BY_WAIT_REASON})
                 self._gauges.append(line.at_ms)
             case "take" | "back" if line.fields[3] is not None:
                 self._key_queues.setdefault(line.fields[3], []).append(line.fields[0])
@@ -91,7 +92,7 @@
                     until_ms, last = self._ended_ms.get(message, 0), message
         return found
 
-    def split_by_holdup(self, span: Span, destination: int) -> Iterator[Span]:
+    def split_by_wait_reason(self, span: Span, destination: int) -> Iterator[Span]:
         """Divide the time that a message waited here by the gauge lines, each of which covers the time up to it.
 
         Where the destination is not held up, the time keeps the span's own cause.
@@ -101,7 +102,7 @@
             if at_ms >= span.to_ms:
                 return
             to_ms = min(self._gauges[index], span.to_ms)
-            yield Span(at_ms, to_ms, self._holdups[index].get(destination, span.cause))
+            yield Span(at_ms, to_ms, self._wait_causes[index].get(destination, span.cause))
             at_ms = to_ms
         if at_ms < span.to_ms:
             yield Span(at_ms, span.to_ms, span.cause)
--- a/wheelstep/account/writer.py
+++ b/wheelstep/account/writer.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from wheelstep.account.lines import write
-from wheelstep.interface import Decay, Holdup, LimitReport, MessageClass
+from wheelstep.interface import Decay, LimitReport, MessageClass, WaitReason
 
 GAUGE_S = 0.25
 
 log = logging.getLogger("wheelstep.account")
 
-Gauge = Callable[[], tuple[int, int, int, Sequence[tuple[int, Holdup, int]]]]
+Gauge = Callable[[], tuple[int, int, int, Sequence[tuple[int, WaitReason, int]]]]
 
 
 class Account:
--- a/wheelstep/channels/serving.py
+++ b/wheelstep/channels/serving.py
@@ -12,7 +12,7 @@
 from wheelstep.channels.kept import Kept
 from wheelstep.courier.core import Core
 from wheelstep.courier.outlet import Item, Result
-from wheelstep.interface import UNRUN, Outcome
+from wheelstep.interface import NEVER_EXECUTED, Outcome
 from wheelstep.journal import Stored
 
 EPOCH = ":e"  # before a part's number: the mark of the last epoch under which it was served or adopted here
@@ -91,7 +91,7 @@
             if part not in self._serving:
                 self._note_late(part, item.message)
             return
-        self._kept.stray(item.message, item.attempt, result.outcome not in UNRUN)
+        self._kept.stray(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
         if part in self._serving and item.message in self._book.out(part):
             self._resume(item.message)
 
--- a/wheelstep/courier/carrier.py
+++ b/wheelstep/courier/carrier.py
@@ -26,7 +26,7 @@
 from wheelstep.courier.succession import begun
 from wheelstep.courier.turns import Sends, Turns
 from wheelstep.courier.wall_clock import clock, time_is_up
-from wheelstep.interface import UNRUN, Outcome
+from wheelstep.interface import NEVER_EXECUTED, Outcome
 from wheelstep.journal import NoRoomError, Stored
 
 if TYPE_CHECKING:  # optional features are imported only when enabled
@@ -157,7 +157,7 @@
                 else:
                     self._journal.over(item.message)
             elif held is not None and item.attempt in held.out:
-                self._journal.outcome(item.message, item.attempt, result.outcome not in UNRUN)
+                self._journal.outcome(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
             self.turns.post(api.AttemptEnded(
                 item.message, item.attempt, endpoint, result.outcome, result.spent_us, complete,
                 result.wait_us, result.limit, result.exhausted, result.may_still_run))
--- a/wheelstep/courier/core.py
+++ b/wheelstep/courier/core.py
@@ -219,7 +219,7 @@
                 self.turns.post(api.MessageRestored(
                     self._accepted(message, resubmitted=True), message.attempts,
                     None if ran is None else ago_us(ran[0]), self.endpoints.zone(ran[1]) if ran else 0,
-                    None if call is None else api.CallOut(at, call.endpoint, ago_us(call.sent_ms))))
+                    None if call is None else api.CallInProgress(at, call.endpoint, ago_us(call.sent_ms))))
 
     def set_aside(self, name: str) -> None:
         """Remove a message from the policy module while its end is still owed; a call that carries it goes on."""
--- a/wheelstep/courier/endpoints.py
+++ b/wheelstep/courier/endpoints.py
@@ -119,7 +119,7 @@
         left = {name: self.wait_until.get(self.route(info), 0.0) - now_s for name, info in self.listed.items()}
         return {name: int(left_s * 1e6) for name, left_s in left.items() if left_s > 0}
 
-    def kind(self, info: api.EndpointInfo) -> api.Kind:
+    def kind(self, info: api.EndpointInfo) -> api.DestinationKind:
         """Return the settings of the endpoint's kind; the last kind serves for unknown ones."""
         return self._settings.kinds[min(info.kind, len(self._settings.kinds) - 1)]
 
--- a/wheelstep/courier/operated.py
+++ b/wheelstep/courier/operated.py
@@ -31,10 +31,10 @@
         skipped = sum(name in self.endpoints.excluded or bool(marks.get(name, (0, False))[1]) for name in listed)
         return render(self.figures or Figures(), Gauges(len(self._held), len(listed), skipped), self.ordered)
 
-    def gauge(self) -> tuple[int, int, int, list[tuple[int, api.Holdup, int]]]:
+    def gauge(self) -> tuple[int, int, int, list[tuple[int, api.WaitReason, int]]]:
         """Return the calls under way, the open connections, the connections opened since the start, and what holds
         messages up."""
-        held = self.turns.sender.holdups(time.monotonic_ns() // 1000)
+        held = self.turns.sender.wait_reasons(time.monotonic_ns() // 1000)
         return len(self.outlet.calls()), self.outlet.connection_count(), self.outlet.dials, held
 
     def renew(self, config: Config) -> None:
--- a/wheelstep/courier/outlet.py
+++ b/wheelstep/courier/outlet.py
@@ -20,7 +20,7 @@
 from wheelstep.courier.call import CallOwner, Item, Progress, Result
 from wheelstep.courier.call_errors import ConnectionBrokenError, LocalResourceError, WriteTimeoutError
 from wheelstep.courier.pool import ConnectionPool
-from wheelstep.interface import UNRUN, Outcome
+from wheelstep.interface import NEVER_EXECUTED, Outcome
 
 __all__ = ["CallOwner", "EndpointClient", "Item", "Result"]
 
@@ -135,7 +135,7 @@
             self._tasks_by_attempt.pop((item.message, item.attempt), None)
         wait_us, limit = self._apply_answer_headers(endpoint, answer)
         results = dict(zip((item.message for item in ready), form.results(outcome, answer, ready), strict=True))
-        not_run = Result(outcome if outcome in UNRUN else Outcome.NOT_SENT)
+        not_run = Result(outcome if outcome in NEVER_EXECUTED else Outcome.NOT_SENT)
         spent_us = int((time.monotonic() - end) * 1e6) + timeout_us
         malformed = answer is not None and answer.malformed
         self._owner.ended(endpoint, [
--- a/wheelstep/interface.py
+++ b/wheelstep/interface.py
@@ -23,8 +23,8 @@
 from wheelstep.actions import Subscribe as Subscribe
 from wheelstep.actions import WriteLog as WriteLog
 from wheelstep.settings import Decay as Decay
+from wheelstep.settings import DestinationKind as DestinationKind
 from wheelstep.settings import Effect as Effect
-from wheelstep.settings import Kind as Kind
 from wheelstep.settings import MessageClass as MessageClass
 from wheelstep.settings import Settings as Settings
 from wheelstep.settings import check_settings as check_settings
@@ -43,7 +43,7 @@
     NOT_SENT = "not_sent"
 
 
-UNRUN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+NEVER_EXECUTED = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 """Outcomes which prove that the attempt never ran."""
 
 MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
@@ -58,7 +58,7 @@
     REMOVED = "removed"
 
 
-class Holdup(Enum):
+class WaitReason(Enum):
     """Why the messages that wait for a destination are not sent now."""
 
     NOTHING = "nothing"  # the next batch sends one
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallOut:
+class CallInProgress:
     """A call in progress of an earlier process, which will report its outcome. Messages with the same `number` share
     it."""
 
@@ -134,7 +134,7 @@
     attempts: int = 0
     ran_ago_us: int | None = None
     ran_zone: int = 0
-    out: CallOut | None = None
+    out: CallInProgress | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheelstep/policy/spread.py
+++ b/wheelstep/policy/balancing.py
@@ -20,7 +20,7 @@
 def relative_times(destination: Destination, now_us: int) -> dict[Endpoint, float]:
     """Return the time of a call at each endpoint over the mean of all. Calls in progress count with the time
     that they have taken so far: the estimate for exponential times of which some are censored."""
-    seen = {e: (e.answers.read(now_us), e.taken.read(now_us)) for e in destination.endpoints}
+    seen = {e: (e.recent_answers.read(now_us), e.recent_time_us.read(now_us)) for e in destination.endpoints}
     answers = sum(own for own, _ in seen.values())
     if answers < PRIOR_CALLS:
         return dict.fromkeys(seen, 1.0)
--- a/wheelstep/policy/choice.py
+++ b/wheelstep/policy/dispatch.py
@@ -7,39 +7,40 @@
 
 from wheelstep import interface as api
 from wheelstep.interface import Effect, EndReason
+from wheelstep.policy.balancing import next_in_turn
 from wheelstep.policy.common import call_weight
 from wheelstep.policy.endpoint import Call, Endpoint
 from wheelstep.policy.messages import Destination, Message
 from wheelstep.policy.outcomes import Outcomes
 from wheelstep.policy.ranking import Ranking
-from wheelstep.policy.spread import next_in_turn
 
 RISKY_FAILURE_SHARE = 0.2  # failure share above which messages that may be sent only once wait
 NEAR = 0.02  # a bound that is higher than the best gain rate by less than this share is not followed up
 MAX_RANKED_PER_BATCH = 1_000  # changed destinations ranked in a batch; the others follow in the next ones
 
 
-class Choice(Ranking, Outcomes):
+class Dispatch(Ranking, Outcomes):
     """Gives slots to the most urgent messages, and chooses an endpoint for each."""
 
-    def holdups(self, now_us: int) -> list[tuple[int, api.Holdup, int]]:
+    def wait_reasons(self, now_us: int) -> list[tuple[int, api.WaitReason, int]]:
         """For operators: each destination with waiting messages, why they wait, and how many they are."""
-        return [(destination.number, self._holdup(destination, now_us), destination.waiting)
+        return [(destination.number, self._wait_reason(destination, now_us), destination.waiting)
                 for destination in self._backlog.values()]
 
-    def _holdup(self, destination: Destination, now_us: int) -> api.Holdup:
+    def _wait_reason(self, destination: Destination, now_us: int) -> api.WaitReason:
         if self._calls_out >= self._settings.slots:
-            return api.Holdup.SLOTS
+            return api.WaitReason.SLOTS
         if not destination.window.has_room(destination.calls_out, self._in_doubt(destination)):
-            return api.Holdup.WINDOW
+            return api.WaitReason.WINDOW
         if destination.number in self._ready:
-            return api.Holdup.NOTHING
+            return api.WaitReason.NOTHING
         first = min(destination.endpoints, key=Endpoint.ready_us, default=None)
-        return api.Holdup.GONE if first is None else first.holdup(now_us)
+        return api.WaitReason.GONE if first is None else first.wait_reason(now_us)
 
     def _in_doubt(self, destination: Destination) -> bool:
         """Return whether calls to a destination take long or one of its endpoints is sick."""
-        return destination.loop.tau_us >= self._t1_us or any(e.sick for e in destination.endpoints)
+        return (destination.retry_controller.tau_us >= self._t1_us
+                or any(e.sick for e in destination.endpoints))
 
     def _dispatch(self) -> None:
         """Send while slots are free, the most urgent message of any ready destination first. A destination
--- a/wheelstep/policy/endpoint.py
+++ b/wheelstep/policy/endpoint.py
@@ -58,13 +58,13 @@
         self._base_rate, self._cold_share = 1.0, settings.fall_multiple * settings.cold_from
         self._min_call_us, self._unreported_refusals = 0.0, 0
         # Recent answers, and the time of recent calls.
-        self.answers, self.taken = DecayingSum(RATE_WINDOW_US), DecayingSum(RATE_WINDOW_US)
-        self.start_tag = -math.inf  # of its last call, see spread.py
+        self.recent_answers, self.recent_time_us = DecayingSum(RATE_WINDOW_US), DecayingSum(RATE_WINDOW_US)
+        self.start_tag = -math.inf  # of its last call, see balancing.py
 
     def add_duration(self, now_us: int, spent_us: float, answered: bool) -> None:
         """Record how long a call took, and whether it was answered."""
-        self.answers.add(now_us, answered)
-        self.taken.add(now_us, spent_us)
+        self.recent_answers.add(now_us, answered)
+        self.recent_time_us.add(now_us, spent_us)
 
     def overdue_us(self) -> float:
         """Return how long a call may take before it counts as overdue."""
@@ -106,7 +106,8 @@
         self.failures.add(now_us, share * (failed - self.failures.read(now_us)))
 
     def _delivery_rate(self, now_us: int) -> float:
-        return max(self.pacer.delivered.read(now_us) * 1e6 / RATE_WINDOW_US, MIN_BASE_PER_S, self.pacer.even)
+        return max(self.pacer.delivered.read(now_us) * 1e6 / RATE_WINDOW_US, MIN_BASE_PER_S,
+                   self.pacer.even_rate)
 
     def mark_draining(self, now_us: int) -> None:
         """Record the start of a drain: keep the rate that it carried, for its return."""
@@ -135,7 +136,7 @@
         return api.Health(
             self.sick, self._ramp_start_us is not None, round(self._base_rate, 3), round(rate, 3), back_us,
             carried, int(self.usual_us), int(self._deviation_us), round(destination.window.size, 2),
-            int(destination.loop.tau_us))
+            int(destination.retry_controller.tau_us))
 
     def restore(self, now_us: int, health: api.Health, ago_us: int) -> None:
         """Continue with the health that an earlier process noted. Keeps a sender that has just started from
@@ -166,17 +167,17 @@
             return math.inf
         return max(self._next_us, self.pacer.ready_us())
 
-    def holdup(self, now_us: int) -> api.Holdup:
+    def wait_reason(self, now_us: int) -> api.WaitReason:
         """Return what keeps a call from going here now."""
         if self.info.state is not EndpointState.UP:
-            return api.Holdup.GONE
+            return api.WaitReason.GONE
         if self.ready_us() <= now_us:
-            return api.Holdup.DOUBT
+            return api.WaitReason.DOUBT
         if self.sick:
-            return api.Holdup.SICK
+            return api.WaitReason.SICK
         if self.pacer.ready_us() >= self._next_us:
-            return api.Holdup.LIMIT
-        return api.Holdup.CROWDED if self._ramp_start_us is None else api.Holdup.RETURNING
+            return api.WaitReason.LIMIT
+        return api.WaitReason.CROWDED if self._ramp_start_us is None else api.WaitReason.RETURNING
 
     def _advance_ramp(self, now_us: int, work: float) -> None:
         """Delay the next call by the ramp's gap for so much work; end the ramp after `cold_us`."""
@@ -192,7 +193,7 @@
 
     def record_sent(self, now_us: int, messages: int) -> None:
         """Record a call with so many messages, or a probe, that starts now."""
-        self.pacer.spend(now_us)
+        self.pacer.record_call(now_us)
         self._advance_ramp(now_us, call_weight(messages))
         if self.sick:
             self._next_us = self._next_trial_us(now_us)
@@ -224,8 +225,7 @@
 
     def _back_off_unreported(self, now_us: int) -> None:
         """Pause after a refusal without a limit report where answers carry them: mostly the connection table
-        is full, so the rate of the destination stays. Its cost: one that is shut and reports nothing is
-        called more."""
+        is full, so the rate of the destination stays; one that is shut and reports nothing is called more."""
         pause_us = self.pacer.random_pause_us() * 2 ** min(self._unreported_refusals, 3)
         self._unreported_refusals += 1
         self._next_us = max(self._next_us, now_us + pause_us)
@@ -247,4 +247,4 @@
             self._advance_ramp(now_us, self._rng.random())
         elif self._ramp_start_us is None:
             self.pacer.delivered.add(now_us)
-        self.pacer.served(now_us)
+        self.pacer.record_delivery(now_us)
--- a/wheelstep/policy/messages.py
+++ b/wheelstep/policy/messages.py
@@ -89,13 +89,14 @@
 
     def __init__(self, number: int, settings: Settings, t1_us: int, rng: random.Random) -> None:
         self.number = number
-        self.loop, self.window = RetryController(settings.slots, t1_us, rng), CallWindow(settings.slots)
+        self.retry_controller, self.window = (
+            RetryController(settings.slots, t1_us, rng), CallWindow(settings.slots))
         self.endpoints: list[Endpoint] = []
         self.queues: dict[api.MessageClass, MessageQueue] = defaultdict(lambda: MessageQueue(settings.decay))
         self.pacer: Pacer | None = None  # where the endpoints share one limit
         self.waiting = self.calls_out = 0
         self.next_check_us: float = math.inf  # when it is considered again if nothing happens before
-        self.start_tag = 0.0  # of its last call, see spread.py
+        self.start_tag = 0.0  # of its last call, see balancing.py
         self.rank_number = 0  # of the ranking that its current bound is from
 
     def expected_us(self) -> float:
--- a/wheelstep/policy/outcomes.py
+++ b/wheelstep/policy/outcomes.py
@@ -5,11 +5,11 @@
 import math
 
 from wheelstep import interface as api
-from wheelstep.interface import MAY_STILL_RUN, UNRUN, Effect, EndReason, Outcome
+from wheelstep.interface import MAY_STILL_RUN, NEVER_EXECUTED, Effect, EndReason, Outcome
 from wheelstep.policy.common import SMALL_FLEET, call_weight
 from wheelstep.policy.endpoint import Call, Endpoint
-from wheelstep.policy.holding import SenderState
 from wheelstep.policy.messages import Destination, Message
+from wheelstep.policy.sender_state import SenderState
 
 MIN_LATER_ANSWERS = 3  # answered later calls that show a silent connection, not a slow endpoint
 
@@ -28,7 +28,7 @@
                                      and not event.exhausted)
         self._judge(call, destination, event, message.attempts > 1)
         self._mark_ready(destination)
-        if event.outcome not in UNRUN and event.outcome is not Outcome.OK and message.ran_us is None:
+        if event.outcome not in NEVER_EXECUTED and event.outcome is not Outcome.OK and message.ran_us is None:
             message.ran_us, message.ran_zone = call.sent_us, call.endpoint.info.zone
         if event.may_still_run or event.outcome in MAY_STILL_RUN:
             message.settled_us = self._now + self._settings.order_settle_us
@@ -61,13 +61,13 @@
         if outcome is Outcome.RESET and call.idle_us:
             self._safe_idle_us, self._idle_reset_us = min(self._max_idle_us(), call.idle_us / 2), self._now
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
-            destination.loop.record_answer(self._now, retried)
+            destination.retry_controller.record_answer(self._now, retried)
         # A time-out at the message's own deadline, before the call was overdue, shows no failure: it may not
         # shrink the window or mark the endpoint, and measures no call. Silence is still noticed.
         overdue = event.spent_us >= endpoint.overdue_us() * call_weight(call.size)
         cut_short = outcome is Outcome.TIMEOUT and not overdue
         if outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and not cut_short:
-            destination.loop.add_duration(event.spent_us)
+            destination.retry_controller.add_duration(event.spent_us)
         if event.wait_us:  # comes with every message of a call: the longest applies
             endpoint.pacer.wait_until_us = max(endpoint.pacer.wait_until_us, self._now + event.wait_us)
         if cut_short and not call.later_answers:
@@ -116,7 +116,7 @@
     def _apply_outcome(self, endpoint: Endpoint, event: api.AttemptEnded | api.ProbeEnded) -> None:
         """Apply an outcome and its limit report to an endpoint; log and note a change of its health."""
         if event.limit is not None:
-            endpoint.pacer.report(self._now, event.limit.per_s, event.limit.left)
+            endpoint.pacer.apply_report(self._now, event.limit.per_s, event.limit.left)
         self._mark_ready(self._destination(endpoint.info.destination))
         if endpoint.record_outcome(self._now, event):
             change = "unavailable" if endpoint.sick else "available again"
@@ -143,7 +143,7 @@
         destination = self._destination(endpoint.info.destination)
         if event.ago_us < self._settings.cold_us and event.health.window:
             destination.window.size = max(1.0, min(event.health.window, self._settings.slots))
-            destination.loop.tau_us = float(event.health.tau_us)
+            destination.retry_controller.tau_us = float(event.health.tau_us)
 
     def _schedule_retry(self, message: Message, destination: Destination, retry_after_us: int) -> None:
         """Schedule a retry after a wait that doubles from T1, or end what no later attempt could save."""
@@ -156,7 +156,7 @@
 
     def _retry_due(self, message: Message, destination: Destination) -> None:
         """Queue a message for its retry, or end it if retry control denies that."""
-        if not message.done and not destination.loop.may_retry(self._now):
+        if not message.done and not destination.retry_controller.may_retry(self._now):
             self._end(message, EndReason.RETRY_DENIED)
         self._enqueue(message)
 
--- a/wheelstep/policy/pacer.py
+++ b/wheelstep/policy/pacer.py
@@ -8,10 +8,10 @@
 from wheelstep.policy.common import RATE_WINDOW_US, SMALL_FLEET, DecayingSum
 
 DECREASE_FACTOR, INCREASE_PER_S = 0.55, 0.2  # factor at a refusal; growth a second, in start rates
-CALM = 0.85  # of its even part of a limit: a rate that all senders together can keep up
-LOW = 0.4  # of its even part: where the limit is known, no refusal takes a sender below this
-RECOVERY_PER_S = 0.4  # growth from LOW to CALM, in even parts a second
-TARGET_LEFT, GROWTH_PER_S = 0.6, 0.7  # unused share above which busy senders exceed CALM; exponent a second
+SUSTAINABLE_SHARE = 0.85  # of its even part of a limit: a rate that all senders together can keep up
+MIN_SHARE = 0.4  # of its even part: where the limit is known, no refusal takes a sender below this
+RECOVERY_PER_S = 0.4  # growth up to SUSTAINABLE_SHARE, in even parts a second
+TARGET_LEFT, GROWTH_PER_S = 0.6, 0.7  # unused share for rates above SUSTAINABLE_SHARE; exponent a second
 MAX_LIMIT_PER_S = 1e9  # calls a second; a higher limit is taken for a mistake and ignored
 EXHAUSTED_LEFT = 0.1  # a lower reported share (reports are noisy) means that all calls are refused
 COUNTED_COOLDOWNS = 6  # time constant of the count of sent calls, in cooldowns
@@ -28,11 +28,11 @@
     def __init__(self, senders: int, cooldown_us: int, rng: random.Random) -> None:
         self.rate = self._limit = math.inf
         self.wait_until_us, self._senders, self._cooldown_us, self.endpoints = 0, senders, cooldown_us, 0
-        self.even = MIN_TOTAL_PER_S / senders  # this sender's even part of the limit, in calls a second
+        self.even_rate = MIN_TOTAL_PER_S / senders  # this sender's even part of the limit, in calls a second
         self._start_rate, self._mean_left, self.last_cut_us, self._rng = MIN_START_PER_S, 0.5, 0, rng
         self._next_us, self._sent, self._last_report_us, self._last_growth_us = (
             0.0, DecayingSum(COUNTED_COOLDOWNS * cooldown_us), 0, 0)
-        self.delivered, self.last_ok_us, self.reported = DecayingSum(RATE_WINDOW_US), -math.inf, False
+        self.delivered, self.last_ok_us, self.limit_reported = DecayingSum(RATE_WINDOW_US), -math.inf, False
         self._limit_exhausted = False
 
     def set_limit(self, per_s: float) -> None:
@@ -40,39 +40,39 @@
         it. Among many senders few are busy with one destination at a time, so the start rate is at least
         MIN_START_PER_S. A value that is out of range is ignored."""
         if 0 < per_s < MAX_LIMIT_PER_S:
-            self._limit, self.even = per_s, per_s / self._senders
-            self._start_rate = min(per_s, max(self.even, MIN_START_PER_S))
+            self._limit, self.even_rate = per_s, per_s / self._senders
+            self._start_rate = min(per_s, max(self.even_rate, MIN_START_PER_S))
             self.rate = self._start_rate if self.rate == math.inf else min(self.rate, per_s)
 
-    def report(self, now_us: int, per_s: float, left: float) -> None:
+    def apply_report(self, now_us: int, per_s: float, left: float) -> None:
         """Apply a reported limit over all senders and its unused share, which all senders see alike: start
         well within an even part, and follow a change at once. Values out of range are ignored. The share is
         averaged over about a second: where a limit counts calls per interval, a single report shows the phase
         of the interval more than its use."""
         if not (0 < per_s < MAX_LIMIT_PER_S and 0 <= left <= 1):
             return
-        previous_limit, self._limit, self.even = self._limit, per_s, per_s / self._senders
+        previous_limit, self._limit, self.even_rate = self._limit, per_s, per_s / self._senders
         if previous_limit == math.inf:
-            self.rate = CALM * self.even
+            self.rate = SUSTAINABLE_SHARE * self.even_rate
         else:
             self.rate = min(self.rate * per_s / previous_limit, per_s)
             self._sent.value *= min(1.0, per_s / previous_limit)  # was counted under the old limit
         self._mean_left += max(0.25, 1 - math.exp((self._last_report_us - now_us) / 1e6)) * (
             left - self._mean_left)
-        self._last_report_us, self.reported, self._limit_exhausted = now_us, True, left < EXHAUSTED_LEFT
+        self._last_report_us, self.limit_reported, self._limit_exhausted = now_us, True, left < EXHAUSTED_LEFT
 
     def ready_us(self) -> float:
         """Return when the next call may start."""
         return max(self.wait_until_us, self._next_us)
 
-    def spend(self, now_us: int) -> None:
+    def record_call(self, now_us: int) -> None:
         """Record a call that starts now. After a pause one extra call may follow at once; not before anything
         is known of a limit, since many senders that start together, each with a few calls, would exhaust
         it."""
         self._sent.add(now_us)
         if self.rate < math.inf:
             gap_us = 1e6 / self.rate
-            saved_us = max(float(self._cooldown_us), gap_us if self.reported else 0.0)
+            saved_us = max(float(self._cooldown_us), gap_us if self.limit_reported else 0.0)
         else:
             gap_us, saved_us = self.random_pause_us() if self._senders > SMALL_FLEET else 0.0, 0.0
         self._next_us = max(self._next_us, now_us - saved_us) + gap_us
@@ -90,14 +90,14 @@
         if now_us - self.last_cut_us < self._cooldown_us:
             return
         self.last_cut_us = self._last_growth_us = now_us
-        sent_rate = max(self._sent.read(now_us) * 1e6 / self._sent.time_constant_us, self.even)
+        sent_rate = max(self._sent.read(now_us) * 1e6 / self._sent.time_constant_us, self.even_rate)
         if self.rate == math.inf:
             self._start_rate = max(sent_rate, MIN_START_PER_S)
         min_rate = cold_share * self.delivered.read(now_us) * 1e6 / RATE_WINDOW_US
         self.rate = max(min(self.rate, sent_rate) * DECREASE_FACTOR,
-                        self.even * (LOW if self.reported else 1 / 8), min_rate)
+                        self.even_rate * (MIN_SHARE if self.limit_reported else 1 / 8), min_rate)
         pause_us, gap_us = self.random_pause_us(), 1e6 / self.rate
-        if not self.reported:  # the first report may take a second, and its limit may be far from this rate
+        if not self.limit_reported:  # the first report may take a second, and differ much from this rate
             pause_us = 2 * pause_us if self._senders > SMALL_FLEET else math.inf
         elif self._limit_exhausted:
             pause_us, gap_us = COUNTED_COOLDOWNS * pause_us, self._rng.uniform(0.5, 1.5) * gap_us
@@ -112,9 +112,9 @@
         """Start no call before `until_us`, unless one is delivered first."""
         self._next_us = max(self._next_us, until_us)
 
-    def served(self, now_us: int) -> None:
+    def record_delivery(self, now_us: int) -> None:
         """Record a delivery: raise the rate, and shorten a longer pause to one gap of it."""
-        if not self.reported:
+        if not self.limit_reported:
             step = min(self._start_rate / self.rate, self.rate / (1.01 - self._mean_left))
             self.rate = min(self._limit, self.rate + 2 * INCREASE_PER_S * self._mean_left * step)
         else:
@@ -123,11 +123,11 @@
 
     def _grow(self, now_us: int) -> None:
         """Raise the rate by elapsed time, not by deliveries: a sender with few calls recovers as fast as one
-        with many. Only one that has sent recently, within the gap of its rate, exceeds CALM."""
+        with many. Only one that has sent recently, within the gap of its rate, exceeds SUSTAINABLE_SHARE."""
         elapsed_s = min(now_us - self._last_growth_us, max(2_000_000.0, 1e6 / self.rate)) / 1e6
-        self._last_growth_us, sustainable = now_us, CALM * self.even
+        self._last_growth_us, sustainable = now_us, SUSTAINABLE_SHARE * self.even_rate
         if self.rate < sustainable:
-            self.rate = min(sustainable, self.rate + RECOVERY_PER_S * self.even * elapsed_s)
+            self.rate = min(sustainable, self.rate + RECOVERY_PER_S * self.even_rate * elapsed_s)
         elif self._mean_left < TARGET_LEFT or self._next_us > now_us - 1e6 / self.rate:
             self.rate = min(self._limit, max(sustainable, self.rate * math.exp(
                 GROWTH_PER_S * (self._mean_left - TARGET_LEFT) * elapsed_s)))
--- a/wheelstep/policy/ranking.py
+++ b/wheelstep/policy/ranking.py
@@ -6,8 +6,8 @@
 import math
 
 from wheelstep.interface import Decay
-from wheelstep.policy.holding import FEW, SenderState
 from wheelstep.policy.messages import Destination, Message, gain_rises
+from wheelstep.policy.sender_state import FEW, SenderState
 
 BOUND_LIFETIME_US = 4_000_000  # about how long a bound on a destination's gain rate is kept
 SLOPE_STEP = 1.05  # slopes of bounds are rounded up to powers of this, so that few heaps hold them
@@ -57,7 +57,7 @@
         if heads := self._heads(destination):
             # By gain over the time that a slot is used. Keeps a destination that has become slow from filling
             # most slots with its own queue; its messages wait while others do.
-            tau_us = destination.loop.tau_us
+            tau_us = destination.retry_controller.tau_us
             gain_rate = self._gain(heads[0], tau_us) / max(tau_us, self._t1_us / 8)
             heapq.heappush(ranked, (-gain_rate, destination.number, heads))
         else:
@@ -67,7 +67,7 @@
         """Add an upper bound on a destination's gain rate, and when it expires. While its heads stay the
         same, each one's gain is linear in time between the breakpoints of its worth, now and a horizon later,
         and rises only within a horizon before its promise."""
-        tau_us = destination.loop.tau_us
+        tau_us = destination.retry_controller.tau_us
         at_us, horizon_us = self._now + tau_us, self._horizon_us
         is_even = self._settings.decay is Decay.EVEN
         # Not all for equally long, so that thousands of bounds don't expire in one batch.
--- a/wheelstep/policy/sender.py
+++ b/wheelstep/policy/sender.py
@@ -8,7 +8,7 @@
 
 from wheelstep import interface as api
 from wheelstep.interface import EndpointState, EndReason
-from wheelstep.policy.choice import Choice
+from wheelstep.policy.dispatch import Dispatch
 from wheelstep.policy.endpoint import Call, Endpoint
 from wheelstep.policy.messages import Message
 from wheelstep.policy.pacer import Pacer
@@ -17,7 +17,7 @@
 LEAST_DEAD = 4_096  # timers of ended messages are dropped once they exceed this and half of all timers
 
 
-class Sender(Choice):
+class Sender(Dispatch):
     """Decides for one courier process: pass it every event with `handle`, and carry out the returned actions
     in order."""
 
@@ -139,7 +139,7 @@
         if message.key is not None:
             self._advance_key(message.key)  # one with attempts is next even while all keys settle
 
-    def _resume_call(self, message: Message, out: api.CallOut) -> None:
+    def _resume_call(self, message: Message, out: api.CallInProgress) -> None:
         """Take over a call of an earlier process: it holds its slot, endpoint and key as if sent here."""
         self._dequeue(message)
         destination = self._destination(message.destination)
--- a/wheelstep/policy/holding.py
+++ b/wheelstep/policy/sender_state.py
@@ -61,7 +61,7 @@
         self._timer_count += 1
         heapq.heappush(self._timers, (math.ceil(when_us), self._timer_count, callback, message))
 
-    def _kind(self, info: api.EndpointInfo) -> api.Kind:
+    def _kind(self, info: api.EndpointInfo) -> api.DestinationKind:
         return self._settings.kinds[min(info.kind, len(self._settings.kinds) - 1)]
 
     def _destination(self, number: int) -> Destination:
@@ -104,7 +104,7 @@
             return
         destination = self._destination(message.destination)
         message.queued = True
-        destination.queues[message.cls].push(message, self._now + destination.loop.tau_us)
+        destination.queues[message.cls].push(message, self._now + destination.retry_controller.tau_us)
         destination.waiting += 1
         self._backlog[destination.number] = destination
         self._mark_ready(destination)
@@ -204,6 +204,6 @@
 
     def _heads(self, destination: Destination) -> list[Message]:
         """Return the first message of each queue and stage, the most urgent first."""
-        tau_us = destination.loop.tau_us
+        tau_us = destination.retry_controller.tau_us
         heads = [m for queue in destination.queues.values() for m in queue.heads(self._now + tau_us)]
         return sorted(heads, key=lambda m: -self._gain(m, tau_us))
--- a/wheelstep/settings.py
+++ b/wheelstep/settings.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class DestinationKind:
     """A kind of destination: whether its endpoints are separate routes, and how many messages a call holds."""
 
     routes_apart: bool = False
@@ -54,7 +54,7 @@
     classes: tuple[MessageClass, ...]
     slots: int
     hold_limit: int = 1 << 30
-    kinds: tuple[Kind, ...] = (Kind(),)
+    kinds: tuple[DestinationKind, ...] = (DestinationKind(),)
     decay: Decay = Decay.EVEN
     senders: int = 1
     zone: int = 0
--- a/wheelstep/simhost.py
+++ b/wheelstep/simhost.py
@@ -41,12 +41,12 @@
     )
 
 
-def _kinds(specifics: dict[str, Any], names: list[str]) -> tuple[api.Kind, ...]:
+def _kinds(specifics: dict[str, Any], names: list[str]) -> tuple[api.DestinationKind, ...]:
     routes_apart, per_call = specifics.get("kind_apart") or [], specifics.get("per_call") or []
     count = max(len(names), len(routes_apart), len(per_call), 1)
     routes_apart = list(routes_apart) + [False] * (count - len(routes_apart))
     per_call = list(per_call) + [1] * (count - len(per_call))
-    return tuple(api.Kind(bool(a), int(n)) for a, n in zip(routes_apart, per_call, strict=True))
+    return tuple(api.DestinationKind(bool(a), int(n)) for a, n in zip(routes_apart, per_call, strict=True))
 
 
 def settings_from(info: dict[str, Any]) -> api.Settings:
