--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -30,7 +30,7 @@
 from wheelstep.forwarding.client import ForwardClient, RemoteDesk  # noqa: E402
 from wheelstep.forwarding.link import Heard, Link, Lost  # noqa: E402
 from wheelstep.forwarding.server import ForwardServer  # noqa: E402
-from wheelstep.journal import Stored  # noqa: E402
+from wheelstep.journal import StoredMessage  # noqa: E402
 from wheelstep.shards.forward_link import ForwardLink  # noqa: E402
 from wheelstep.shards.net import Sockets  # noqa: E402
 from wheelstep.shards.streams import StreamLink, Streams  # noqa: E402
@@ -62,7 +62,7 @@
     def settles(self, name: str) -> bool:
         return False
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         self.held.add(message.id)
 
     def durable(self) -> asyncio.Future[None]:
@@ -75,7 +75,7 @@
     def withdraw(self, name: str) -> None:
         self.held.discard(name)
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         pass
 
 
@@ -120,7 +120,7 @@
 async def ask(client: ForwardClient, name: str, body: bytes) -> None:
     """One message: asked, taken, begun."""
     desk = RemoteDesk(client)
-    desk.take(Stored(name, "once", 7, 10**13, body=body))
+    desk.take(StoredMessage(name, "once", 7, 10**13, body=body))
     await desk.durable()
     desk.begin(name)
 
--- a/benchmarks/journal_crashes.py
+++ b/benchmarks/journal_crashes.py
@@ -16,7 +16,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from wheelstep.journal.promise import Sync
+from wheelstep.journal.durability import SyncPolicy
 from wheelstep.rehearsal.journal_model import crash_between_syncs, crash_everywhere, draw_history
 
 
@@ -25,7 +25,7 @@
     logging.disable(logging.CRITICAL)
     history = draw_history(random.Random(seed), 120)
     return (crash_between_syncs(history, seed)
-            + sum(crash_everywhere(history, sync, seed) for sync in (Sync.NONE, Sync.EACH)))
+            + sum(crash_everywhere(history, sync, seed) for sync in (SyncPolicy.NONE, SyncPolicy.EACH)))
 
 
 def main() -> None:
--- a/benchmarks/journal_speed.py
+++ b/benchmarks/journal_speed.py
@@ -25,16 +25,17 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from wheelstep.journal import Journal, NoRoomError, Stored
-from wheelstep.journal.promise import Sync
+from wheelstep.journal import Journal, NoRoomError, StoredMessage
+from wheelstep.journal.durability import SyncPolicy
 
 BODY = random.Random(1).randbytes(300)
 WRITERS = 64
 
 
-def message(number: int) -> Stored:
+def message(number: int) -> StoredMessage:
     """As a client hands it in."""
-    return Stored(f"{number:016x}", "update", number % 100, 1_800_000_000_000, f"key{number % 1000}", f"{number:032x}",
+    return StoredMessage(f"{number:016x}", "update", number % 100, 1_800_000_000_000, f"key{number % 1000}",
+                         f"{number:032x}",
                   False, BODY)
 
 
@@ -55,7 +56,7 @@
         self.db.execute("CREATE TABLE messages (id TEXT PRIMARY KEY, class TEXT, destination INT, deadline INT, "
                         "key TEXT, token TEXT, body BLOB, attempts INT, ran INT)")
 
-    def take(self, one: Stored) -> None:
+    def take(self, one: StoredMessage) -> None:
         """A message."""
         self.db.execute("INSERT INTO messages VALUES (?,?,?,?,?,?,?,0,NULL)", (
             one.id, one.message_class, one.destination, one.deadline_ms, one.key, one.token, one.body))
@@ -74,10 +75,10 @@
 
     def __init__(self, table: Table) -> None:
         self._table, self._pool = table, ThreadPoolExecutor(1)
-        self._rows: list[tuple[Stored, asyncio.Future[None]]] = []
+        self._rows: list[tuple[StoredMessage, asyncio.Future[None]]] = []
         self._task: asyncio.Task[None] | None = None
 
-    async def take(self, one: Stored) -> None:
+    async def take(self, one: StoredMessage) -> None:
         """Returns once it is committed."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._rows.append((one, waiter))
@@ -90,7 +91,7 @@
             await asyncio.sleep(0)
             rows, self._rows = self._rows, []
 
-            def work(rows: list[tuple[Stored, asyncio.Future[None]]] = rows) -> None:
+            def work(rows: list[tuple[StoredMessage, asyncio.Future[None]]] = rows) -> None:
                 self._table.db.execute("BEGIN")
                 for one, _ in rows:
                     self._table.take(one)
@@ -121,7 +122,7 @@
 
 def append(count: int, root: Path) -> None:
     """Each policy beside SQLite's matching setting."""
-    for sync, synchronous, share in ((Sync.NONE, "OFF", 1), (Sync.EACH, "FULL", 20)):
+    for sync, synchronous, share in ((SyncPolicy.NONE, "OFF", 1), (SyncPolicy.EACH, "FULL", 20)):
         rates = {"journal": [0.0], "sqlite": [0.0]}
         shown = {}
         for turn in range(3):
@@ -152,7 +153,7 @@
     """Many writers, one sync: against SQLite with one commit for as many statements."""
     rates: dict[str, list[float]] = {"journal": [], "sqlite": []}
     for _ in range(3):
-        journal = Journal(Path(tempfile.mkdtemp(dir=root)), 10_000_000_000, Sync.GROUP)
+        journal = Journal(Path(tempfile.mkdtemp(dir=root)), 10_000_000_000, SyncPolicy.GROUP)
 
         async def writer(first: int, journal: Journal = journal) -> None:
             for number in range(first, count, WRITERS):
--- a/benchmarks/measure/held.py
+++ b/benchmarks/measure/held.py
@@ -14,7 +14,7 @@
 from benchmarks.measure.result import Row, measure, resident
 from wheelstep import Sender, Settings
 from wheelstep import interface as api
-from wheelstep.journal import Journal, Stored
+from wheelstep.journal import Journal, StoredMessage
 
 S = 1_000_000
 DESTINATIONS = 14_000
@@ -53,7 +53,7 @@
         gc.collect()
         base, began = resident(), time.process_time()
         for one in range(held):
-            journal.take(Stored(f"{one:016x}", "update", one % 140_000, 1_800_000_000_000, f"key{one % 1_000}",
+            journal.take(StoredMessage(f"{one:016x}", "update", one % 140_000, 1_800_000_000_000, f"key{one % 1_000}",
                                 f"{one:032x}", False, bytes(body)))
         row = {"memory_bytes": (resident() - base) / held, "disk_bytes": journal.used / held,
                "take_us": (time.process_time() - began) / held * 1e6}
--- a/benchmarks/scale_edges.py
+++ b/benchmarks/scale_edges.py
@@ -27,7 +27,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import Address, load
 from wheelstep.courier.core import Core
-from wheelstep.journal import Journal, Stored
+from wheelstep.journal import Journal, StoredMessage
 from wheelstep.rehearsal.history import Figures, History
 from wheelstep.rehearsal.standins import wire
 from wheelstep.rehearsal.standins.platform import Agent, row
@@ -69,7 +69,7 @@
         journal = Journal(Path(folder) / "state", 500_000_000)
         due_ms = int(time.time() * 1000) + 600_000
         for number in range(owed):
-            journal.take(Stored(f"m{number}", "once", number % 1_000, due_ms, None, None, False, b"x" * 200))
+            journal.take(StoredMessage(f"m{number}", "once", number % 1_000, due_ms, None, None, False, b"x" * 200))
         journal.close()
         began = time.perf_counter()
         process = await asyncio.create_subprocess_exec(
@@ -104,7 +104,7 @@
                      Address("127.0.0.1", 9)) for number in range(count)]
         due_ms = int(time.time() * 1000) + 600_000
         for number in range(20_000):
-            journal.take(Stored(f"m{number}", "once", number % count, due_ms, None, None, False, b"x"))
+            journal.take(StoredMessage(f"m{number}", "once", number % count, due_ms, None, None, False, b"x"))
         first, old, new = rows(0), rows(1), rows(2)
         gone = [(replace(info, state=api.EndpointState.REMOVED), address) for info, address in old]
         core.listed(api.ListKind.WHOLE, first)
--- a/benchmarks/standalone_reload.py
+++ b/benchmarks/standalone_reload.py
@@ -18,7 +18,7 @@
 
 from turns import Turns
 
-from wheelstep.journal import Journal, Stored
+from wheelstep.journal import Journal, StoredMessage
 from wheelstep.standalone import model, serve
 
 
@@ -43,7 +43,7 @@
         due_ms = int(time.time() * 1000) + 600_000
         for number in range(given.held):
             destination = model.destination_number(f"d{number % given.destinations}")
-            journal.take(Stored(f"t~m{number}", "a", destination, due_ms, None, None, False, b"x"))
+            journal.take(StoredMessage(f"t~m{number}", "a", destination, due_ms, None, None, False, b"x"))
         journal.close()
         began = time.perf_counter()
         found = model.load(path)
--- a/tests/forwarding_world.py
+++ b/tests/forwarding_world.py
@@ -11,15 +11,15 @@
 from wheelstep.forwarding.client import ForwardClient, RemoteDesk
 from wheelstep.forwarding.link import Heard, Link, Lost
 from wheelstep.forwarding.server import ForwardServer, Turned
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.shards.forward_link import ForwardLink
 from wheelstep.shards.net import Sockets
 from wheelstep.shards.streams import StreamLink
 from wheelstep.shards.types import Forwarded, Frame
 
 
-def message(name: str, destination: int = 7) -> Stored:
-    return Stored(name, "once", destination, 10**13, "key", "token", True, b"body of " + name.encode())
+def message(name: str, destination: int = 7) -> StoredMessage:
+    return StoredMessage(name, "once", destination, 10**13, "key", "token", True, b"body of " + name.encode())
 
 
 class Home:
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.syncs = self.is_full = False
-        self.taken: dict[str, Stored] = {}
+        self.taken: dict[str, StoredMessage] = {}
         self.begun: list[str] = []
         self.withdrawn: list[str] = []
         self.noted: list[tuple[str, int]] = []
@@ -48,7 +48,7 @@
     def settles(self, name: str) -> bool:
         return name in self.taken and name not in self.begun
 
-    def take(self, one: Stored) -> None:
+    def take(self, one: StoredMessage) -> None:
         self.taken[one.id] = one
         self.news.set()
 
@@ -66,7 +66,7 @@
         self.withdrawn.append(name)
         self.news.set()
 
-    def handed_in(self, one: Stored, status: int) -> None:
+    def handed_in(self, one: StoredMessage, status: int) -> None:
         self.noted.append((one.id, status))
 
     async def until(self, holds: Callable[[], bool]) -> None:
@@ -173,7 +173,7 @@
         self.client._late.cancel()
         self.client._expire()
 
-    def ask(self, one: Stored) -> tuple[RemoteDesk, asyncio.Future[None]]:
+    def ask(self, one: StoredMessage) -> tuple[RemoteDesk, asyncio.Future[None]]:
         desk = RemoteDesk(self.client)
         desk.take(one)
         return desk, desk.durable()
--- a/tests/shard_nodes.py
+++ b/tests/shard_nodes.py
@@ -13,7 +13,7 @@
 from wheelstep.courier.rows import Row
 from wheelstep.fleet.membership import Limits
 from wheelstep.fleet.types import Member, State
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.shards.list_server import ListServer
 from wheelstep.shards.net import Sockets
 from wheelstep.shards.node import ShardNode
@@ -46,7 +46,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.rows: dict[str, api.EndpointInfo] = {}
-        self.held: dict[str, Stored] = {}
+        self.held: dict[str, StoredMessage] = {}
         self.begun: list[str] = []
         self.withdrawn: list[str] = []
         self.dropped: set[int] = set()
@@ -64,7 +64,7 @@
     def serves(self, destination: int) -> bool:
         return any(info.destination == destination for info in self.rows.values())
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         if message.body == b"no room":
             raise NoRoomError(message.id)
         self.held[message.id] = message
@@ -85,7 +85,7 @@
         self.withdrawn.append(name)
         self.held.pop(name, None)
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         self.answers[status] += 1
 
     def listed(self, rows: Sequence[Row]) -> None:
@@ -210,7 +210,7 @@
         node.links.close()
         await node._net.close()
 
-    async def hand_in(self, name: str, message: Stored) -> BaseException | None:
+    async def hand_in(self, name: str, message: StoredMessage) -> BaseException | None:
         """Hands a message in as the client server does; returns the error, or None."""
         desk = self.nodes[name].desk(message.destination)
         if desk.holds(message.id):
@@ -231,8 +231,8 @@
         await self.control.stop()
 
 
-def message(name: str, destination: int, key: str | None = None, body: bytes = b"hello") -> Stored:
-    return Stored(name, "c", destination, int(time.time() * 1000) + 20_000, key=key, body=body)
+def message(name: str, destination: int, key: str | None = None, body: bytes = b"hello") -> StoredMessage:
+    return StoredMessage(name, "c", destination, int(time.time() * 1000) + 20_000, key=key, body=body)
 
 
 async def free_port() -> int:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -14,7 +14,7 @@
 
 from wheelstep import interface as api
 from wheelstep.account.lines import LineError, read, write
-from wheelstep.account.tally import Account, Book
+from wheelstep.account.tally import Account, AccountBuilder
 from wheelstep.cli.__main__ import main
 from wheelstep.interface import EndpointState, Outcome, WaitReason
 
@@ -25,7 +25,7 @@
     return [why for _, why, _ in drive.sender.wait_reasons(drive.now)]
 
 
-def test_the_policy_module_reports_what_holds_messages_up() -> None:
+def test_the_decision_module_reports_what_holds_messages_up() -> None:
     drive = SenderDriver(slots=8)
     assert drive.sender.wait_reasons(0) == []
     drive.members(info("e0", state=EndpointState.DRAINING))
@@ -74,7 +74,7 @@
     """Builds logs as couriers write them."""
 
     def __init__(self) -> None:
-        self.book = Book()
+        self.book = AccountBuilder()
         self.takes: dict[str, Any] = {}
 
     def line(self, courier: str, at_ms: int, kind: str, *fields: Any) -> FakeLogs:
--- a/tests/test_channel_kept.py
+++ b/tests/test_channel_kept.py
@@ -9,7 +9,7 @@
 from wheelstep.channels.book import Book, Release, Take
 from wheelstep.channels.contracts import read
 from wheelstep.channels.kept import Kept
-from wheelstep.journal import Journal, NoRoomError, Stored
+from wheelstep.journal import Journal, NoRoomError, StoredMessage
 from wheelstep.rehearsal.faulty_disk import CrashError, FaultyDisk
 
 CONTRACTS = read([{"name": "updates", "order": "strict"}])
@@ -39,7 +39,8 @@
         assert contract is not None
         verdict = book.offer(0, contract, CHANNEL, name, number, None)
         assert isinstance(verdict, Take), verdict
-        kept.take(Stored(name, "item-status", 1, int(time.time() * 1000) + 60_000, channel=CHANNEL, number=number))
+        kept.take(StoredMessage(name, "item-status", 1, int(time.time() * 1000) + 60_000, channel=CHANNEL,
+                                number=number))
         self.answered[number] = name
         book.said(0, name)
 
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -11,7 +11,7 @@
 
 from wheelstep.courier.client_server import ClientServer
 from wheelstep.courier.config import Address
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 
 class FakeDesk:
@@ -20,7 +20,7 @@
     ready, syncs = True, False
 
     def __init__(self) -> None:
-        self.taken: dict[str, Stored] = {}
+        self.taken: dict[str, StoredMessage] = {}
         self.begun: list[str] = []
         self.synced = asyncio.Event()
 
@@ -30,7 +30,7 @@
     def serves(self, destination: int) -> bool:
         """Only destination 7 is listed."""
         return destination == 7
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Store a message."""
         self.taken[message.id] = message
     def holds(self, message: str) -> bool:
@@ -39,7 +39,7 @@
     def begin(self, name: str) -> None:
         """Record that the client was told."""
         self.begun.append(name)
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """Answers are not recorded."""
         pass
     def settles(self, name: str) -> bool:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,12 +10,12 @@
 from loopback import LIMIT_S, Endpoint, Scene, host, run
 
 from wheelstep.console.commands import reply
-from wheelstep.console.figures import Figures, Gauges, render
-from wheelstep.console.front import MAX_CONNECTIONS, Front
+from wheelstep.console.front import MAX_CONNECTIONS, ConsoleServer
+from wheelstep.console.metrics import Counters, Gauges, render
 from wheelstep.courier.config import Address
 
 
-class Desk:
+class ConsoleBackend:
     ready = True
 
     def __init__(self) -> None:
@@ -38,12 +38,12 @@
     (b"exclude e0", b"+OK"), (b"include e0", b"+OK"), (b"exclude nobody", b"-ERR"), (b"include nobody", b"-ERR"),
     (b"exclude", b"-ERR"), (b"readyz now", b"-ERR"), (b"", b"-ERR"), (b"\xff\x00", b"-ERR"), (b"READYZ", b"-ERR")])
 def test_every_line_has_one_reply(line: bytes, start: bytes) -> None:
-    answer = reply(line, Desk())
+    answer = reply(line, ConsoleBackend())
     assert answer.startswith(start) and answer.endswith(b"\n")
 
 
 def test_figures_name_every_class() -> None:
-    figures = Figures(passed=Counter({"a": 2, "gone": 1}), upstream_tries=4)
+    figures = Counters(passed=Counter({"a": 2, "gone": 1}), upstream_tries=4)
     lines = render(figures, Gauges(3, 2, 1), ("a", "b")).splitlines()
     assert "app.passed.a:2|c" in lines and "app.passed.b:0|c" in lines and "app.passed.gone:1|c" in lines
     assert "app.upstream_tries:4|c" in lines and "app.in_progress:3|g" in lines and len(lines) == 13
@@ -51,7 +51,7 @@
 
 def test_callers_that_never_finish_do_not_keep_others_out() -> None:
     async def scene() -> None:
-        front = Front(Desk())
+        front = ConsoleServer(ConsoleBackend())
         port = await front.start(Address("127.0.0.1", 0))
 
         async def call(*parts: bytes) -> bytes:
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -18,7 +18,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.core import Core
 from wheelstep.courier.listing import entries
-from wheelstep.journal import Journal, Stored
+from wheelstep.journal import Journal, StoredMessage
 
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
@@ -72,7 +72,7 @@
         core.listed(api.ListKind.WHOLE, entries({"hosts": [host("e0", endpoint.address)]}, config.names))
         due_s = time.time() + 1.5
         for name, left_s in (("m1", 1.5), ("m2", 20.0))[:2 if cls == "ordered" else 1]:
-            core.take(Stored(name, cls, 7, int((time.time() + left_s) * 1000), key="k", token=name))
+            core.take(StoredMessage(name, cls, 7, int((time.time() + left_s) * 1000), key="k", token=name))
             core.begin(name)
         await asyncio.to_thread(endpoint.asked.wait, LIMIT_S)
         endpoint.asked.clear()
--- a/tests/test_crossings_restart.py
+++ b/tests/test_crossings_restart.py
@@ -17,7 +17,7 @@
 
 from wheelstep import interface as api
 from wheelstep.interface import Outcome
-from wheelstep.journal import Journal, Stored
+from wheelstep.journal import Journal, StoredMessage
 
 HOLD = 40
 OLD_COUNT = HOLD - 1  # with one more the first process would hand one back by itself
@@ -184,7 +184,7 @@
             await s.courier.kill()
             journal = Journal(tmp_path / "state", 8_000_000)
             for number in range(5000):
-                journal.take(Stored(f"m{number}", "once", 7, int((time.time() - 3600) * 1000)))
+                journal.take(StoredMessage(f"m{number}", "once", 7, int((time.time() - 3600) * 1000)))
             journal.close()
             sizes: list[int] = []
             take = s.platform.notices
--- a/tests/test_crossings_window.py
+++ b/tests/test_crossings_window.py
@@ -26,7 +26,7 @@
 from wheelstep.courier.core import Core
 from wheelstep.courier.listing import entries
 from wheelstep.interface import Outcome
-from wheelstep.journal import Journal, Stored
+from wheelstep.journal import Journal, StoredMessage
 
 
 def timed(name: str, left_s: float, body: bytes = b"x") -> Item:
@@ -184,7 +184,7 @@
         row = host("e0", f"127.0.0.1:{peer.listener.getsockname()[1]}")
         core.listed(api.ListKind.CHANGES, entries({"hosts": [row]}, config.names))
         for name, latest_us in (("late", 50 * MS), ("unbound", 0)):
-            core.take(Stored(name, "ordered", 7, int(time.time() * 1000) + 9000, body=b"x"))
+            core.take(StoredMessage(name, "ordered", 7, int(time.time() * 1000) + 9000, body=b"x"))
             core.begin(name)
             policy.actions = [api.StartAttempt(name, "e0", 10 * S, latest_us)]
             core.turns._run_turn()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -20,7 +20,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheelstep.journal import FolderInUseError, Journal, NoRoomError, Stored, tools
+from wheelstep.journal import FolderInUseError, Journal, NoRoomError, StoredMessage, tools
 from wheelstep.journal.segments import segment_file_name
 from wheelstep.rehearsal.faulty_disk import CrashError, FaultyDisk, Inode
 
@@ -37,7 +37,7 @@
 def play(journal: Journal, step: tuple[object, ...]) -> None:
     match step:
         case ("take", str(name), bytes(body)):
-            journal.take(Stored(name, "cls", 7, 1000, "key", None, False, body))
+            journal.take(StoredMessage(name, "cls", 7, 1000, "key", None, False, body))
         case ("attempt", str(name), int(number)):
             journal.attempt(name, number, 50 + number, "e0")
         case ("outcome", str(name), int(number), bool(ran)):
@@ -70,7 +70,7 @@
         whole = max(i for i, size in enumerate(sizes) if size <= cut)
         assert again.messages == states[whole]
         assert list(again.messages) == list(states[whole])
-        again.take(Stored("new", "cls", 7, 1000, body=b"after the cut"))
+        again.take(StoredMessage("new", "cls", 7, 1000, body=b"after the cut"))
         again.close()
         third = Journal(folder, LIMIT)
         assert third.messages["new"].body == b"after the cut"
@@ -90,7 +90,7 @@
     for round_ in range(3):
         with pytest.raises(NoRoomError):
             for number in range(1000):
-                journal.take(Stored(f"{round_}-{number}", "cls", 7, 1000, body=b"x" * 65536))
+                journal.take(StoredMessage(f"{round_}-{number}", "cls", 7, 1000, body=b"x" * 65536))
                 taken.append(f"{round_}-{number}")
                 most = max(most, used())
         assert len(journal.messages) >= 30  # more than half of the disk
@@ -111,7 +111,7 @@
 def test_compaction_keeps_state_and_order(tmp_path: Path) -> None:
     journal = Journal(tmp_path, LIMIT)
     for number in range(3000):
-        journal.take(Stored(f"m{number}", "cls", 7, 1000, f"k{number % 3}", "token", True, b"body"))
+        journal.take(StoredMessage(f"m{number}", "cls", 7, 1000, f"k{number % 3}", "token", True, b"body"))
         journal.attempt(f"m{number}", 0, number, "e1")
         if number % 100:
             journal.over(f"m{number}")
@@ -132,7 +132,7 @@
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     journal = Journal(tmp_path, LIMIT)
     for name in ("a", "b"):
-        journal.take(Stored(name, "cls", 7, 1000))
+        journal.take(StoredMessage(name, "cls", 7, 1000))
     journal.attempt("a", 0, 5, "e0")
     write = os.write
 
@@ -142,7 +142,7 @@
         raise OSError(errno.ENOSPC, "no space")
     monkeypatch.setattr(os, "write", half)
     with pytest.raises(NoRoomError):
-        journal.take(Stored("c", "cls", 7, 1000))
+        journal.take(StoredMessage("c", "cls", 7, 1000))
     with pytest.raises(OSError):
         journal.attempt("b", 0, 5, "e0")
     journal.outcome("a", 0, False)
@@ -229,7 +229,7 @@
 
 def test_messages_accepted_by_the_old_version_after_a_downgrade_are_kept(tmp_path: Path) -> None:
     journal = Journal(tmp_path, LIMIT)
-    journal.take(Stored("new", "cls", 7, 1000))
+    journal.take(StoredMessage("new", "cls", 7, 1000))
     journal.close()
     (tmp_path / "journal.log").write_bytes(old_message("old"))
     journal = Journal(tmp_path, LIMIT)
@@ -243,7 +243,7 @@
 def filled(folder: Path) -> None:
     journal = Journal(folder, LIMIT)
     for number in range(500):
-        journal.take(Stored(f"m{number}", "cls", 7, 1000, body=b"secret" * 50))
+        journal.take(StoredMessage(f"m{number}", "cls", 7, 1000, body=b"secret" * 50))
         journal.attempt(f"m{number}", 0, 5, "e0")
         if number % 5:
             journal.over(f"m{number}")
@@ -304,5 +304,5 @@
     journal.close()
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     with pytest.raises(NoRoomError):
-        journal.take(Stored("m", "cls", 7, 1000))
+        journal.take(StoredMessage("m", "cls", 7, 1000))
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
--- a/tests/test_journal_crashes.py
+++ b/tests/test_journal_crashes.py
@@ -1,5 +1,4 @@
-"""Crashes at every operation of random histories, and disks that fill, fail and lie. Long runs:
-`benchmarks/journal_crashes.py`."""
+"""Crashes at every operation of random histories, and faulty disks. Long runs: `benchmarks/journal_crashes.py`."""
 
 from __future__ import annotations
 
@@ -12,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheelstep.journal import FolderInUseError, Journal, NoRoomError, Stored, codec
+from wheelstep.journal import FolderInUseError, Journal, NoRoomError, StoredMessage, codec
 from wheelstep.journal.codec import FormatError
-from wheelstep.journal.promise import Sync
+from wheelstep.journal.durability import SyncPolicy
 from wheelstep.journal.segments import segment_file_name
 from wheelstep.rehearsal.faulty_disk import FaultyDisk, Inode
 from wheelstep.rehearsal.journal_model import (
@@ -39,8 +38,8 @@
     logging.getLogger("wheelstep.journal").setLevel(logging.NOTSET)
 
 
-@pytest.mark.parametrize("sync", [Sync.NONE, Sync.EACH])
-def test_a_crash_at_any_boundary_reloads_to_what_was_owed(sync: Sync) -> None:
+@pytest.mark.parametrize("sync", [SyncPolicy.NONE, SyncPolicy.EACH])
+def test_a_crash_at_any_boundary_reloads_to_what_was_owed(sync: SyncPolicy) -> None:
     """At least 1,500 crash points per policy, with interrupted recoveries."""
     points, seed = 0, 0
     while points < 1_500:
@@ -57,8 +56,8 @@
 
 
 @settings(max_examples=25, deadline=None)
-@given(STEPS, st.sampled_from([Sync.NONE, Sync.EACH]), st.integers(0, 1000))
-def test_random_histories_reload_to_what_was_owed(steps: list[tuple[str, int, int]], sync: Sync, seed: int) -> None:
+@given(STEPS, st.sampled_from([SyncPolicy.NONE, SyncPolicy.EACH]), st.integers(0, 1000))
+def test_random_histories_reload_what_was_owed(steps: list[tuple[str, int, int]], sync: SyncPolicy, seed: int) -> None:
     crash_everywhere(steps, sync, seed)
 
 
@@ -67,11 +66,11 @@
     monkeypatch.setattr(Journal, "_copy_batch", lambda self, oldest: oldest.messages.clear() or oldest.facts.clear())
     with pytest.raises(MismatchError, match="crash before operation"):
         for seed in range(40):
-            crash_everywhere(draw_history(random.Random(seed), 100), Sync.NONE, seed)
+            crash_everywhere(draw_history(random.Random(seed), 100), SyncPolicy.NONE, seed)
 
 
-def message(name: str, size: int = 100, **fields: object) -> Stored:
-    return Stored(name, "c", 7, 1000, "k", None, False, b"x" * size, **fields)  # type: ignore[arg-type]
+def message(name: str, size: int = 100, **fields: object) -> StoredMessage:
+    return StoredMessage(name, "c", 7, 1000, "k", None, False, b"x" * size, **fields)  # type: ignore[arg-type]
 
 
 # --- room ---
@@ -108,7 +107,7 @@
 
 
 def test_outcomes_and_ends_find_room_when_new_messages_do_not() -> None:
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     names = []
     with pytest.raises(NoRoomError):
         for number in range(10_000):
@@ -121,17 +120,17 @@
         journal.over(name)
     assert disk.used() <= LIMIT and not journal.messages
     journal.close()
-    assert not open_journal(disk.after_crash(power=False), Sync.NONE).messages
+    assert not open_journal(disk.after_crash(power=False), SyncPolicy.NONE).messages
 
 
 def test_a_thousand_attempts_of_one_message_do_not_fill_the_disk() -> None:
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     journal.take(message("m"))
     for number in range(1_000):
         journal.attempt("m", number, 5 + number, "e0")
         journal.outcome("m", number, number == 500)
     assert disk.used() <= LIMIT
-    again = open_journal(disk.after_crash(power=False), Sync.NONE)
+    again = open_journal(disk.after_crash(power=False), SyncPolicy.NONE)
     assert (again.messages["m"].attempts, again.messages["m"].ran_ms) == (1_000, 505)
 
 
@@ -147,7 +146,7 @@
 
 
 def test_marks_are_copied_forward_and_forgotten_ones_stay_forgotten() -> None:
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     journal.mark("e0", [1, True])
     journal.mark("e1", [2, False])
     journal.mark("e1", None)
@@ -156,13 +155,13 @@
         journal.over(f"m{number}")
         journal.compact(0.0)
     assert journal.segments < 10
-    assert open_journal(disk.after_crash(power=False), Sync.NONE).marks == {"e0": [1, True]}
+    assert open_journal(disk.after_crash(power=False), SyncPolicy.NONE).marks == {"e0": [1, True]}
 
 
 # --- damage ---
 
 def full_disk(count: int = 30) -> FaultyDisk:
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     for number in range(count):
         journal.take(message(f"m{number}"))
     journal.close()
@@ -172,7 +171,7 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_after_any_damaged_byte_reading_continues_and_affected_messages_may_have_run(seed: int) -> None:
     rng = random.Random(seed)
-    journal = open_journal(disk := FaultyDisk(seed), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(seed), SyncPolicy.NONE)
     for step in draw_history(rng, 60):
         play(journal, step)
     before = View.of(journal)
@@ -180,10 +179,9 @@
     disk = disk.after_crash(power=False)
     name = rng.choice(disk.names())
     data = disk.files[name].data
-    # The length field of the last record is left alone: too long a one looks like a torn record.
-    last = data.rfind(codec.MARKER)
+    last = data.rfind(codec.MARKER)  # its length field is left alone: too long a one looks like a torn record
     data[rng.choice([at for at in range(len(data)) if not last + 2 <= at < last + 6])] ^= 1 + rng.randrange(255)
-    again = open_journal(disk, Sync.NONE)
+    again = open_journal(disk, SyncPolicy.NONE)
     after = View.of(again)
     ran = {row[0] for row in before.messages if row[3]}
     for row in after.messages:  # a message that may have run must still count as such
@@ -191,7 +189,7 @@
     assert len(after.messages) >= len(before.messages) - 1
     again.close()
     # What recovery decided holds at the next start, and after copying forward.
-    third = open_journal(disk.after_crash(power=False), Sync.NONE)
+    third = open_journal(disk.after_crash(power=False), SyncPolicy.NONE)
     assert [row[:5] for row in View.of(third).messages] == [row[:5] for row in after.messages]
     third.compact_all()
     assert [row[0] for row in View.of(third).messages] == [row[0] for row in after.messages]
@@ -204,7 +202,7 @@
     data = disk.files[segment_file_name(2)].data
     start = data.find(codec.MARKER, 300)
     data[start + 20] ^= 0xFF
-    journal = open_journal(disk, Sync.NONE)
+    journal = open_journal(disk, SyncPolicy.NONE)
     assert len(journal.messages) == 29
     assert f"00000002.journal is damaged from byte {start}" in caplog.text
     early, late = journal.messages["m0"], journal.messages["m29"]
@@ -212,7 +210,7 @@
 
 
 def test_a_message_whose_body_was_lost_is_ended_as_failed() -> None:
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     journal.take(message("m"))
     journal.take(message("other"))
     journal.attempt("m", 0, 5, "e0")
@@ -221,7 +219,7 @@
     data = disk.files[segment_file_name(1)].data
     data[data.find(b'"m"')] ^= 0xFF
     for _ in range(2):  # also at the next start
-        journal = open_journal(disk, Sync.NONE)
+        journal = open_journal(disk, SyncPolicy.NONE)
         assert journal.messages["m"].notice == ("given_up", 0)
         assert journal.messages["other"].notice is None
         journal.close()
@@ -231,7 +229,7 @@
 def test_after_a_missing_segment_all_earlier_messages_may_have_run() -> None:
     disk = full_disk().after_crash(power=False)
     del disk.files[segment_file_name(2)]
-    journal = open_journal(disk, Sync.NONE)
+    journal = open_journal(disk, SyncPolicy.NONE)
     assert journal.messages["m0"].may_have_run() is not None
     assert journal.messages["m29"].may_have_run() is None
 
@@ -241,26 +239,26 @@
     head = codec._frame(b'h{"format":"umberchute-journal","version":2}')
     disk.files[segment_file_name(1)] = Inode(bytearray(head), head)
     with pytest.raises(FormatError, match="version 2; expected umberchute-journal version 1"):
-        open_journal(disk, Sync.NONE)
+        open_journal(disk, SyncPolicy.NONE)
     assert disk.read(segment_file_name(1)) == head and disk.lock()
 
 
 def test_a_second_process_on_the_folder_is_refused() -> None:
     disk = FaultyDisk()
-    journal = open_journal(disk, Sync.NONE)
+    journal = open_journal(disk, SyncPolicy.NONE)
     with pytest.raises(FolderInUseError):
-        open_journal(disk, Sync.NONE)
+        open_journal(disk, SyncPolicy.NONE)
     journal.close()
-    open_journal(disk, Sync.NONE)
+    open_journal(disk, SyncPolicy.NONE)
 
 
 def test_a_clock_that_steps_back_changes_no_order() -> None:
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     for number, at_ms in enumerate((5_000, 1_000, 3_000)):
         journal.take(message(f"m{number}"))
         journal.attempt(f"m{number}", 0, at_ms, "e0")
         journal.attempt(f"m{number}", 1, at_ms - 900, "e1")
-    again = open_journal(disk.after_crash(power=False), Sync.NONE)
+    again = open_journal(disk.after_crash(power=False), SyncPolicy.NONE)
     assert list(again.messages) == ["m0", "m1", "m2"]
     assert again.messages["m0"].may_have_run() == (4_100, "e1")
 
@@ -269,7 +267,7 @@
 
 def test_a_full_disk_refuses_new_messages_and_loses_none(caplog: pytest.LogCaptureFixture) -> None:
     logging.getLogger("wheelstep.journal").setLevel(logging.NOTSET)
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     journal.take(message("a"))
     journal.take(message("b"))
     journal.attempt("a", 0, 5, "e0")
@@ -291,7 +289,7 @@
     disk.room = None
     journal.take(message("e"))
     assert caplog.text.count("writes again") == 1
-    again = open_journal(disk.after_crash(power=False), Sync.NONE)
+    again = open_journal(disk.after_crash(power=False), SyncPolicy.NONE)
     assert list(again.messages) == ["a", "e"] and again.messages["a"].may_have_run() is not None
 
 
@@ -299,14 +297,14 @@
 def test_an_error_at_any_one_operation_loses_nothing(number: int) -> None:
     """One history, with an error at each operation in turn: memory and disk must agree in the end."""
     history = draw_history(random.Random(number), 60)
-    whole = open_journal(disk := FaultyDisk(1), Sync.NONE)
+    whole = open_journal(disk := FaultyDisk(1), SyncPolicy.NONE)
     for step in history:
         play(whole, step)
     for point in range(1, disk.count + 1):
         disk = FaultyDisk(1)
         disk.faults = {point: number}
         try:
-            journal = open_journal(disk, Sync.NONE)
+            journal = open_journal(disk, SyncPolicy.NONE)
         except OSError:
             continue
         for step in history:
@@ -316,12 +314,12 @@
                 assert step[0] == "attempt"
         journal._write_deferred()
         held = View.of(journal)
-        again = View.of(open_journal(disk.after_crash(power=False), Sync.NONE))
+        again = View.of(open_journal(disk.after_crash(power=False), SyncPolicy.NONE))
         assert again.messages == held.messages
 
 
 def test_half_a_record_that_can_not_be_cut_off_hides_nothing_behind_it() -> None:
-    journal = open_journal(disk := FaultyDisk(), Sync.NONE)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.NONE)
     journal.take(message("a"))
     write, truncate = disk.write, disk.truncate
 
@@ -338,7 +336,7 @@
     disk.write, disk.truncate = write, truncate  # type: ignore[method-assign]
     journal.take(message("c"))
     journal.attempt("a", 0, 5, "e0")
-    again = open_journal(disk.after_crash(power=False), Sync.NONE)
+    again = open_journal(disk.after_crash(power=False), SyncPolicy.NONE)
     assert list(again.messages) == ["a", "c"]
     assert again.messages["c"].may_have_run() is None  # a torn record is not damage
 
@@ -347,7 +345,7 @@
     logging.getLogger("wheelstep.journal").setLevel(logging.NOTSET)
 
     async def scene() -> None:
-        journal = open_journal(disk := FaultyDisk(), Sync.GROUP)
+        journal = open_journal(disk := FaultyDisk(), SyncPolicy.GROUP)
         journal.take(message("a"))
         await journal.durable()
         disk.broken.add("sync")
@@ -369,19 +367,19 @@
 
 def test_a_message_whose_own_sync_failed_is_not_back_at_the_next_start() -> None:
     """Its client was answered 503 and may send it again."""
-    journal = open_journal(disk := FaultyDisk(), Sync.EACH)
+    journal = open_journal(disk := FaultyDisk(), SyncPolicy.EACH)
     journal.take(message("a"))
     disk.broken.add("sync")
     with pytest.raises(NoRoomError):
         journal.take(message("b"))
     journal.over("a")
-    assert not open_journal(disk.after_crash(power=False), Sync.EACH).messages
+    assert not open_journal(disk.after_crash(power=False), SyncPolicy.EACH).messages
 
 
 def test_all_waiters_share_one_sync_and_a_slow_sync_times_out() -> None:
     async def scene() -> None:
         disk = FaultyDisk()
-        journal = Journal(disk, 3_000_000, Sync.GROUP)
+        journal = Journal(disk, 3_000_000, SyncPolicy.GROUP)
         journal.take(message("first"))
         await journal.durable()
         syncs = 0
@@ -401,8 +399,8 @@
         await asyncio.gather(*(one(number) for number in range(50)))
         assert 1 <= syncs <= 3
         lost = disk.after_crash(power=True)
-        assert len(open_journal(lost, Sync.GROUP).messages) == 51
-        slow = Journal(FaultyDisk(), LIMIT, Sync.GROUP, wait_s=0.0)
+        assert len(open_journal(lost, SyncPolicy.GROUP).messages) == 51
+        slow = Journal(FaultyDisk(), LIMIT, SyncPolicy.GROUP, wait_s=0.0)
         slow.take(message("m"))
         with pytest.raises(NoRoomError, match="no sync within"):
             await slow.durable()
@@ -411,7 +409,7 @@
 
 def test_under_a_sync_policy_a_segment_goes_only_once_its_copies_are_synced() -> None:
     async def scene() -> None:
-        journal = open_journal(disk := FaultyDisk(), Sync.GROUP)
+        journal = open_journal(disk := FaultyDisk(), SyncPolicy.GROUP)
         for number in range(60):
             journal.take(message(f"m{number}", 20))
             if number % 10:
@@ -419,7 +417,9 @@
         await journal.durable()
         for _ in range(40):
             journal.compact(0.0)
-        assert not open_journal(disk.after_crash(power=True), Sync.GROUP).messages.keys() ^ journal.messages.keys()
+        assert not (open_journal(disk.after_crash(power=True), SyncPolicy.GROUP).messages.keys()
+                    ^ journal.messages.keys())
         await journal.durable()
-        assert not open_journal(disk.after_crash(power=True), Sync.GROUP).messages.keys() ^ journal.messages.keys()
+        assert not (open_journal(disk.after_crash(power=True), SyncPolicy.GROUP).messages.keys()
+                    ^ journal.messages.keys())
     asyncio.run(scene())
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -16,7 +16,7 @@
 from wheelstep.courier.key_order import Block, KeyOrder
 from wheelstep.courier.send_guard import SendGuard
 from wheelstep.courier.succession import follow
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 SETTLE_S = 0.3
 
@@ -135,10 +135,10 @@
     recorder.note(0.5, EventKind.ACCEPTED, "first", "k")
     invariants = Invariants(recorder)
     guard = SendGuard(order, invariants)
-    second = Stored("second", "c", 7, 0, key="k")
+    second = StoredMessage("second", "c", 7, 0, key="k")
     assert not guard.may_send(second, Item("second", 0, None, b""), 1.0)
     assert "KEY_ORDER" in caplog.text and "0.500 accepted first" in caplog.text
-    fee = Stored("fee", "c", 7, 0, attempts=1, ran_ms=5, ran_at="e0")
+    fee = StoredMessage("fee", "c", 7, 0, attempts=1, ran_ms=5, ran_at="e0")
     assert not guard.may_send(fee, Item("fee", 1, None, b"", once=True), 1.0)
     assert guard.may_send(fee, Item("fee", 1, None, b""), 1.0)
     fee.ran_ms, fee.out = None, {1: (5, "e0")}
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from wheelstep.journal import Journal, Stored
+from wheelstep.journal import Journal, StoredMessage
 from wheelstep.workers.layout import FILE, Layout, LayoutError, prepare, read
 from wheelstep.workers.ownership import share_of
 
@@ -20,7 +20,8 @@
 def fill(folder: Path, count: int = 60) -> None:
     journal = Journal(folder, LIMIT)
     for number in range(count):
-        journal.take(Stored(f"m{number}", "pay", number % 13, 10**13, f"k{number % 5}", "t", False, b"x" * number))
+        journal.take(StoredMessage(f"m{number}", "pay", number % 13, 10**13, f"k{number % 5}", "t", False,
+                                   b"x" * number))
         if number % 3 == 0:
             journal.attempt(f"m{number}", 0, 1_000 + number, "e1")
         if number % 6 == 0:
--- a/tests/test_renewal.py
+++ b/tests/test_renewal.py
@@ -16,7 +16,7 @@
 
 from wheelstep import interface as api
 from wheelstep.interface import Effect, MessageClass, Outcome
-from wheelstep.renewal.classes import ClassTable, during, stricter_rules
+from wheelstep.renewal.classes import ClassTable, stricter_rules, transitional_classes
 from wheelstep.renewal.files import RenewalError, check
 
 FILE = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {"disk_mb": 3},
@@ -112,10 +112,10 @@
     assert order.index(both.effect) == max(order.index(one.effect), order.index(other.effect))
     assert all((both.most_attempts or 99) <= (cls.most_attempts or 99) for cls in (one, other))
     assert all(both.key_ttl_us <= cls.key_ttl_us for cls in (one, other) if cls.effect is Effect.KEYED is both.effect)
-    assert during(ClassTable({"x": one}), {"x": other, "y": one})["y"] == one
+    assert transitional_classes(ClassTable({"x": one}), {"x": other, "y": one})["y"] == one
 
 
-def test_the_policy_module_keeps_a_held_message_under_its_old_class() -> None:
+def test_the_decision_module_keeps_a_held_message_under_its_old_class() -> None:
     drive = SenderDriver()
     for name in ("old", "new"):
         if name == "new":
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -13,7 +13,7 @@
 import pytest
 
 from wheelstep import interface as api
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.scale.desk import HollowDesk
 from wheelstep.rehearsal.scale.downs import Downs
 from wheelstep.rehearsal.scale.links import Links, between_regions
@@ -198,7 +198,8 @@
                         (row(PLAN, destination) for destination in range(5))])
         assert desk.serves(4) and not desk.serves(5)
         for number in range(20):
-            desk.take(Stored(f"t{number}", "order", number % 5, int((time.time() + 20) * 1000), f"k{number % 2}"))
+            desk.take(StoredMessage(f"t{number}", "order", number % 5, int((time.time() + 20) * 1000),
+                                    f"k{number % 2}"))
             if number == 3:
                 desk.withdraw("t3")
             else:
--- a/tests/test_shard_departures.py
+++ b/tests/test_shard_departures.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world.clients import Hand
 from wheelstep.rehearsal.shard_world.clock import virtual
 from wheelstep.rehearsal.shard_world.faults import both
@@ -33,7 +33,7 @@
     run.fabric.slow.update(dict.fromkeys(both([one.name], [other.name]), 30 * MS))
     heard: list[int] = []
     for number, patience_us in ((1, 40 * MS), (2, S)):
-        message = Stored(f"m{number}", "ordered", destination, (world.wall_us() + 9 * S) // MS, "key")
+        message = StoredMessage(f"m{number}", "ordered", destination, (world.wall_us() + 9 * S) // MS, "key")
         Hand(world, run.check, message, heard.append).at(one, False, patience_us)
         world.run(world.now_us + S)
     assert heard == [0, 202]
@@ -61,7 +61,7 @@
     heard: list[int] = []
 
     def hand(name: str) -> None:
-        message = Stored(name, "ordered", destination, (world.wall_us() + 9 * S) // MS, "key")
+        message = StoredMessage(name, "ordered", destination, (world.wall_us() + 9 * S) // MS, "key")
         Hand(world, run.check, message, heard.append).at(one, False)
     hand("m1")
     world.run(world.now_us + 100 * MS)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -16,15 +16,15 @@
 
 from wheelstep.courier.desk import BadRequestError, UnansweredError
 from wheelstep.forwarding.client import RemoteDesk
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.rehearsal.rig import module_command
 from wheelstep.rehearsal.standins.machine import children
 from wheelstep.workers.between import OwnerSide, forward_client
 from wheelstep.workers.ownership import share_of
 
 
-def message(name: str, destination: int = 7) -> Stored:
-    return Stored(name, "once", destination, 10**13, body=b"body of " + name.encode())
+def message(name: str, destination: int = 7) -> StoredMessage:
+    return StoredMessage(name, "once", destination, 10**13, body=b"body of " + name.encode())
 
 
 class Owner:
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.syncs = False
         self.is_full = self.no_room = False
-        self.taken: dict[str, Stored] = {}
+        self.taken: dict[str, StoredMessage] = {}
         self.begun: list[str] = []
         self.withdrawn: list[str] = []
         self.news = asyncio.Condition()
@@ -48,7 +48,7 @@
     def holds(self, name: str) -> bool:
         return name in self.taken
 
-    def take(self, one: Stored) -> None:
+    def take(self, one: StoredMessage) -> None:
         if self.no_room:
             raise NoRoomError("no room at all")
         self.taken[one.id] = one
@@ -68,7 +68,7 @@
             self.withdrawn.append(name)
             asyncio.get_running_loop().create_task(self._tell())
 
-    def handed_in(self, one: Stored, status: int) -> None:
+    def handed_in(self, one: StoredMessage, status: int) -> None:
         pass
 
     async def _tell(self) -> None:
@@ -101,7 +101,7 @@
         self.passage.close()
         self.server.close()
 
-    async def hand_in(self, one: Stored) -> RemoteDesk:
+    async def hand_in(self, one: StoredMessage) -> RemoteDesk:
         desk = RemoteDesk(self.passage)
         desk.take(one)
         await desk.durable()
--- a/wheelstep/account/tally.py
+++ b/wheelstep/account/tally.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wheelstep.account.course import Course, Courses, Loss
 from wheelstep.account.lines import Line, LineError, read
 from wheelstep.account.log import Log
 from wheelstep.account.spans import Cause
+from wheelstep.account.timeline import Loss, MessageTimeline, MessageTimelines
 
 _MESSAGE_KINDS = frozenset({"take", "back", "door", "go", "out", "end"})
 
@@ -46,12 +46,12 @@
     losses: list[Loss] = field(default_factory=list)
 
 
-class Book:
+class AccountBuilder:
     """Collects the lines of all logs, courier by courier, each in the order of its lines."""
 
     def __init__(self) -> None:
         """Start with no lines."""
-        self.courses: dict[str, Course] = {}
+        self.timelines: dict[str, MessageTimeline] = {}
         self.logs: dict[str, Log] = {}
         self.damaged = self.read = 0
         self._fleet: dict[int, FleetCounts] = defaultdict(FleetCounts)
@@ -81,7 +81,7 @@
             self.read += 1
             if line.kind in _MESSAGE_KINDS:
                 message = str(line.fields[0])
-                self.courses.setdefault(message, Course(message)).add(log.courier, line)
+                self.timelines.setdefault(message, MessageTimeline(message)).add(log.courier, line)
         return take
 
     def _count(self, courier: str, line: Line) -> None:
@@ -107,11 +107,11 @@
     def account(self) -> Account:
         """Compute the account. Seconds are counted from the first line."""
         found = Account()
-        courses = Courses(self.courses, self.logs)
+        timelines = MessageTimelines(self.timelines, self.logs)
         first_s = min(self._fleet, default=0)
-        for course in self.courses.values():
+        for timeline in self.timelines.values():
             found.messages += 1
-            row = courses.loss(course)
+            row = timelines.loss(timeline)
             if row is None:
                 found.pending += 1
                 continue
--- a/wheelstep/account/course.py
+++ b/wheelstep/account/timeline.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Course:
+class MessageTimeline:
     """One message's lines from all couriers."""
 
     message: str
@@ -111,28 +111,28 @@
     parts: list[tuple[Span, float]]
 
 
-class Courses:
+class MessageTimelines:
     """All messages, with the spans of each computed once."""
 
-    def __init__(self, courses: dict[str, Course], logs: dict[str, Log]) -> None:
+    def __init__(self, timelines: dict[str, MessageTimeline], logs: dict[str, Log]) -> None:
         """Prepare the lines of all messages. The logs count as complete up to their last line."""
-        self._courses, self._logs, self._spans = courses, logs, dict[str, list[Span]]()
+        self._courses, self._logs, self._spans = timelines, logs, dict[str, list[Span]]()
         self._turns = {name: log.turns() for name, log in logs.items()}
         self._until_ms = max((log.last_ms for log in logs.values()), default=0)
         self.classes: dict[str, Class] = {}
         for log in logs.values():
             self.classes.update(log.classes)
-        for course in courses.values():  # the lines were added courier by courier; sort them by time
-            course.lines.sort(key=lambda row: row[:2])
+        for timeline in timelines.values():  # the lines were added courier by courier; sort them by time
+            timeline.lines.sort(key=lambda row: row[:2])
 
-    def _due_ms(self, course: Course) -> int:
+    def _due_ms(self, timeline: MessageTimeline) -> int:
         """Return the message's deadline."""
-        return course.began_ms(self.classes) + self.classes[course.cls].deadline_ms
+        return timeline.began_ms(self.classes) + self.classes[timeline.cls].deadline_ms
 
-    def _predecessors(self, course: Course) -> set[str]:
+    def _predecessors(self, timeline: MessageTimeline) -> set[str]:
         """Return the messages that were directly before this one in its key's order, one per courier."""
-        return {turn[1] for _, _, courier, _ in course.lines
-                if (turn := self._turns[courier].get(course.message)) is not None}
+        return {turn[1] for _, _, courier, _ in timeline.lines
+                if (turn := self._turns[courier].get(timeline.message)) is not None}
 
     def spans(self, message: str) -> list[Span]:
         """Return a message's spans.
@@ -143,35 +143,35 @@
         stack = [message]
         visited: set[str] = set()
         while stack:
-            course = self._courses[stack[-1]]
-            if course.message in self._spans or course.cls not in self.classes:
+            timeline = self._courses[stack[-1]]
+            if timeline.message in self._spans or timeline.cls not in self.classes:
                 stack.pop()
-            elif course.message not in visited:
-                visited.add(course.message)
-                stack += [front for front in self._predecessors(course) if front not in visited]
+            elif timeline.message not in visited:
+                visited.add(timeline.message)
+                stack += [front for front in self._predecessors(timeline) if front not in visited]
             else:
-                until_ms = min(self._until_ms, self._due_ms(course))
-                self._spans[stack.pop()] = course.spans(
+                until_ms = min(self._until_ms, self._due_ms(timeline))
+                self._spans[stack.pop()] = timeline.spans(
                     self._logs, self._turns, until_ms, lambda front: self._spans.get(front, ()))
         return self._spans.get(message, [])
 
-    def loss(self, course: Course) -> Loss | None:
+    def loss(self, timeline: MessageTimeline) -> Loss | None:
         """Return what the message lost, or None while its deadline has not passed or if no log states its class."""
-        cls = self.classes.get(course.cls)
+        cls = self.classes.get(timeline.cls)
         if cls is None:
             return None
-        began_ms, due_ms = course.began_ms(self.classes), self._due_ms(course)
-        delivered_ms, courier = course.delivered_ms(), course.lines[-1][2]
+        began_ms, due_ms = timeline.began_ms(self.classes), self._due_ms(timeline)
+        delivered_ms, courier = timeline.delivered_ms(), timeline.lines[-1][2]
         if delivered_ms is not None:
             lost = cls.worth - cls.worth_after(delivered_ms - began_ms)
             how = "late" if lost > 0 else "in time"
-        elif not course.answered():
+        elif not timeline.answered():
             if self._until_ms < due_ms + SLACK_MS:
                 return None
-            return Loss(course.message, course.cls, cls.worth, cls.worth, "never", courier,
-                        [(Span(course.lines[-1][0], due_ms, Cause.NEVER), cls.worth)])
+            return Loss(timeline.message, timeline.cls, cls.worth, cls.worth, "never", courier,
+                        [(Span(timeline.lines[-1][0], due_ms, Cause.NEVER), cls.worth)])
         else:
-            ends = [row[3] for row in course.lines if row[3].kind in ("end", "door")]
+            ends = [row[3] for row in timeline.lines if row[3].kind in ("end", "door")]
             lost, how = cls.worth, str(ends[-1].fields[1]) if ends[-1].kind == "end" else "refused at the door"
-        return Loss(course.message, course.cls, cls.worth, lost, how, courier,
-                    share(self.spans(course.message), lost, course.lines[-1][0]))
+        return Loss(timeline.message, timeline.cls, cls.worth, lost, how, courier,
+                    share(self.spans(timeline.message), lost, timeline.lines[-1][0]))
--- a/wheelstep/account/writer.py
+++ b/wheelstep/account/writer.py
@@ -20,7 +20,7 @@
 Gauge = Callable[[], tuple[int, int, int, Sequence[tuple[int, WaitReason, int]]]]
 
 
-class Account:
+class AccountWriter:
     """Writes one courier's lines, from its start on."""
 
     def __init__(self, courier: str, classes: Mapping[str, MessageClass], decay: Decay) -> None:
--- a/wheelstep/channels/content.py
+++ b/wheelstep/channels/content.py
@@ -9,7 +9,7 @@
 
 from wheelstep.channels.book import PositionError
 from wheelstep.channels.serving import EPOCH, SENT, Serving
-from wheelstep.journal import NoRoomError, Stored, codec
+from wheelstep.journal import NoRoomError, StoredMessage, codec
 from wheelstep.moves.types import Piece
 
 _INHERITED = "i:"  # a piece: a former owner has positions of this part that never came with it
@@ -17,10 +17,10 @@
 log = logging.getLogger(__name__)
 
 
-def read_message(data: bytes) -> Stored:
+def read_message(data: bytes) -> StoredMessage:
     """A message as a piece holds it. Raises `ValueError`."""
     for found in codec.scan(data):
-        if isinstance(found, tuple) and found[1][0] == codec.TAKE and isinstance(found[1][1], Stored) \
+        if isinstance(found, tuple) and found[1][0] == codec.TAKE and isinstance(found[1][1], StoredMessage) \
                 and found[1][1].channel is not None:
             return found[1][1]
     raise ValueError("no message of a channel")
@@ -138,7 +138,7 @@
         self.pump()
         return True
 
-    def _found(self, now_ms: int, part: int, message: Stored) -> bool:
+    def _found(self, now_ms: int, part: int, message: StoredMessage) -> bool:
         assert message.channel is not None
         if message.id in self._kept.messages or self.ended_here(message):
             return True
--- a/wheelstep/channels/contracts.py
+++ b/wheelstep/channels/contracts.py
@@ -14,7 +14,7 @@
 from pydantic import Field, ValidationError, ValidationInfo, field_validator
 
 from wheelstep.channels.terms import Contract, Gap, Order, Repeat, Unclear
-from wheelstep.fields import Part, Time, explain
+from wheelstep.fields import Duration, Table, describe_error
 
 _PAGE = "docs/design/channels.md"
 _AHEAD = 16
@@ -22,14 +22,14 @@
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9_-]{0,39}$")]
 Pattern = Annotated[str, Field(min_length=1, max_length=200)]
 Patterns = Annotated[tuple[Pattern, ...], Field(max_length=100)]
-Kept = Annotated[Time, Field(ge=1_000, le=30 * 86_400_000_000)]
+Kept = Annotated[Duration, Field(ge=1_000, le=30 * 86_400_000_000)]
 
 
 class ContractError(Exception):
     """Contracts can't be used: `contract[1].gap: what was found; expected what`."""
 
 
-class ContractPart(Part):
+class ContractPart(Table):
     """One contract. A combination that can't be kept or means nothing is refused."""
 
     name: Name
@@ -119,7 +119,7 @@
                         0 if self.gap == "fail" else self.ahead or _AHEAD, _ms(self.keep))
 
 
-class _File(Part):
+class _File(Table):
     contract: Annotated[tuple[ContractPart, ...], Field(max_length=1000)] = ()
 
 
@@ -172,7 +172,7 @@
     try:
         return Contracts(_File.model_validate({"contract": tables}).contract)
     except ValidationError as error:
-        raise ContractError(explain(error, _PAGE)) from error
+        raise ContractError(describe_error(error, _PAGE)) from error
 
 
 def changes(old: Contracts, new: Contracts) -> list[str]:
--- a/wheelstep/channels/front.py
+++ b/wheelstep/channels/front.py
@@ -21,7 +21,7 @@
 from wheelstep.courier.outlet import Item
 from wheelstep.courier.reading import key_of, read_message
 from wheelstep.courier.request import Request
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 
 _NUMBER, _SESSION = "x-channel-number", "x-channel-epoch"
 _JSON = ("Content-Type", "application/json")
@@ -45,7 +45,7 @@
         """In force."""
         return self._book.contracts
 
-    def message(self, request: Request) -> Stored:
+    def message(self, request: Request) -> StoredMessage:
         """What is handed in. Raises `BadRequestError` and `RefusedError`."""
         message = read_message(request, self._classes)
         key, path = key_of(request.target), request.target.partition("?")[0]
@@ -74,7 +74,7 @@
         self._next = (message.id, verdict.next)
         return message
 
-    def says(self, message: Stored) -> Headers:
+    def says(self, message: StoredMessage) -> Headers:
         """With a 202: the number that it has and the next one expected."""
         if message.channel is None:
             return ()
@@ -102,7 +102,7 @@
             "next": position.next, "epoch": position.session, "held": sorted(position.entries)}
         connection.say(request, 200, json.dumps(row) + "\n", (_JSON, ("X-Channel-Next", str(row["next"]))))
 
-    def taken(self, message: Stored) -> None:
+    def taken(self, message: StoredMessage) -> None:
         """Its client has heard."""
 
     def _given(self, request: Request, header: str) -> int | None:
@@ -164,7 +164,7 @@
         """Done once it is safe."""
         return self._core.durable()
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Write it down, or raise `NoRoomError`."""
         try:
             self._core.take(message)
@@ -189,13 +189,13 @@
         self._core.withdraw(name)
         self.wake()
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """It was handed in, and this is the answer."""
         self._core.handed_in(message, status)
 
     # --- what waits ---
 
-    def expect(self, message: Stored) -> None:
+    def expect(self, message: StoredMessage) -> None:
         """It may end while it waits. Bounded by what is held."""
         heapq.heappush(self._ends, (message.deadline_ms - _END_MS, message.id))
         self.wake()
--- a/wheelstep/channels/kept.py
+++ b/wheelstep/channels/kept.py
@@ -10,7 +10,7 @@
 from wheelstep.channels.book import Book
 from wheelstep.channels.contracts import part_of
 from wheelstep.courier.ports import Book as Journal
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 
 _OUTCOMES = {"delivered": "delivered", "handed_back": "refused", "given_up": "failed"}
 
@@ -25,14 +25,14 @@
         self._live: dict[str, set[int]] = {}  # message -> attempts of this process that have no outcome
         self.doubted: Callable[[str], None] = lambda name: None
         self.moved: Callable[[], None] = lambda: None  # something of a channel has changed
-        self.taken: Callable[[Stored], None] = lambda message: None  # a channel's message is here from now on
+        self.taken: Callable[[StoredMessage], None] = lambda message: None  # a channel's message is here from now on
         for message in journal.messages.values():
             self._index(message)
 
     # --- courier.ports.Book ---
 
     @property
-    def messages(self) -> dict[str, Stored]:
+    def messages(self) -> dict[str, StoredMessage]:
         """All that are owed an end."""
         return self.journal.messages
 
@@ -54,7 +54,7 @@
         """Remember a small fact."""
         self.journal.mark(name, value)
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """A hand-in: its number, then the message. Raises `NoRoomError` with nothing taken."""
         if message.channel is None:
             self.journal.take(message)
@@ -114,12 +114,12 @@
 
     # --- parts ---
 
-    def part(self, message: Stored) -> int:
+    def part(self, message: StoredMessage) -> int:
         """Of a channel's message."""
         assert message.channel is not None
         return part_of(message.channel, self._parts)
 
-    def of(self, part: int) -> list[Stored]:
+    def of(self, part: int) -> list[StoredMessage]:
         """A part's messages whose end is not decided, in the order of each channel."""
         found = [self.messages[name] for name in self._of.get(part, ())]
         return sorted((m for m in found if m.notice is None), key=lambda m: (m.channel or "", m.number))
@@ -132,7 +132,7 @@
         """Calls of the part that have no outcome yet."""
         return sum(name in self._live for name in self._of.get(part, ()))
 
-    def adopt(self, message: Stored) -> None:
+    def adopt(self, message: StoredMessage) -> None:
         """Take a message whose position is known already."""
         self.journal.take(message)
         self._index(message)
@@ -183,7 +183,7 @@
         """Nobody asks any more."""
         self._news.pop(part, None)
 
-    def _index(self, message: Stored) -> None:
+    def _index(self, message: StoredMessage) -> None:
         if message.channel is not None:
             self._of.setdefault(self.part(message), {})[message.id] = None
 
--- a/wheelstep/channels/serving.py
+++ b/wheelstep/channels/serving.py
@@ -13,7 +13,7 @@
 from wheelstep.courier.core import Core
 from wheelstep.courier.outlet import Item, Result
 from wheelstep.interface import NEVER_EXECUTED, Outcome
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 EPOCH = ":e"  # before a part's number: the mark of the last epoch under which it was served or adopted here
 SENT = ":s"  # before a part's number: its pieces have gone to another courier since
@@ -152,7 +152,7 @@
                     self.end_here(message.id)
         self._kept.flush()
 
-    def ended_here(self, message: Stored) -> bool:
+    def ended_here(self, message: StoredMessage) -> bool:
         """Has it had its end under this courier's position? Then it is nobody's any more."""
         position = self._book.position(message.channel or "")
         return (position is not None and position.state(message.number) == "ended"
@@ -165,7 +165,7 @@
             surely = message.may_have_run() is None and f"{SENT}{self._kept.part(message)}" not in self._kept.marks
             self._core.finish(name, "handed_back" if surely else "given_up")
 
-    def restore(self, marks: Mapping[str, Any]) -> list[Stored]:
+    def restore(self, marks: Mapping[str, Any]) -> list[StoredMessage]:
         """Take up positions after a start. Gives the messages that the core is to go on with at once; those of parts
         wait for their lease."""
         messages = self._kept.messages
--- a/wheelstep/cli/account_commands.py
+++ b/wheelstep/cli/account_commands.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from wheelstep.account.course import Course
 from wheelstep.account.spans import Cause
-from wheelstep.account.tally import Account, Book
+from wheelstep.account.tally import Account, AccountBuilder
+from wheelstep.account.timeline import MessageTimeline
 from wheelstep.cli.exits import OK, InputError
 
 _WORDS = {
@@ -23,16 +23,16 @@
 def run(given: argparse.Namespace) -> int:
     """Carry out a parsed command: 0, or 2 where logs can't be read or tell nothing."""
     files = list(_files(given.logs))
-    book = Book()
+    book = AccountBuilder()
     for file in files:
         take = book.courier(file.name)
         for text in _lines(file):
             take(text)
     if given.verb == "trace":
-        if given.message not in book.courses:
+        if given.message not in book.timelines:
             raise InputError(f"{given.message}: in none of {len(files)} logs; expected a message's id as couriers "
                              "log it")
-        _trace(book.courses[given.message], given.json)
+        _trace(book.timelines[given.message], given.json)
         return OK
     if not book.read:
         raise InputError(f"{given.logs[0]}: no line of an account in {len(files)} files; expected logs of couriers "
@@ -64,9 +64,9 @@
         raise InputError(f"{file}: can't be read: {error}") from error
 
 
-def _trace(course: Course, as_json: bool) -> None:
+def _trace(timeline: MessageTimeline, as_json: bool) -> None:
     """One message's lines of all couriers, by time."""
-    rows = sorted(course.lines, key=lambda row: row[:2])
+    rows = sorted(timeline.lines, key=lambda row: row[:2])
     for at_ms, _, courier, line in rows:
         words = _WORDS[line.kind].format(*line.fields)
         if as_json:
--- a/wheelstep/console/commands.py
+++ b/wheelstep/console/commands.py
@@ -11,7 +11,7 @@
 MAX_LINE_BYTES = 512  # bytes of a command
 
 
-class Desk(Protocol):
+class ConsoleBackend(Protocol):
     """What the commands need from the courier."""
 
     @property
@@ -29,22 +29,22 @@
         """Put an excluded endpoint back into use. False if it is unknown."""
 
 
-def reply(line: bytes, desk: Desk) -> bytes:
+def reply(line: bytes, backend: ConsoleBackend) -> bytes:
     """Return the whole reply to one command."""
-    return _reply(line.decode("utf-8", "replace").split(), desk).encode()
+    return _reply(line.decode("utf-8", "replace").split(), backend).encode()
 
 
-def _reply(words: list[str], desk: Desk) -> str:
+def _reply(words: list[str], backend: ConsoleBackend) -> str:
     """Return the reply to a command's words."""
     match words:
         case ["readyz"]:
-            return "+OK ready\n" if desk.ready else "-ERR not ready\n"
+            return "+OK ready\n" if backend.ready else "-ERR not ready\n"
         case ["telemetry"]:
-            return f"+OK\n{desk.telemetry()}.\n"
+            return f"+OK\n{backend.telemetry()}.\n"
         case ["exclude", endpoint]:
-            return f"+OK {endpoint} is out\n" if desk.exclude(endpoint) else _unknown(endpoint)
+            return f"+OK {endpoint} is out\n" if backend.exclude(endpoint) else _unknown(endpoint)
         case ["include", endpoint]:
-            return f"+OK {endpoint} is back\n" if desk.include(endpoint) else _unknown(endpoint)
+            return f"+OK {endpoint} is back\n" if backend.include(endpoint) else _unknown(endpoint)
         case _:
             return "-ERR expected one of: readyz, telemetry, exclude ID, include ID\n"
 
--- a/wheelstep/console/front.py
+++ b/wheelstep/console/front.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from wheelstep.console.commands import MAX_LINE_BYTES, Desk, reply
+from wheelstep.console.commands import MAX_LINE_BYTES, ConsoleBackend, reply
 from wheelstep.courier.client_listener import ClientListener
 from wheelstep.courier.config import Address
 from wheelstep.courier.listen import QUEUE, bind
@@ -19,8 +19,8 @@
 class _Connection(asyncio.Protocol):
     """One connection."""
 
-    def __init__(self, front: Front) -> None:
-        self._front = front
+    def __init__(self, front: ConsoleServer) -> None:
+        self._server = front
         self._line = b""
         self._timeout: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
@@ -31,7 +31,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._timeout = asyncio.get_running_loop().call_later(_TIME_LIMIT_S, self.abort)
-        self._front.opened(self)
+        self._server.opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Collect bytes until the command is complete or too long."""
@@ -53,7 +53,7 @@
         self.received, self._line = True, b""
         assert self._transport is not None
         try:
-            self._transport.write(reply(line[:MAX_LINE_BYTES + 1], self._front.desk))
+            self._transport.write(reply(line[:MAX_LINE_BYTES + 1], self._server.backend))
         except Exception:
             log.exception("a console command failed: %.80r", line)
             self._transport.write(b"-ERR failed; the log has more\n")
@@ -63,7 +63,7 @@
         """Forget the connection."""
         if self._timeout is not None:
             self._timeout.cancel()
-        self._front.closed(self)
+        self._server.closed(self)
 
     def abort(self) -> None:
         """Close the connection at once."""
@@ -71,12 +71,12 @@
             self._transport.abort()
 
 
-class Front:
+class ConsoleServer:
     """The listener and its connections."""
 
-    def __init__(self, desk: Desk) -> None:
-        """Answer commands from `desk`."""
-        self.desk = desk
+    def __init__(self, backend: ConsoleBackend) -> None:
+        """Answer commands from `backend`."""
+        self.backend = backend
         self._connections: dict[_Connection, None] = {}
         self._listener: ClientListener | None = None
 
--- a/wheelstep/console/figures.py
+++ b/wheelstep/console/metrics.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class Counters:
     """Counters since the process started. Those by class name are bounded by the classes that configurations have
     named."""
 
@@ -35,13 +35,13 @@
     skipped_endpoints: int
 
 
-def render(figures: Figures, gauges: Gauges, classes: Iterable[str]) -> str:
+def render(counters: Counters, gauges: Gauges, classes: Iterable[str]) -> str:
     """Return one line per metric; the given classes are listed even with a count of 0."""
     lines = []
     for name in ("passed", "dropped", "bad_gateway"):
-        counts: Counter[str] = getattr(figures, name)
+        counts: Counter[str] = getattr(counters, name)
         lines += [f"{PREFIX}.{name}.{cls}:{counts[cls]}|c" for cls in sorted({*classes, *counts})]
-    lines += [f"{PREFIX}.{name}:{getattr(figures, name)}|c" for name in ("upstream_tries", "loads", "load_errors")]
+    lines += [f"{PREFIX}.{name}:{getattr(counters, name)}|c" for name in ("upstream_tries", "loads", "load_errors")]
     lines += [f"{PREFIX}.{name}:{getattr(gauges, name)}|g"
               for name in ("in_progress", "known_endpoints", "skipped_endpoints")]
     return "".join(f"{line}\n" for line in lines)
--- a/wheelstep/courier/__main__.py
+++ b/wheelstep/courier/__main__.py
@@ -71,8 +71,8 @@
     server.on_unanswered = functools.partial(core.invariants.violated, Invariant.ANSWERED)
     source: HandoverSource | None = None
     if console is not None:
-        from wheelstep.console.figures import Figures
-        core.figures, console.desk = Figures(), core
+        from wheelstep.console.metrics import Counters
+        core.counters, console.backend = Counters(), core
 
     def reload_fleet() -> None:
         if fleet is not None and operator_file is not None:
@@ -90,7 +90,7 @@
             core.listed(api.ListKind.RESTORED, rows)
         async with asyncio.TaskGroup() as group:  # a task that fails ends the process with its traceback
             tasks = [group.create_task(work) for work in
-                     (core.notices.run(), core.outlet.sweep(), server.sweep(), journal.compact_for_good(),
+                     (core.notices.run(), core.outlet.sweep(), server.sweep(), journal.run_compaction(),
                       follow_config(config, reload_requested, watch, core.notices, core=core, on_reload=reload_fleet),
                       *([watch.run()] if watches else []))]
             if core.account is not None:
@@ -106,7 +106,7 @@
             gc.freeze()  # restored objects live long: a full collection that visits them would block the event loop
             port = await server.start(config.listen, target.transferred.listener if target is not None else None)
             if target is not None:
-                await target.go_on(core, server)
+                await target.resume_serving(core, server)
             if console is not None:
                 from wheelstep.upgrade.source import HandoverSource  # noqa: F811
 
@@ -115,7 +115,7 @@
                         task.cancel()
                     journal.close()
                 source = HandoverSource(config.state, core, server, lambda: watch.seq, close,
-                                        target.still_out if target is not None else list)
+                                        target.calls_in_flight if target is not None else list)
                 source.start()
             if fleet is not None:
                 await fleet.start()
@@ -127,7 +127,7 @@
             await terminated.wait()
             if source is not None:
                 source.leave()
-            if source is not None and source.given:
+            if source is not None and source.handed_over:
                 await source.finish(LEAVE_S)
                 log.info("stopped after a hand-over; invariants violated: %s", core.invariants.summary())
             else:
@@ -142,7 +142,7 @@
                 source.stop()
     if core.recorder is not None:
         core.recorder.close()
-    if source is None or not source.given:
+    if source is None or not source.handed_over:
         journal.close()
     deafen()
 
@@ -195,14 +195,14 @@
             check(fresh.raw, raw)
         except (ConfigError, ValueError) as error:
             log.warning("the new configuration is not used: %.300s", " ".join(str(error).split()))
-            if core is not None and core.figures is not None:
-                core.figures.load_errors += 1
+            if core is not None and core.counters is not None:
+                core.counters.load_errors += 1
             continue
         address, raw = fresh.discovery, fresh.raw
         if core is not None:
             core.renew(fresh)
-            if core.figures is not None:
-                core.figures.loads += 1
+            if core.counters is not None:
+                core.counters.loads += 1
         log.info("configuration read again: discovery at %s:%d", address.host, address.port)
         if address != discovery:
             discovery = address
--- a/wheelstep/courier/carrier.py
+++ b/wheelstep/courier/carrier.py
@@ -27,11 +27,11 @@
 from wheelstep.courier.turns import Sends, Turns
 from wheelstep.courier.wall_clock import clock, time_is_up
 from wheelstep.interface import NEVER_EXECUTED, Outcome
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 
 if TYPE_CHECKING:  # optional features are imported only when enabled
-    from wheelstep.account.writer import Account
-    from wheelstep.console.figures import Figures
+    from wheelstep.account.writer import AccountWriter
+    from wheelstep.console.metrics import Counters
 
 _PROBE_TIMEOUT_US = 1_500_000
 _RESERVED_FDS = 32  # file descriptors for the journal, discovery, notifications, and what asyncio and Python keep open
@@ -48,7 +48,7 @@
         self.endpoints = Endpoints(config.settings, journal, self.turns.post)
         self.classes = Classes(config, journal, self.turns.post)
         self.ordered = self.classes.ordered
-        self._held: dict[str, Stored] = {}  # messages that the policy module holds
+        self._held: dict[str, StoredMessage] = {}  # messages that the policy module holds
         self._next_attempt: dict[str, int] = {}  # number of each message's next attempt
         self._untried: set[str] = set()  # restored messages, neither tried nor ended since
         self.order = KeyOrder(config.settings.order_settle_us / 1e6)
@@ -59,8 +59,8 @@
         self._send_guard = SendGuard(self.order, self.invariants)
         self.notices: NotificationSender | None = None
         self.tells_deliveries = False  # whether deliveries are notified as well
-        self.figures: Figures | None = None
-        self.account: Account | None = None
+        self.counters: Counters | None = None
+        self.account: AccountWriter | None = None
         self.fence: Callable[[str], bool] | None = None  # further permission for a message's first byte
         self.stray: Callable[[Item, Result], None] | None = None  # receives outcomes of messages no longer held
         self._report: OutcomeListener | None = None  # set once another process owns the messages
@@ -104,8 +104,8 @@
 
     def messages_written(self, messages: int) -> None:
         """Count messages whose call was written whole."""
-        if self.figures is not None:
-            self.figures.upstream_tries += messages
+        if self.counters is not None:
+            self.counters.upstream_tries += messages
 
     def attempts_starting(self, endpoint: str, items: Sequence[Item]) -> None:
         """Journal the attempts before their first byte."""
@@ -147,8 +147,8 @@
                 self.account.ended(item.message, item.attempt, endpoint, result.outcome.value, result.spent_us,
                                    result.outcome is Outcome.OK or result.over, result.limit)
             if held is not None and complete:
-                if self.figures is not None and not result.over:
-                    self.figures.passed[held.message_class] += 1
+                if self.counters is not None and not result.over:
+                    self.counters.passed[held.message_class] += 1
                 del self._held[item.message], self._next_attempt[item.message]
                 self.order.completed(item.message, now_s)
                 if self.tells_deliveries:
@@ -231,16 +231,16 @@
     def _record(self, kind: EventKind, message: str = "", detail: str = "") -> None:
         self.flight_recorder.note(time.monotonic(), kind, message, self._key_of(message), detail)
 
-    def _end(self, message: Stored, outcome: str, retry_ms: int,
+    def _end(self, message: StoredMessage, outcome: str, retry_ms: int,
              reason: api.EndReason = api.EndReason.UNKNOWN) -> None:
         self._journal.end(message.id, outcome, retry_ms)
-        if self.figures is not None:
-            self.figures.ended(message.message_class, outcome)
+        if self.counters is not None:
+            self.counters.ended(message.message_class, outcome)
         if self.account is not None:
             self.account.final(message.id, outcome, reason.value)
         self._notify_end(message)
 
-    def _notify_end(self, message: Stored) -> None:
+    def _notify_end(self, message: StoredMessage) -> None:
         if message.notice is None or self.notices is None:
             self.order.completed(message.id, time.monotonic())
             return
--- a/wheelstep/courier/classes.py
+++ b/wheelstep/courier/classes.py
@@ -11,7 +11,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import Config
 from wheelstep.courier.ports import Book
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 if TYPE_CHECKING:  # imported at run time only where the feature is used
     from wheelstep.renewal.classes import ClassTable
@@ -31,7 +31,7 @@
         self._settling: asyncio.TimerHandle | None = None
         self.ordered = {name: cls.ordered for name, cls in zip(self._places, config.settings.classes, strict=True)}
 
-    def place(self, message: Stored) -> int | None:
+    def place(self, message: StoredMessage) -> int | None:
         """Return the index of a message's class in the decision module's list; None if the class is unknown."""
         if self._table is not None:
             return self._table.place(message.message_class, message.seq)
@@ -40,7 +40,7 @@
     def renew(self, config: Config) -> None:
         """Apply the classes and the maximum of attempts of a new configuration. The rest needs a restart. For
         `SETTLE_S` a class that changes has the stricter rules of both versions."""
-        from wheelstep.renewal.classes import SETTLE_S, ClassTable, during
+        from wheelstep.renewal.classes import TRANSITION_S, ClassTable, transitional_classes
         classes = _classes(config)
         if self._table is None:
             if classes == _classes(self._config):
@@ -48,10 +48,10 @@
             self._table = ClassTable(_classes(self._config))
         elif self._settling is None and classes == {name: self._table.current(name) for name in self._table.names}:
             return
-        self._apply(during(self._table, classes))
+        self._apply(transitional_classes(self._table, classes))
         if self._settling is not None:
             self._settling.cancel()
-        self._settling = asyncio.get_running_loop().call_later(SETTLE_S, self._settle, classes)
+        self._settling = asyncio.get_running_loop().call_later(TRANSITION_S, self._settle, classes)
 
     def _settle(self, classes: dict[str, api.MessageClass]) -> None:
         self._settling = None
@@ -70,11 +70,11 @@
         self.ordered.update((name, table.current(name).ordered) for name in table.names)
         self._post(api.ClassesChanged(tuple(table.places)))
 
-    def restore(self, marks: Mapping[str, Any], messages: list[Stored]) -> None:
+    def restore(self, marks: Mapping[str, Any], messages: list[StoredMessage]) -> None:
         """Keep the rules of messages whose class was changed or removed after they were accepted, by SIGHUP or before a
         restart: each process writes its classes to the journal. A message whose class is unknown is tried under rules
         that allow no repeat."""
-        from wheelstep.renewal.classes import ClassTable, unknown
+        from wheelstep.renewal.classes import ClassTable, rules_for_unknown_class
         now = _classes(self._config)
         held = [(message.message_class, message.seq) for message in messages]
         taken, table = 1 + max((seq for _, seq in held), default=0), ClassTable(now)
@@ -83,7 +83,8 @@
                 table = ClassTable.restored(marks[_MARK], now, taken, held)
         except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
             log.error("the classes that an earlier process stored in the journal can't be used: %r", error)
-        if lost := {name: unknown(now.values()) for name, seq in held if table.place(name, seq) is None}:
+        if lost := {name: rules_for_unknown_class(now.values())
+                    for name, seq in held if table.place(name, seq) is None}:
             log.error("classes not known any more, their messages are tried as not repeatable: %s",
                       ", ".join(map(repr, lost)))
             table.renew({**now, **lost}, taken, held)
--- a/wheelstep/courier/client_server.py
+++ b/wheelstep/courier/client_server.py
@@ -22,7 +22,7 @@
 from wheelstep.courier.listen import QUEUE, bind
 from wheelstep.courier.reading import read_message
 from wheelstep.courier.request import Request
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 
 _RETRY_AFTER = (("Retry-After", "1"),)
 _LOOP_TURNS = 20  # turns of the event loop in which complete requests get their answers
@@ -88,8 +88,7 @@
             connection.update_reading()
 
     def connections(self) -> list[tuple[int, bool, bytes]]:
-        """Return the connections that another process can take over: descriptor, whether it is idle, and the bytes of
-        an incomplete request."""
+        """Return the connections to pass on: descriptor, whether it is idle, and the bytes of an incomplete request."""
         assert self._connections is not None
         return [(client.transport.get_extra_info("socket").fileno(), client.phase is Phase.IDLE, client.partial_request)
                 for client in self._connections.all()
@@ -211,7 +210,7 @@
             else:
                 self._accept(request, message, desk, connection)
 
-    def _synced(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection,
+    def _synced(self, request: Request, message: StoredMessage, desk: Desk, connection: ClientConnection,
                 work: asyncio.Future[None]) -> None:
         connection.taking = False
         error = None if work.cancelled() else work.exception()
@@ -231,7 +230,7 @@
         elif not connection.gone:  # the time of the connection, or of the courier, is up
             self._refuse(request, message, desk, connection)
 
-    def _accept(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection) -> None:
+    def _accept(self, request: Request, message: StoredMessage, desk: Desk, connection: ClientConnection) -> None:
         if connection.say(request, 202, "", self._front.says(message) if self._front is not None else ()):
             desk.begin(message.id)
             desk.handed_in(message, 202)
@@ -240,11 +239,12 @@
         else:
             desk.withdraw(message.id)
 
-    def _refuse_no_room(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection) -> None:
+    def _refuse_no_room(self, request: Request, message: StoredMessage, desk: Desk,
+                        connection: ClientConnection) -> None:
         self._no_room_count += 1
         self._refuse(request, message, desk, connection, "no room")
 
-    def _refuse(self, request: Request, message: Stored, desk: Desk, connection: ClientConnection,
+    def _refuse(self, request: Request, message: StoredMessage, desk: Desk, connection: ClientConnection,
                 why: str = "not now") -> None:
         desk.handed_in(message, 503)
         connection.say(request, 503, f"{why}\n", _RETRY_AFTER)
--- a/wheelstep/courier/core.py
+++ b/wheelstep/courier/core.py
@@ -21,7 +21,7 @@
 from wheelstep.courier.succession import follow
 from wheelstep.courier.wall_clock import MARK, ago_us, left_us
 from wheelstep.interface import EndpointState
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 if TYPE_CHECKING:  # optional features are imported only when enabled
     from wheelstep.recording.writer import Recorder
@@ -81,7 +81,7 @@
         """Return whether any list has named the destination, even if it has no endpoint at the moment."""
         return self.endpoints.serves(destination)
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Write a new message to the journal."""
         self._journal.take(message)
         self._unacknowledged.add(message.id)
@@ -115,19 +115,19 @@
         self._unacknowledged.discard(name)
         self._journal.over(name)
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """Count the answer to a client's request, and record the request if the operator wants that."""
         if status == 202:
             self._account_accepted(message)
         elif self.account is not None:
             self.account.turned_away(message.id, message.message_class, status)
-        if self.figures is not None and status == 503:
-            self.figures.ended(message.message_class, "handed_back")
+        if self.counters is not None and status == 503:
+            self.counters.ended(message.message_class, "handed_back")
         if self.recorder is not None:
             self.recorder.note(message.message_class, message.destination, message.key, message.token is not None,
                                message.body, left_us(message) // 1000, status, message.resubmitted)
 
-    def _account_accepted(self, message: Stored, restored: bool = False) -> None:
+    def _account_accepted(self, message: StoredMessage, restored: bool = False) -> None:
         if self.account is not None:
             self.account.taken(message.id, message.message_class, message.destination, message.key,
                                left_us(message) // 1000, message.resubmitted, restored)
@@ -171,8 +171,7 @@
                 if (address := self.outlet.address(name)) is not None]
 
     def hand_over(self, on_outcomes: OutcomeListener, on_wait: Callable[[str, int], None]) -> None:
-        """Give the messages to another process: outcomes and waits go to it, and nothing is journalled here any
-        more."""
+        """Give the messages to another process: outcomes and waits go to it, nothing is journalled here now."""
         self._record(EventKind.STATE, detail="handed over")
         self._report, self._report_wait = on_outcomes, on_wait
         self.turns.end()
@@ -180,7 +179,7 @@
         for endpoint in self.endpoints.listed:
             self.outlet.close_idle(endpoint)
 
-    def restore(self, marks: Mapping[str, Any], messages: Iterable[Stored], calls: Sequence[CallsOut] = (),
+    def restore(self, marks: Mapping[str, Any], messages: Iterable[StoredMessage], calls: Sequence[CallsOut] = (),
                 settling: Mapping[str, int] | None = None, owned_since_s: float | None = None) -> None:
         """Restore what a journal holds: endpoint health, and the messages in their order. `calls` are still under
         way in the previous process, which will report their outcomes. `settling` has the keys that settle there and
@@ -197,7 +196,8 @@
         self.endpoints.restore(marks)
         self.resume(messages, out)
 
-    def resume(self, messages: Iterable[Stored], out: Mapping[str, tuple[int, int, CallsOut]] | None = None) -> None:
+    def resume(self, messages: Iterable[StoredMessage],
+               out: Mapping[str, tuple[int, int, CallsOut]] | None = None) -> None:
         """Continue with messages that an earlier process or another courier accepted. `out` has those still in a
         call of the previous process: the call's index, the attempt, the call."""
         for message in messages:
@@ -208,7 +208,7 @@
                 self._end(message, "given_up", 0)
             else:
                 at, number, call = (out or {}).get(message.id, (0, None, None))
-                ran = message.may_have_run(but=number)
+                ran = message.may_have_run(except_attempt=number)
                 self._hold(message, time.monotonic() + self._settings.order_settle_us / 1e6 if ran else 0.0)
                 if number is not None:
                     self.order.attempt_started(message.id, number)
@@ -238,13 +238,13 @@
         if (message := self._journal.messages.get(name)) is not None and message.notice is None:
             self._end(message, outcome, retry_ms)
 
-    def _accepted(self, message: Stored, resubmitted: bool) -> api.MessageAccepted:
+    def _accepted(self, message: StoredMessage, resubmitted: bool) -> api.MessageAccepted:
         place = self.classes.place(message)
         assert place is not None  # neither the client server nor `restore` admits an unknown class
         return api.MessageAccepted(message.id, place, message.destination,
                                    left_us(message), message.key, resubmitted)
 
-    def _hold(self, message: Stored, may_run_until: float = 0.0) -> None:
+    def _hold(self, message: StoredMessage, may_run_until: float = 0.0) -> None:
         self._held[message.id] = message
         self._next_attempt[message.id] = message.attempts
         self.order.accepted(message.id, message.key, message.attempts > 0, may_run_until)
--- a/wheelstep/courier/desk.py
+++ b/wheelstep/courier/desk.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from wheelstep.courier.request import Request
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 
 class Desk(Protocol):
@@ -27,7 +27,7 @@
     def serves(self, destination: int) -> bool:
         """Return whether discovery has ever listed the destination."""
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Write a message to the journal. Raises `NoRoomError`."""
 
     def holds(self, message: str) -> bool:
@@ -46,7 +46,7 @@
     def withdraw(self, name: str) -> None:
         """Forget a message that was written, as its client was not told that it is accepted."""
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """Record the status with which a message was answered."""
 
 
@@ -77,16 +77,16 @@
 class Front(Protocol):
     """Interprets requests of other clients than the platform's, for example those of `wheelstep.standalone`."""
 
-    def message(self, request: Request) -> Stored:
+    def message(self, request: Request) -> StoredMessage:
         """Return the message that a request hands in. Raises `BadRequestError` and `RefusedError`."""
 
     def other(self, request: Request, connection: Connection) -> None:
         """Answer a request that neither hands in a message nor asks for readiness. Raises the same errors."""
 
-    def says(self, message: Stored) -> tuple[tuple[str, str], ...]:
+    def says(self, message: StoredMessage) -> tuple[tuple[str, str], ...]:
         """Return the headers of the 202 for a message."""
 
-    def taken(self, message: Stored) -> None:
+    def taken(self, message: StoredMessage) -> None:
         """Note that the 202 for a message was written."""
 
 
--- a/wheelstep/courier/opening.py
+++ b/wheelstep/courier/opening.py
@@ -12,11 +12,11 @@
 from wheelstep.courier.config import Address, Config, ConfigError
 from wheelstep.journal import FolderInUseError, Journal
 from wheelstep.journal.codec import FormatError
-from wheelstep.journal.promise import Sync
+from wheelstep.journal.durability import SyncPolicy
 
 if TYPE_CHECKING:  # imported at run time only where the feature is on
-    from wheelstep.account.writer import Account
-    from wheelstep.console.front import Front
+    from wheelstep.account.writer import AccountWriter
+    from wheelstep.console.front import ConsoleServer
     from wheelstep.operator import Operator
     from wheelstep.recording.writer import Recorder
     from wheelstep.upgrade.target import HandoverTarget
@@ -36,8 +36,8 @@
     ready = False
 
     def telemetry(self) -> str:
-        from wheelstep.console.figures import Figures, Gauges, render
-        return render(Figures(), Gauges(0, 0, 0), ())
+        from wheelstep.console.metrics import Counters, Gauges, render
+        return render(Counters(), Gauges(0, 0, 0), ())
 
     def exclude(self, endpoint: str) -> bool:
         return False
@@ -46,10 +46,10 @@
         return False
 
 
-async def open_console(address: Address) -> Front:
+async def open_console(address: Address) -> ConsoleServer:
     """Start the console for operators. Raises `ConfigError` if it can't listen."""
-    from wheelstep.console.front import Front
-    front = Front(_Starting())
+    from wheelstep.console.front import ConsoleServer
+    front = ConsoleServer(_Starting())
     try:
         await front.start(address)
     except OSError as error:
@@ -115,7 +115,7 @@
     try:
         if part is None:
             return Journal(config.state, config.disk_bytes)
-        return Journal(config.state, config.disk_bytes, Sync(part.sync), part.sync_within / 1e6,
+        return Journal(config.state, config.disk_bytes, SyncPolicy(part.sync), part.sync_within / 1e6,
                        part.segment_kb * 1024)
     except (FolderInUseError, FormatError, OSError) as error:
         raise ConfigError(f"{config.state}: {error}") from error
@@ -133,10 +133,10 @@
     return Recorder(recording.file, head, int(recording.max_mb * 1_000_000), recording.bodies)
 
 
-def account(operator: Operator, config: Config) -> Account | None:
+def account(operator: Operator, config: Config) -> AccountWriter | None:
     """Return the writer of the account's log lines; None if the operator's file does not ask for them."""
     if not operator.account.on:
         return None
-    from wheelstep.account.writer import Account
+    from wheelstep.account.writer import AccountWriter
     classes = dict(zip(config.names.classes, config.settings.classes, strict=True))
-    return Account(config.name, classes, config.settings.decay)
+    return AccountWriter(config.name, classes, config.settings.decay)
--- a/wheelstep/courier/operated.py
+++ b/wheelstep/courier/operated.py
@@ -1,4 +1,4 @@
-"""Operator commands: exclude endpoints, report figures, reload settings."""
+"""Operator commands: exclude endpoints, report metrics, reload settings."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class OperatorCommands(Carrier):
-    """Implements `console.commands.Desk`, except for readiness."""
+    """Implements `console.commands.ConsoleBackend`, except for readiness."""
 
     def exclude(self, endpoint: str) -> bool:
         """Send nothing new to an endpoint until it is included again, also over restarts. Return False if it is not
@@ -25,11 +25,11 @@
         return self.endpoints.include(endpoint)
 
     def telemetry(self) -> str:
-        """Return the figures as text, one per line."""
-        from wheelstep.console.figures import Figures, Gauges, render
+        """Return the metrics as text, one per line."""
+        from wheelstep.console.metrics import Counters, Gauges, render
         marks, listed = self._journal.marks, self.endpoints.listed
         skipped = sum(name in self.endpoints.excluded or bool(marks.get(name, (0, False))[1]) for name in listed)
-        return render(self.figures or Figures(), Gauges(len(self._held), len(listed), skipped), self.ordered)
+        return render(self.counters or Counters(), Gauges(len(self._held), len(listed), skipped), self.ordered)
 
     def gauge(self) -> tuple[int, int, int, list[tuple[int, api.WaitReason, int]]]:
         """Return the calls under way, the open connections, the connections opened since the start, and what holds
--- a/wheelstep/courier/ports.py
+++ b/wheelstep/courier/ports.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from wheelstep.courier.call import Item, Result
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 OutcomeListener = Callable[[str, Sequence[tuple[Item, Result]]], None]
 
@@ -16,7 +16,7 @@
     """The part of a journal that the core uses: see `wheelstep.journal.Journal`."""
 
     @property
-    def messages(self) -> dict[str, Stored]:
+    def messages(self) -> dict[str, StoredMessage]:
         """Messages whose end is owed, by id."""
         ...
 
@@ -30,7 +30,7 @@
         """Whether `durable` may have to wait."""
         ...
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Write a new message."""
         ...
 
--- a/wheelstep/courier/reading.py
+++ b/wheelstep/courier/reading.py
@@ -7,13 +7,13 @@
 from wheelstep.courier.desk import BadRequestError
 from wheelstep.courier.request import Request
 from wheelstep.courier.wall_clock import clock
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 _MAX_DEADLINE_MS = 24 * 3600 * 1000
 _UNIQUE_HEADERS = frozenset({"x-request-id", "x-class", "x-deadline-ms", "x-consignee", "idempotency-key", "x-retry"})
 
 
-def read_message(request: Request, classes: Mapping[str, bool]) -> Stored:
+def read_message(request: Request, classes: Mapping[str, bool]) -> StoredMessage:
     """Return the message that a request hands in; `classes` tells which ones keep messages of a key in order. Raises
     `BadRequestError`."""
     headers = given_once(request)
@@ -27,7 +27,7 @@
     if left_ms > _MAX_DEADLINE_MS:
         raise BadRequestError("X-Deadline-Ms is too far off")
     token = token_of(headers)
-    return Stored(
+    return StoredMessage(
         id=name, message_class=message_class, destination=_destination(headers.get("x-consignee", "")),
         deadline_ms=clock.now_ms() + left_ms,
         key=key_of(request.target) if classes[message_class] else None,
--- a/wheelstep/courier/send_guard.py
+++ b/wheelstep/courier/send_guard.py
@@ -5,7 +5,7 @@
 from wheelstep.courier.call import Item
 from wheelstep.courier.invariants import Invariant, Invariants
 from wheelstep.courier.key_order import KeyOrder
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 
 class SendGuard:
@@ -14,9 +14,9 @@
     def __init__(self, order: KeyOrder, invariants: Invariants) -> None:
         self._order, self._invariants = order, invariants
 
-    def may_send(self, message: Stored, item: Item, now_s: float) -> bool:
+    def may_send(self, message: StoredMessage, item: Item, now_s: float) -> bool:
         """Return whether the attempt keeps the invariants. A violation is counted, and the attempt must not be sent."""
-        if item.once and message.may_have_run(but=item.attempt) is not None:
+        if item.once and message.may_have_run(except_attempt=item.attempt) is not None:
             self._invariants.violated(Invariant.SENT_ONCE, f"attempt {item.attempt} of {message.id}", message.id,
                                       message.key)
             return False
--- a/wheelstep/courier/succession.py
+++ b/wheelstep/courier/succession.py
@@ -7,10 +7,10 @@
 from wheelstep import interface as api
 from wheelstep.courier.key_order import KeyOrder
 from wheelstep.courier.ports import CallsOut
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 
-def begun(calls: Sequence[Sequence[tuple[str, int]]], messages: Mapping[str, Stored]) -> list[CallsOut]:
+def begun(calls: Sequence[Sequence[tuple[str, int]]], messages: Mapping[str, StoredMessage]) -> list[CallsOut]:
     """Return the calls of which an attempt is in the journal without an outcome. `calls` has the messages and attempt
     numbers of each."""
     found = []
--- a/wheelstep/courier/wall_clock.py
+++ b/wheelstep/courier/wall_clock.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 MARK = ":time"  # the journal's mark: the boot's id, and Unix time minus monotonic time, in milliseconds
 _BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
@@ -70,12 +70,12 @@
     return max(0, int(clock.now_s() * 1e6) - at_ms * 1000)
 
 
-def left_us(message: Stored) -> int:
+def left_us(message: StoredMessage) -> int:
     """Return the microseconds until a message's deadline; 0 once that has passed."""
     return max(0, message.deadline_ms * 1000 - int(clock.now_s() * 1e6))
 
 
-def time_is_up(message: Stored, ahead_us: int) -> bool:
+def time_is_up(message: StoredMessage, ahead_us: int) -> bool:
     """Return whether it is too late for a delivery.
 
     For the platform a 200 that an endpoint writes after the deadline is no delivery, and the courier can't tell when it
--- a/wheelstep/courier/watch.py
+++ b/wheelstep/courier/watch.py
@@ -20,7 +20,7 @@
 from wheelstep.courier.listing import MAX_BYTES, Listing, entries
 
 if TYPE_CHECKING:  # optional features are imported only when enabled
-    from wheelstep.account.writer import Account
+    from wheelstep.account.writer import AccountWriter
 
 _NO_LIMIT = aiohttp.ClientTimeout(total=None, sock_connect=None)  # `Hedge` ends silent watches, at every step alike
 _KEEPALIVE_S = 0.001  # no connection is reused for the next watch, as a silent one would stay silent
@@ -60,7 +60,7 @@
         self._hedge: Hedge | None = None
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._first_answer, self._rescheduled = asyncio.Event(), asyncio.Event()
-        self.account: Account | None = None
+        self.account: AccountWriter | None = None
 
     @property
     def seq(self) -> int:
--- a/wheelstep/fields.py
+++ b/wheelstep/fields.py
@@ -29,19 +29,19 @@
     return low, high
 
 
-Time = Annotated[int, BeforeValidator(read_time)]
-Span = Annotated[tuple[int, int], BeforeValidator(_read_range)]
+Duration = Annotated[int, BeforeValidator(read_time)]
+DurationRange = Annotated[tuple[int, int], BeforeValidator(_read_range)]
 Share = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=1, le=100_000)]
 
 
-class Part(BaseModel):
+class Table(BaseModel):
     """A table of such a file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-def explain(error: ValidationError, where_to_look: str) -> str:
+def describe_error(error: ValidationError, where_to_look: str) -> str:
     """Describe a validation error's first problem on one line: key, what was found and what was expected."""
     first = error.errors(include_url=False)[0]
     where = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in first["loc"]).lstrip(".")
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -9,7 +9,7 @@
 
 from wheelstep.channels.contracts import ContractError, Contracts
 from wheelstep.channels.contracts import read as read_contracts
-from wheelstep.fields import Part, Time, explain
+from wheelstep.fields import Duration, Table, describe_error
 from wheelstep.fleet.membership import Limits as MemberLimits
 from wheelstep.fleet.placing import NodeSettings
 from wheelstep.moves.steps import Limits
@@ -25,7 +25,7 @@
     """`[fleet]` can't be used; one line with place and expectation."""
 
 
-class ShardsPart(Part):
+class ShardsPart(Table):
     """Destinations divided among the couriers (wheelstep.shards)."""
 
     on: bool = False
@@ -34,12 +34,12 @@
     control: Annotated[dict[Name, Address], Field(max_length=256)] = {}  # machines that tell the list by shard
     load: Annotated[float, Field(ge=1.05, le=4)] = 1.25  # a courier's shards over its part by weight, at most
     guests: Annotated[int, Field(ge=1, le=4_096)] = 64
-    guest_idle: Annotated[Time, Field(ge=100_000, le=3_600_000_000)] = 30_000_000
-    opens_within: Annotated[Time, Field(ge=0, le=5_000_000)] = 300_000
-    push_every: Annotated[Time, Field(ge=250_000, le=3_600_000_000)] = 5_000_000
+    guest_idle: Annotated[Duration, Field(ge=100_000, le=3_600_000_000)] = 30_000_000
+    opens_within: Annotated[Duration, Field(ge=0, le=5_000_000)] = 300_000
+    push_every: Annotated[Duration, Field(ge=250_000, le=3_600_000_000)] = 5_000_000
 
 
-class FleetPart(Part):
+class FleetPart(Table):
     """The couriers that share work with this one."""
 
     on: bool = False
@@ -52,17 +52,17 @@
     peers: Annotated[dict[Name, Address], Field(max_length=2_000)] = {}
     voters: Annotated[tuple[Name, ...], Field(max_length=5)] = ()
     parts: Annotated[int, Field(ge=1, le=1024)] = 64
-    lease: Annotated[Time, Field(ge=500_000, le=60_000_000)] = 3_000_000
+    lease: Annotated[Duration, Field(ge=500_000, le=60_000_000)] = 3_000_000
     clock_drift: Annotated[float, Field(ge=0, le=0.2)] = 0.02
     weight: Annotated[float, Field(ge=0, le=1_000)] = 1.0
     zone: Annotated[str, Field(max_length=40)] = ""
-    probe_every: Annotated[Time, Field(ge=50_000, le=10_000_000)] = 500_000
+    probe_every: Annotated[Duration, Field(ge=50_000, le=10_000_000)] = 500_000
     give_away: bool = False  # at SIGTERM
-    give_away_within: Time = 1_800_000
+    give_away_within: Duration = 1_800_000
     moves_at_once: Annotated[int, Field(ge=1, le=64)] = 2
-    move_pace: Time = 50_000
-    call_bound: Time = 2_000_000
-    probation: Time = 10_000_000
+    move_pace: Duration = 50_000
+    call_bound: Duration = 2_000_000
+    probation: Duration = 10_000_000
     most_channels: Annotated[int, Field(ge=1, le=1_000_000)] = 20_000
     shards: ShardsPart = ShardsPart()
 
@@ -89,7 +89,7 @@
     try:
         part = FleetPart.model_validate(table if table is not None else {})
     except ValidationError as error:
-        raise FleetError(f"fleet.{explain(error, 'docs/operations/channels.md')}") from error
+        raise FleetError(f"fleet.{describe_error(error, 'docs/operations/channels.md')}") from error
     try:
         declared = read_contracts(contracts if contracts is not None else [])
     except ContractError as error:
--- a/wheelstep/forwarding/client.py
+++ b/wheelstep/forwarding/client.py
@@ -22,7 +22,7 @@
 from wheelstep.forwarding.errors import AwayError, NotAskedError
 from wheelstep.forwarding.heads import answered, ask_head
 from wheelstep.forwarding.link import Dial, Link
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
         elif link is not None:
             self._link = link
 
-    def ask(self, desk: RemoteDesk, message: Stored) -> asyncio.Future[None]:
+    def ask(self, desk: RemoteDesk, message: StoredMessage) -> asyncio.Future[None]:
         """Done once the owner has taken it. `NotAskedError` if nothing was sent, `AwayError`, `NoRoomError` or
         `BadRequestError` if it was refused, `UnansweredError` if it may have been taken. Without a task a message: a
         hop costs a third less so."""
@@ -89,7 +89,7 @@
             self._dialling.add_done_callback(lambda _: self._dialled(desk, message, answer))
         return answer
 
-    def _dialled(self, desk: RemoteDesk, message: Stored, answer: asyncio.Future[None]) -> None:
+    def _dialled(self, desk: RemoteDesk, message: StoredMessage, answer: asyncio.Future[None]) -> None:
         self._waiting -= 1
         if answer.done():
             return
@@ -98,7 +98,7 @@
         else:
             self._send(self._link, desk, message, answer)
 
-    def _send(self, link: Link, desk: RemoteDesk, message: Stored, answer: asyncio.Future[None]) -> None:
+    def _send(self, link: Link, desk: RemoteDesk, message: StoredMessage, answer: asyncio.Future[None]) -> None:
         number = next(self._numbers)
         if not link.send(ask_head(number, message), message.body):
             self._not_asked(desk, answer)
@@ -204,7 +204,7 @@
 
     def __init__(self, client: ForwardClient) -> None:
         self._client = client
-        self._message: Stored | None = None
+        self._message: StoredMessage | None = None
         self.link: Link | None = None  # where it was asked, if it was
         self.number = -1
         self.known = False  # the owner has it from another request: nothing of it is this one's to begin or withdraw
@@ -222,7 +222,7 @@
     def holds(self, message: str) -> bool:
         return False
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         self._message = message
 
     def durable(self) -> asyncio.Future[None]:
@@ -238,5 +238,5 @@
         if not self.known:
             self._client.tell("withdraw", self)
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """The owner records it."""
--- a/wheelstep/forwarding/heads.py
+++ b/wheelstep/forwarding/heads.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 Number = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
@@ -29,9 +29,10 @@
     token: _Text | None = None
     again: bool = False
 
-    def message(self, body: bytes) -> Stored:
+    def message(self, body: bytes) -> StoredMessage:
         """What is handed in."""
-        return Stored(self.id, self.message_class, self.dest, self.deadline, self.key, self.token, self.again, body)
+        return StoredMessage(self.id, self.message_class, self.dest, self.deadline, self.key, self.token,
+                             self.again, body)
 
 
 class Begin(msgspec.Struct, frozen=True, tag_field="do", tag="begin"):
@@ -58,7 +59,7 @@
 _SAID: dict[str, type[Said]] = {"ask": Ask, "begin": Begin, "withdraw": Withdraw}
 
 
-def ask_head(number: int, message: Stored) -> dict[str, Any]:
+def ask_head(number: int, message: StoredMessage) -> dict[str, Any]:
     """The head of an ask; the message's body goes with it."""
     return {"do": "ask", "n": number, "id": message.id, "class": message.message_class, "dest": message.destination,
             "deadline": message.deadline_ms, "key": message.key, "token": message.token, "again": message.resubmitted}
--- a/wheelstep/forwarding/server.py
+++ b/wheelstep/forwarding/server.py
@@ -15,7 +15,7 @@
 from wheelstep.forwarding.errors import NotAskedError
 from wheelstep.forwarding.heads import Ask, Begin, Withdraw, said
 from wheelstep.forwarding.link import Link
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 
 log = logging.getLogger(__name__)
 
@@ -32,13 +32,13 @@
     """The owner's side of one connection from another process. `find` gives the desk of a message, or why there is
     none. Tell it the connection by `attach`, each frame by `heard`, its end by `lost`."""
 
-    def __init__(self, find: Callable[[Stored], Desk | Turned], *, most: int = 20_000) -> None:
+    def __init__(self, find: Callable[[StoredMessage], Desk | Turned], *, most: int = 20_000) -> None:
         """`most` messages are taken and not begun at once; beyond that it is `full`."""
         self._find, self._most = find, most
         self._link: Link | None = None
         self._ended = False
         self._next = 0  # numbers below were asked
-        self._pending: dict[int, tuple[Desk, Stored]] = {}  # taken, and its client has not heard for all we know
+        self._pending: dict[int, tuple[Desk, StoredMessage]] = {}  # taken, and its client has not heard for all we know
         self._tasks: dict[int, asyncio.Task[None]] = {}  # taken, and waiting for a sync
         self.refused: Counter[str] = Counter()  # frames that were none of an asker, by reason
 
@@ -74,12 +74,12 @@
                     desk, message = self._pending.pop(one.n)
                     desk.withdraw(message.id)
 
-    def _begin(self, desk: Desk, message: Stored) -> None:
+    def _begin(self, desk: Desk, message: StoredMessage) -> None:
         if desk.holds(message.id):
             desk.begin(message.id)
             desk.handed_in(message, 202)
 
-    def _ask(self, number: int, message: Stored) -> None:
+    def _ask(self, number: int, message: StoredMessage) -> None:
         desk = self._find(message)
         if isinstance(desk, Turned):
             self._answer(number, desk.is_, desk.why)
--- a/wheelstep/journal/codec.py
+++ b/wheelstep/journal/codec.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wheelstep.journal.state import Stored
+from wheelstep.journal.state import StoredMessage
 
 VERSION = 1
 MARKER = b"\xf1J"
@@ -69,7 +69,7 @@
                                      "low": head.low, "before": head.before, "taken_over": head.taken_over}).encode())
 
 
-def take(message: Stored) -> bytes:
+def take(message: StoredMessage) -> bytes:
     """Encode a whole message: one that is accepted, or one that is copied forward by compaction."""
     fields = [message.seq, message.id, message.message_class, message.destination, message.deadline_ms, message.key,
               message.token, int(message.resubmitted), message.attempts, message.ran_ms, message.ran_at,
@@ -114,7 +114,7 @@
 
 
 def decode(payload: bytes) -> Record:
-    """Return the kind of a payload and its value: a `Header`, a `Stored`, or a plain tuple, string or number.
+    """Return the kind of a payload and its value: a `Header`, a `StoredMessage`, or a plain tuple, string or number.
 
     Raises `FormatError` for an unknown kind or version.
     """
@@ -133,8 +133,8 @@
         stop = start + _LENGTH.unpack_from(payload, 1)[0]
         (seq, name, cls, destination, deadline, key, token, resubmitted, attempts, ran_ms, ran_at, out,
          notice, *channel_fields) = json.loads(payload[start:stop])
-        return kind, Stored(name, cls, destination, deadline, key, token, bool(resubmitted), payload[stop:], attempts,
-                            ran_ms, ran_at, {n: (at_ms, endpoint) for n, at_ms, endpoint in out},
+        return kind, StoredMessage(name, cls, destination, deadline, key, token, bool(resubmitted), payload[stop:],
+                                   attempts, ran_ms, ran_at, {n: (at_ms, endpoint) for n, at_ms, endpoint in out},
                             (notice[0], notice[1]) if notice else None, seq, *channel_fields)
     if kind == END:
         _, retry_ms, size, reason_size = _END.unpack_from(payload)
--- a/wheelstep/journal/compaction.py
+++ b/wheelstep/journal/compaction.py
@@ -13,9 +13,9 @@
 
 from wheelstep.journal import codec
 from wheelstep.journal.disk import Disk
-from wheelstep.journal.promise import Sync
+from wheelstep.journal.durability import SyncPolicy
 from wheelstep.journal.segments import BLOCK, Segment, segment_file_name
-from wheelstep.journal.state import State, Stored
+from wheelstep.journal.state import State, StoredMessage
 from wheelstep.journal.writing import Writer
 
 _COPY_SLACK = 4096  # a copy may be slightly longer than the records it replaces
@@ -32,7 +32,8 @@
     _state: State  # set when the folder is opened
     _fact_segments: dict[str, int]
 
-    def __init__(self, disk: Disk, limit_bytes: int, sync: Sync, wait_s: float, clock: Callable[[], float]) -> None:
+    def __init__(self, disk: Disk, limit_bytes: int, sync: SyncPolicy, wait_s: float,
+                 clock: Callable[[], float]) -> None:
         super().__init__(disk, limit_bytes, sync, wait_s, clock)
         self._retry_at = float("-inf")  # after a failure, no compaction before this time
         self._uncopied: list[str] = []  # messages of the segment being copied that were not examined yet
@@ -77,7 +78,7 @@
 
     def _copy_batch(self, oldest: Segment) -> None:
         """Copy one write's worth of records. Raises `OSError`."""
-        messages: list[Stored] = []
+        messages: list[StoredMessage] = []
         facts: list[str] = []
         parts: list[bytes] = []
         size = 0
@@ -106,8 +107,8 @@
             self._fact_segments[name] = segment.number
 
     def _release_segment(self, oldest: Segment) -> None:
-        """Remove a segment that is no longer needed; under `Sync.GROUP` only once the copies are synced."""
-        if self._sync is Sync.GROUP and self._synced < self._log.written:
+        """Remove a segment that is no longer needed; under `SyncPolicy.GROUP` only once the copies are synced."""
+        if self._sync is SyncPolicy.GROUP and self._synced < self._log.written:
             self._pending_removals.append((self._log.written, oldest.number))
         else:
             self._remove_oldest()
@@ -124,7 +125,7 @@
                 self.sync_now()
         self.sync_now()
 
-    async def compact_for_good(self, budget_s: float = 0.001, rest_s: float = 0.003) -> None:
+    async def run_compaction(self, budget_s: float = 0.001, rest_s: float = 0.003) -> None:
         """Run compaction in slices between turns of the event loop, whenever it is worthwhile. Never returns."""
         while True:
             if self.wants_compaction():
@@ -148,12 +149,12 @@
         """Return the bytes that copying the oldest segment forward may take."""
         return self._log.segments[0].size + min(_COPY_SLACK, self._log.target_bytes) if self._log.segments else 0
 
-    def _remove_from_segment(self, message: Stored) -> None:
+    def _remove_from_segment(self, message: StoredMessage) -> None:
         """Remove a message from the index of its segment."""
         if (segment := self._segments_by_number.get(message.segment_number)) is not None:
             segment.messages.pop(message.id, None)
 
-    def _assign_segment(self, message: Stored, segment: Segment) -> None:
+    def _assign_segment(self, message: StoredMessage, segment: Segment) -> None:
         """Record that a message's current full record is in this segment."""
         self._remove_from_segment(message)
         message.segment_number = segment.number
--- a/wheelstep/journal/promise.py
+++ b/wheelstep/journal/durability.py
@@ -13,7 +13,7 @@
     """Another process has locked the folder."""
 
 
-class Sync(StrEnum):
+class SyncPolicy(StrEnum):
     """When written records are also synced to the device."""
 
     NONE = "none"  # never: records survive the end of the process, not a power loss
--- a/wheelstep/journal/journal.py
+++ b/wheelstep/journal/journal.py
@@ -18,10 +18,10 @@
 from wheelstep.journal import codec, recovery
 from wheelstep.journal.compaction import Compactor
 from wheelstep.journal.disk import Disk, Folder
+from wheelstep.journal.durability import FolderInUseError, NoRoomError, SyncPolicy
 from wheelstep.journal.migration import migrate_old_format
-from wheelstep.journal.promise import FolderInUseError, NoRoomError, Sync
 from wheelstep.journal.segments import Log, Segment
-from wheelstep.journal.state import Stored
+from wheelstep.journal.state import StoredMessage
 
 _MIN_SEGMENT_BYTES, _MAX_SEGMENT_BYTES = 64 * 1024, 4 * 1024 * 1024
 _MAX_RESERVE_BYTES = 192 * 1024
@@ -35,7 +35,7 @@
     Opening it raises `FolderInUseError`, `codec.FormatError` or `OSError`.
     """
 
-    def __init__(self, folder: Path | Disk, limit_bytes: int, sync: Sync = Sync.NONE,
+    def __init__(self, folder: Path | Disk, limit_bytes: int, sync: SyncPolicy = SyncPolicy.NONE,
                  wait_s: float = 1.0, segment_bytes: int = 0,
                  clock: Callable[[], float] = time.perf_counter) -> None:
         """Open the folder, or a `Disk`, and recover its content.
@@ -71,7 +71,7 @@
                       len(result.doubted & set(result.state.messages)), len(result.bodies_lost))
         recovery.clean_up(self._disk, result)
         self._state = result.state
-        self._log = Log(self._disk, self._target_bytes, self._sync is not Sync.NONE)
+        self._log = Log(self._disk, self._target_bytes, self._sync is not SyncPolicy.NONE)
         self._segments_by_number = {segment.number: segment for segment in result.segments}
         self._fact_segments = result.fact_segments
         self._log.adopt(result.segments)
@@ -92,7 +92,7 @@
     # --- content ---
 
     @property
-    def messages(self) -> dict[str, Stored]:
+    def messages(self) -> dict[str, StoredMessage]:
         """All unfinished messages by id, in the order of acceptance."""
         return self._state.messages
 
@@ -119,12 +119,12 @@
     @property
     def waits(self) -> bool:
         """Whether `durable` ever waits."""
-        return self._sync is Sync.GROUP
+        return self._sync is SyncPolicy.GROUP
 
     def close(self) -> None:
         """Close all files and unlock the folder. Under a sync policy, written records are synced first."""
         try:
-            if self._sync is not Sync.NONE and not self._sync_failed:
+            if self._sync is not SyncPolicy.NONE and not self._sync_failed:
                 self.sync_now()
         except OSError as error:
             self._report_sync_failure(error)
@@ -134,7 +134,7 @@
 
     # --- events ---
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Accept a message. Raises `NoRoomError` with nothing changed."""
         if self._closed:
             raise NoRoomError("the journal is closed")
--- a/wheelstep/journal/migration.py
+++ b/wheelstep/journal/migration.py
@@ -6,7 +6,7 @@
 
 from wheelstep.journal import codec
 from wheelstep.journal.disk import Disk
-from wheelstep.journal.oldformat import MIGRATION, OLD_LOG
+from wheelstep.journal.oldformat import MIGRATION, OLD_FORMAT_FILE
 from wheelstep.journal.segments import Log, Segment, segment_file_name
 from wheelstep.journal.state import State
 
@@ -41,7 +41,7 @@
         disk.close(handle)
     disk.rename(MIGRATION, segment_file_name(number))
     disk.sync_folder()
-    disk.unlink(OLD_LOG)
+    disk.unlink(OLD_FORMAT_FILE)
     disk.sync_folder()
     segment = Segment(number, len(data))
     for message in state.messages.values():
--- a/wheelstep/journal/oldformat.py
+++ b/wheelstep/journal/oldformat.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from wheelstep.journal import codec
-from wheelstep.journal.state import State, Stored
+from wheelstep.journal.state import State, StoredMessage
 
-OLD_LOG, OLD_REWRITE, MIGRATION = "journal.log", "journal.new", "takeover.new"
+OLD_FORMAT_FILE, OLD_REWRITE, MIGRATION = "journal.log", "journal.new", "takeover.new"
 _RECORD_HEADER = struct.Struct(">II")
 
 
@@ -65,10 +65,10 @@
         state.mark(name, head["v"])
     elif kind == "m":
         notice = head["no"]
-        state.take(Stored(name, head["c"], head["d"], head["by"], head["k"], head["tk"], head["re"], body, head["n"],
-                          head["rm"], head["ra"],
-                          {int(n): (at_ms, endpoint) for n, (at_ms, endpoint) in head["out"].items()},
-                          (notice[0], notice[1]) if notice else None, state.next_seq))
+        state.take(StoredMessage(name, head["c"], head["d"], head["by"], head["k"], head["tk"], head["re"], body,
+                                 head["n"], head["rm"], head["ra"],
+                                 {int(n): (at_ms, endpoint) for n, (at_ms, endpoint) in head["out"].items()},
+                                 (notice[0], notice[1]) if notice else None, state.next_seq))
     elif kind == "a":
         state.attempt(name, head["n"], head["at"], head["e"])
     elif kind == "o":
--- a/wheelstep/journal/recovery.py
+++ b/wheelstep/journal/recovery.py
@@ -12,9 +12,9 @@
 from wheelstep.journal import codec
 from wheelstep.journal.codec import ATTEMPT, END, FACT, HEADER, LOW, OUTCOME, OVER, TAKE, FormatError, Gap, Header
 from wheelstep.journal.disk import Disk
-from wheelstep.journal.oldformat import MIGRATION, OLD_LOG, OLD_REWRITE, fingerprint, read_old_state
-from wheelstep.journal.segments import Segment, number_of, segment_file_name
-from wheelstep.journal.state import State, Stored
+from wheelstep.journal.oldformat import MIGRATION, OLD_FORMAT_FILE, OLD_REWRITE, fingerprint, read_old_state
+from wheelstep.journal.segments import Segment, segment_file_name, segment_number_of
+from wheelstep.journal.state import State, StoredMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 def read(disk: Disk) -> RecoveryResult:
     """Replay a folder. Raises `FormatError` for an unknown format or version, `OSError` from the disk."""
     names = disk.names()
-    numbers = sorted(number for name in names if (number := number_of(name)) is not None)
+    numbers = sorted(number for name in names if (number := segment_number_of(name)) is not None)
     low = 0
     while True:  # a later segment may state that an earlier one is not in use: repeat without it
         in_use = [number for number in numbers if number >= low]
@@ -58,7 +58,7 @@
         low = seen_low
     result.stale += [segment_file_name(number) for number in numbers if number < low]
     result.stale += [name for name in (OLD_REWRITE, MIGRATION) if name in names]
-    if OLD_LOG in names:
+    if OLD_FORMAT_FILE in names:
         _add_old_format(disk, result)
     _apply_damage(result)
     result.state.sort_by_seq()
@@ -180,15 +180,15 @@
         if (message := result.state.messages.get(name)) is not None:
             message.mark_possibly_run()
     for name in sorted(result.bodies_lost):
-        result.state.take(Stored(name, "", 0, 0, attempts=1, ran_ms=0, ran_at="", notice=("given_up", 0),
+        result.state.take(StoredMessage(name, "", 0, 0, attempts=1, ran_ms=0, ran_at="", notice=("given_up", 0),
                                 seq=result.state.next_seq))
 
 
 def _add_old_format(disk: Disk, result: RecoveryResult) -> None:
     """Add an old-format file to the result, unless it was migrated already."""
-    data = disk.read(OLD_LOG)
+    data = disk.read(OLD_FORMAT_FILE)
     if result.old_fingerprint and fingerprint(data) == result.old_fingerprint:
-        result.stale.append(OLD_LOG)  # migrated already, only its removal is missing
+        result.stale.append(OLD_FORMAT_FILE)  # migrated already, only its removal is missing
         return
     old = read_old_state(data)
     result.old, result.old_fingerprint = old, fingerprint(data)
--- a/wheelstep/journal/segments.py
+++ b/wheelstep/journal/segments.py
@@ -22,7 +22,7 @@
     return f"{number:08}.journal"
 
 
-def number_of(name: str) -> int | None:
+def segment_number_of(name: str) -> int | None:
     """Return the segment number of a file name, or None if it is not a segment's."""
     found = _NAME.fullmatch(name)
     return int(found[1]) if found else None
--- a/wheelstep/journal/state.py
+++ b/wheelstep/journal/state.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Stored:
+class StoredMessage:
     """A message that the courier has accepted and not finished."""
 
     id: str
@@ -31,13 +31,13 @@
     segment_number: int = field(default=0, compare=False)  # number of the segment that holds the whole message
     weight: int = field(default=0, compare=False)  # estimated live bytes, without open attempts
 
-    def may_have_run(self, but: int | None = None) -> tuple[int, str] | None:
+    def may_have_run(self, except_attempt: int | None = None) -> tuple[int, str] | None:
         """Return send time and endpoint of the earliest attempt that may have run, or None.
 
-        Attempts without an outcome count; the attempt with number `but` does not.
+        Attempts without an outcome count; the attempt with number `except_attempt` does not.
         """
         known = [(self.ran_ms, self.ran_at or "")] if self.ran_ms is not None else []
-        return min([*known, *(sent for number, sent in self.out.items() if number != but)], default=None)
+        return min([*known, *(sent for number, sent in self.out.items() if number != except_attempt)], default=None)
 
     def mark_possibly_run(self) -> None:
         """Mark the message as possibly run at an unknown time, because damage may have destroyed the record of an
@@ -58,12 +58,12 @@
     """All unfinished messages and facts, messages in the order of acceptance. Changed only by applying records."""
 
     def __init__(self) -> None:
-        self.messages: dict[str, Stored] = {}
+        self.messages: dict[str, StoredMessage] = {}
         self.marks: dict[str, Any] = {}
         self.live = 0  # estimated bytes that the messages take when copied forward
         self.next_seq = 1
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Add a whole message; one that is already known is replaced and keeps its position."""
         known = self.messages.get(message.id)
         if known is not None:
@@ -108,7 +108,7 @@
         self.live += known.weight
         return True
 
-    def over(self, name: str) -> Stored | None:
+    def over(self, name: str) -> StoredMessage | None:
         """Remove a finished message and return it, or None if it is not known."""
         known = self.messages.pop(name, None)
         if known is not None:
--- a/wheelstep/journal/tools.py
+++ b/wheelstep/journal/tools.py
@@ -10,8 +10,8 @@
 from wheelstep.journal import recovery
 from wheelstep.journal.codec import FormatError
 from wheelstep.journal.disk import Folder
+from wheelstep.journal.durability import FolderInUseError, SyncPolicy
 from wheelstep.journal.journal import _MAX_SEGMENT_BYTES, _MIN_SEGMENT_BYTES, Journal
-from wheelstep.journal.promise import FolderInUseError, Sync
 from wheelstep.journal.segments import rounded_to_blocks, segment_file_name
 
 _NO_LIMIT = 1 << 40
@@ -80,7 +80,7 @@
     """Open the folder as a journal without a size limit. Raises `ToolError`."""
     used = sum(rounded_to_blocks(one.stat().st_size) for one in folder.iterdir() if one.is_file())
     try:
-        return Journal(folder, _NO_LIMIT, Sync.NONE,
+        return Journal(folder, _NO_LIMIT, SyncPolicy.NONE,
                        segment_bytes=max(_MIN_SEGMENT_BYTES, min(_MAX_SEGMENT_BYTES, used // 48)))
     except FolderInUseError as error:
         raise ToolError(f"{folder}: in use by another process; expected a folder that no courier uses") from error
--- a/wheelstep/journal/writing.py
+++ b/wheelstep/journal/writing.py
@@ -12,7 +12,7 @@
 
 from wheelstep.journal import codec
 from wheelstep.journal.disk import Disk
-from wheelstep.journal.promise import NoRoomError, Sync
+from wheelstep.journal.durability import NoRoomError, SyncPolicy
 from wheelstep.journal.segments import Log, Segment
 
 log = logging.getLogger("wheelstep.journal")
@@ -23,7 +23,8 @@
 
     _log: Log  # set when the folder is opened
 
-    def __init__(self, disk: Disk, limit_bytes: int, sync: Sync, wait_s: float, clock: Callable[[], float]) -> None:
+    def __init__(self, disk: Disk, limit_bytes: int, sync: SyncPolicy, wait_s: float,
+                 clock: Callable[[], float]) -> None:
         self._disk = disk
         self._limit_bytes, self._sync, self._wait_s, self._clock = limit_bytes, sync, wait_s, clock
         self._segments_by_number: dict[int, Segment] = {}
@@ -38,7 +39,7 @@
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
 
     def _append(self, record: bytes) -> Segment:
-        """Append records to the log, and sync them under `Sync.EACH`. Raises `OSError`."""
+        """Append records to the log, and sync them under `SyncPolicy.EACH`. Raises `OSError`."""
         segment_log = self._log
         try:
             segment = segment_log.append(record)
@@ -48,7 +49,7 @@
         finally:  # also a segment that was started before the write failed
             if segment_log.segments and segment_log.segments[-1].number not in self._segments_by_number:
                 self._segments_by_number[segment_log.segments[-1].number] = segment_log.segments[-1]
-        if self._sync is Sync.EACH and not self._sync_failed:
+        if self._sync is SyncPolicy.EACH and not self._sync_failed:
             with contextlib.suppress(OSError):  # it is written: only new messages are refused
                 self.sync_now()
         if self._write_error and not self._deferred:
@@ -116,7 +117,7 @@
 
         Raises `NoRoomError` if the sync takes longer than `wait_s`, or has failed.
         """
-        if self._sync is not Sync.GROUP or self._synced >= self._log.written:
+        if self._sync is not SyncPolicy.GROUP or self._synced >= self._log.written:
             return
         if self._sync_failed:
             raise NoRoomError("a sync has failed")
--- a/wheelstep/operator.py
+++ b/wheelstep/operator.py
@@ -11,14 +11,14 @@
 
 from pydantic import Field, ValidationError
 
-from wheelstep.fields import Part, Time, explain
+from wheelstep.fields import Duration, Table, describe_error
 
 
 class OperatorError(Exception):
     """The operator's file cannot be used; the text is `file: key: what was found; expected what`."""
 
 
-class RecordingPart(Part):
+class RecordingPart(Table):
     """Whether and where received messages are recorded."""
 
     on: bool = False
@@ -27,31 +27,31 @@
     bodies: bool = False
 
 
-class JournalPart(Part):
+class JournalPart(Table):
     """When the journal is synced, and the size of its segments."""
 
     sync: Literal["none", "group", "each"] = "none"
-    sync_within: Time = 1_000_000
+    sync_within: Duration = 1_000_000
     segment_kb: Annotated[int, Field(ge=0, le=1_000_000)] = 0
 
 
-class AccountPart(Part):
+class AccountPart(Table):
     """Whether the log has the lines that `umberchute account` reads."""
 
     on: bool = False
 
 
-class WorkersPart(Part):
+class WorkersPart(Table):
     """How many worker processes the courier uses, and what is done about workers that hang or fail."""
 
     count: Annotated[int, Field(ge=0, le=64)] = 0
     shares: Annotated[int, Field(ge=1, le=64)] = 8
-    hang_after: Time = 3_000_000
+    hang_after: Duration = 3_000_000
     park_after: Annotated[int, Field(ge=1, le=100)] = 3
-    park_within: Time = 30_000_000
+    park_within: Duration = 30_000_000
 
 
-class Operator(Part):
+class Operator(Table):
     """The whole file."""
 
     account: AccountPart = AccountPart()
@@ -83,7 +83,7 @@
     except tomllib.TOMLDecodeError as error:
         raise OperatorError(f"{path}: {error}; expected TOML") from error
     except ValidationError as error:
-        raise OperatorError(f"{path}: {explain(error, 'deploy/operator.toml')}") from error
+        raise OperatorError(f"{path}: {describe_error(error, 'deploy/operator.toml')}") from error
     if operator.fleet is not None and operator.workers.count:
         raise OperatorError(f"{path}: workers.count: {operator.workers.count} beside fleet.on = true; expected 0: a "
                             "fleet's courier is one process")
--- a/wheelstep/rehearsal/broken/order.py
+++ b/wheelstep/rehearsal/broken/order.py
@@ -11,7 +11,7 @@
 from wheelstep.courier.core import Core
 from wheelstep.courier.ports import CallsOut
 from wheelstep.courier.send_guard import SendGuard
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.broken.patch import change_settings
 
 
@@ -25,17 +25,17 @@
     restoring = []
     restore = Core.restore
 
-    def note(self: Core, marks: Mapping[str, Any], messages: Iterable[Stored],
+    def note(self: Core, marks: Mapping[str, Any], messages: Iterable[StoredMessage],
              calls: Sequence[CallsOut] = (), settling: Mapping[str, int] | None = None,
              owned_since_s: float | None = None) -> None:
         restoring.append(self)
         restore(self, marks, messages, calls, settling, owned_since_s)
         restoring.clear()
 
-    def unguarded(self: SendGuard, message: Stored, item: Item, now_s: float) -> bool:
+    def unguarded(self: SendGuard, message: StoredMessage, item: Item, now_s: float) -> bool:
         return True
 
-    def keyless(self: Core, message: Stored, resubmitted: bool) -> api.MessageAccepted:
+    def keyless(self: Core, message: StoredMessage, resubmitted: bool) -> api.MessageAccepted:
         event = accepted(self, message, resubmitted)
         return dataclasses.replace(event, key=None) if restoring or not only_restored else event
 
--- a/wheelstep/rehearsal/broken/twice.py
+++ b/wheelstep/rehearsal/broken/twice.py
@@ -7,7 +7,7 @@
 from wheelstep.courier.call import Progress
 from wheelstep.courier.carrier import Carrier
 from wheelstep.interface import EndReason, Outcome
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.broken.patch import change_settings
 
 
@@ -23,10 +23,10 @@
 
 def pays_after_restart() -> None:
     """What was out when the process ended counts as never sent."""
-    def never_ran(self: Stored, but: int | None = None) -> None:
+    def never_ran(self: StoredMessage, except_attempt: int | None = None) -> None:
         return None
 
-    Stored.may_have_run = never_ran  # type: ignore[method-assign]
+    StoredMessage.may_have_run = never_ran  # type: ignore[method-assign]
 
 
 def forgets_key_life() -> None:
@@ -39,7 +39,7 @@
     """Every end is told as a refusal that is safe to repeat."""
     end = Carrier._end
 
-    def handed_back(self: Carrier, message: Stored, outcome: str, retry_ms: int,
+    def handed_back(self: Carrier, message: StoredMessage, outcome: str, retry_ms: int,
                     reason: EndReason = EndReason.UNKNOWN) -> None:
         end(self, message, "handed_back", retry_ms, reason)
 
--- a/wheelstep/rehearsal/journal_model.py
+++ b/wheelstep/rehearsal/journal_model.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from wheelstep.journal import Journal, NoRoomError, Stored
-from wheelstep.journal.promise import Sync
+from wheelstep.journal import Journal, NoRoomError, StoredMessage
+from wheelstep.journal.durability import SyncPolicy
 from wheelstep.rehearsal.faulty_disk import CrashError, FaultyDisk
 
 LIMIT, SEGMENT = 24_000, 1_000
@@ -52,7 +52,7 @@
         if name not in journal.messages:
             body = bytes([which]) * (number % 400)
             with contextlib.suppress(NoRoomError):
-                journal.take(Stored(name, "c", 7, 1000 + number, f"k{which % 3}", None, False, body))
+                journal.take(StoredMessage(name, "c", 7, 1000 + number, f"k{which % 3}", None, False, body))
     elif what == "attempt":
         message = journal.messages.get(name)
         if message is not None and message.notice is None:
@@ -73,15 +73,15 @@
         journal.compact(0.0)
 
 
-def open_journal(disk: FaultyDisk, sync: Sync) -> Journal:
+def open_journal(disk: FaultyDisk, sync: SyncPolicy) -> Journal:
     """A small one."""
     return Journal(disk, LIMIT, sync, segment_bytes=SEGMENT)
 
 
-def crash_everywhere(history: Sequence[Step], sync: Sync, seed: int, again: bool = True) -> int:
-    """Play the history once whole, then crash at each of its operations and compare. Under `Sync.EACH` the power goes,
-    under `Sync.NONE` the process ends. With `again`, recovery is crashed as well. Returns how many crash points there
-    were; raises `MismatchError`."""
+def crash_everywhere(history: Sequence[Step], sync: SyncPolicy, seed: int, again: bool = True) -> int:
+    """Play the history once whole, then crash at each of its operations and compare. Under `SyncPolicy.EACH` the power
+    goes, under `SyncPolicy.NONE` the process ends. With `again`, recovery is crashed as well. Returns how many crash
+    points there were; raises `MismatchError`."""
     views: list[View] = []
     disk = FaultyDisk(seed)
     journal = open_journal(disk, sync)
@@ -104,7 +104,7 @@
             journal.close()
         except CrashError:
             pass
-        left = disk.after_crash(power=sync is Sync.EACH)
+        left = disk.after_crash(power=sync is SyncPolicy.EACH)
         if again:
             left = _crash_recovery(left, sync, random.Random(seed * 1_000_003 + point))
         allowed = views[max(done, 0):max(done, 0) + 2]
@@ -116,18 +116,18 @@
     return total
 
 
-def _crash_recovery(disk: FaultyDisk, sync: Sync, rng: random.Random) -> FaultyDisk:
+def _crash_recovery(disk: FaultyDisk, sync: SyncPolicy, rng: random.Random) -> FaultyDisk:
     """Crash once more while the folder is being read and mended."""
     disk.crash_at = rng.randint(1, 4)
     with contextlib.suppress(CrashError):
         open_journal(disk, sync)
-    return disk.after_crash(power=sync is Sync.EACH)
+    return disk.after_crash(power=sync is SyncPolicy.EACH)
 
 
-def _fits(found: View, view: View, sync: Sync) -> bool:
+def _fits(found: View, view: View, sync: SyncPolicy) -> bool:
     """The same after a process's end. After a power loss a message may count as one that may have run though it did
     not, never the other way round."""
-    if sync is Sync.NONE:
+    if sync is SyncPolicy.NONE:
         return found == view
     if len(found.messages) != len(view.messages) or found.marks != view.marks:
         return False
@@ -136,10 +136,11 @@
 
 
 def crash_between_syncs(history: Sequence[Step], seed: int, every: int = 5) -> int:
-    """Under `Sync.GROUP` with a sync after every few steps: the power goes at each operation. What was synced must be
-    there; of what came after it any part may be. Returns how many crash points there were; raises `MismatchError`."""
+    """Under `SyncPolicy.GROUP` with a sync after every few steps: the power goes at each operation. What was synced
+    must be there; of what came after it any part may be. Returns how many crash points there were; raises
+    `MismatchError`."""
     disk = FaultyDisk(seed)
-    views = [View.of(journal := open_journal(disk, Sync.GROUP))]
+    views = [View.of(journal := open_journal(disk, SyncPolicy.GROUP))]
     for number, step in enumerate(history):
         play(journal, step)
         views.append(View.of(journal))
@@ -151,15 +152,15 @@
         disk.crash_at = point
         done = safe = 0
         with contextlib.suppress(CrashError):
-            journal = open_journal(disk, Sync.GROUP)
+            journal = open_journal(disk, SyncPolicy.GROUP)
             for number, step in enumerate(history):
                 play(journal, step)
                 done = number + 1
                 if number % every == every - 1:
                     journal.sync_now()
                     safe = done
-        left = _crash_recovery(disk.after_crash(power=True), Sync.EACH, random.Random(seed * 7 + point))
-        trouble = _unfit(View.of(open_journal(left, Sync.GROUP)), views[safe:done + 2])
+        left = _crash_recovery(disk.after_crash(power=True), SyncPolicy.EACH, random.Random(seed * 7 + point))
+        trouble = _unfit(View.of(open_journal(left, SyncPolicy.GROUP)), views[safe:done + 2])
         if trouble:
             raise MismatchError(f"seed {seed}, power lost before operation {point} of {total}, after step {done}, "
                                 f"synced at {safe}: {trouble}")
--- a/wheelstep/rehearsal/scale/desk.py
+++ b/wheelstep/rehearsal/scale/desk.py
@@ -11,7 +11,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.call import Item
 from wheelstep.courier.turns import Sends, Turns
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.scale.partners import Counts, Partners
 from wheelstep.rehearsal.scale.settings import CLASSES, ORDERED
 from wheelstep.shards.types import shard_of
@@ -31,7 +31,7 @@
         self.turns = Turns(Sender(settings, seed), settings.tick_us, self._carry_out, self._call)
         self.listed_endpoints: dict[str, api.EndpointInfo] = {}
         self.destinations: Counter[int] = Counter()  # endpoints of each
-        self.held: dict[str, Stored] = {}  # taken on; the end is owed
+        self.held: dict[str, StoredMessage] = {}  # taken on; the end is owed
         self._numbers: dict[str, int] = {}
         self._settling: set[str] = set()
         self._calls: dict[tuple[str, int], tuple[asyncio.TimerHandle, str, float]] = {}  # attempts that are out
@@ -51,7 +51,7 @@
     def serves(self, destination: int) -> bool:
         return destination in self.destinations
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         self.held[message.id] = message
         self._settling.add(message.id)
         self.owed_by_shard[shard_of(message.destination, self._shards)] += 1
@@ -83,7 +83,7 @@
             self._forget(name)
             self.taken -= 1
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """Nobody records it."""
 
     # --- the list, whole or in part ---
--- a/wheelstep/rehearsal/scale/host.py
+++ b/wheelstep/rehearsal/scale/host.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.scale.courier import HollowCourier, Shared
 from wheelstep.rehearsal.scale.links import Links
 from wheelstep.rehearsal.scale.nursery import die_with_parent, end_with_stdin
@@ -50,7 +50,7 @@
         self._made: dict[str, Any] = {}
         self._up: dict[str, Any] = {}
         self._silent: list[Any] = []
-        self._kept: dict[str, list[Stored]] = {}  # as in the journals of those that are down
+        self._kept: dict[str, list[StoredMessage]] = {}  # as in the journals of those that are down
         self._gone: Counter[str] = Counter()  # figures of couriers that have ended
         self._lost: list[str] = []  # owed by machines that are lost for good
         self._traffic = (0.0, 1.0)
--- a/wheelstep/rehearsal/scale/traffic.py
+++ b/wheelstep/rehearsal/scale/traffic.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from wheelstep.courier.desk import BadRequestError, Desk, UnansweredError
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.rehearsal.scale.settings import DEADLINE_S, KEYS, ORDERED, draw_class
 
 PATIENCE_S = 0.4
@@ -96,10 +96,10 @@
         name = f"{self._name}-{time.monotonic_ns() // 1000:x}-{self._number}-{destination}"
         key = f"{destination}.{self._rng.randrange(KEYS)}" if ORDERED[message_class] else None
         self.open += 1
-        self._hand_in(Stored(name, message_class, destination, int((time.time() + DEADLINE_S) * 1000), key,
+        self._hand_in(StoredMessage(name, message_class, destination, int((time.time() + DEADLINE_S) * 1000), key,
                              f"k{name}", False, _BODY), 1)
 
-    def _hand_in(self, message: Stored, tries: int) -> None:
+    def _hand_in(self, message: StoredMessage, tries: int) -> None:
         if self._stopped:
             return
         if not self._ready():
@@ -131,7 +131,7 @@
                 self._settled(desk, message, tries, began_s, work, not at_once)
             work.add_done_callback(settled)
 
-    def _settled(self, desk: Desk, message: Stored, tries: int, began_s: float, work: asyncio.Future[None],
+    def _settled(self, desk: Desk, message: StoredMessage, tries: int, began_s: float, work: asyncio.Future[None],
                  waited: bool) -> None:
         error = None if work.cancelled() else work.exception()
         if not work.cancelled() and error is None:
@@ -149,7 +149,7 @@
         else:
             raise error
 
-    def _began(self, desk: Desk, message: Stored, tries: int, began_s: float, waited: bool) -> None:
+    def _began(self, desk: Desk, message: StoredMessage, tries: int, began_s: float, waited: bool) -> None:
         spent_s = time.perf_counter() - began_s
         self._took.add(spent_s)
         if waited:
@@ -158,7 +158,7 @@
         desk.handed_in(message, 202)
         self._answered(message, tries, "202")
 
-    def _answered(self, message: Stored, tries: int, answer: str) -> None:
+    def _answered(self, message: StoredMessage, tries: int, answer: str) -> None:
         self.answers[answer] += 1
         if answer == "202":
             self.open -= 1
--- a/wheelstep/rehearsal/scenario.py
+++ b/wheelstep/rehearsal/scenario.py
@@ -12,7 +12,7 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from wheelstep.fields import Count, Part, Share, Span, Time, explain
+from wheelstep.fields import Count, Duration, DurationRange, Share, Table, describe_error
 from wheelstep.rehearsal.history import Effect
 
 
@@ -20,26 +20,26 @@
     """A scenario that can't be used: `file: key: what was found; expected what`."""
 
 
-class RulesPart(Part):
+class RulesPart(Table):
     """Figures of the rules."""
 
-    drain_grace: Time = 250_000
+    drain_grace: Duration = 250_000
     fall_multiple: Annotated[float, Field(gt=0)] = 1.5
-    fall_for: Time = 3_000_000
-    cold: Time = 14_000_000
+    fall_for: Duration = 3_000_000
+    cold: Duration = 14_000_000
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.27
-    settle: Time = 300_000
+    settle: Duration = 300_000
 
 
-class ClassPart(Part):
+class ClassPart(Table):
     """A class of messages."""
 
     name: Annotated[str, Field(min_length=1)]
     share: Annotated[float, Field(gt=0)] = 1.0
-    promise: Time = 2_000_000
-    deadline: Time = 6_000_000
+    promise: Duration = 2_000_000
+    deadline: Duration = 6_000_000
     effect: Effect = Effect.UNSAFE
-    key_life: Time = 0
+    key_life: Duration = 0
     ordered: bool = False
     worth: Annotated[float, Field(ge=0)] = 1.0
     late_worth: Share = 0.3
@@ -57,7 +57,7 @@
         return self
 
 
-class KindPart(Part):
+class KindPart(Table):
     """A kind of partner."""
 
     name: Annotated[str, Field(min_length=1)]
@@ -65,17 +65,17 @@
     routes_apart: bool = False
 
 
-class LimitPart(Part):
+class LimitPart(Table):
     """What a partner takes from all couriers together."""
 
     rate_per_s: Annotated[float, Field(gt=0)]
-    window: Time | None = None  # a count in each such span instead of a plain rate
+    window: Duration | None = None  # a count in each such span instead of a plain rate
     refused_count: bool = False
-    tells_wait: Time | None = None  # its refusals tell this wait
+    tells_wait: Duration | None = None  # its refusals tell this wait
     report: bool = True  # answers carry X-Load
 
 
-class PartnerPart(Part):
+class PartnerPart(Table):
     """A partner: one destination with one or more endpoints."""
 
     name: Annotated[str, Field(min_length=1)]
@@ -84,7 +84,7 @@
     share: Annotated[float, Field(gt=0)] = 1.0  # of the traffic
     lanes: Count = 4  # calls that an endpoint serves at once
     queue: Annotated[int, Field(ge=0, le=100_000)] = 16
-    pace: Time = 80_000  # to serve a call, on average
+    pace: Duration = 80_000  # to serve a call, on average
     spread: Annotated[float, Field(ge=0, le=3)] = 0.3  # its deviation, as a share of the pace
     limit: LimitPart | None = None
     connections: Count | None = None  # an endpoint takes so many
@@ -92,7 +92,7 @@
     key_memory: bool = True  # it drops repeats of a keyed message
 
 
-class TrafficPart(Part):
+class TrafficPart(Table):
     """What clients hand in."""
 
     rate_per_s: Annotated[float, Field(gt=0, le=20_000)] = 20.0
@@ -101,7 +101,7 @@
     keys: Count = 8  # of each partner, in classes that keep an order
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     honour: Share = 1.0  # share of the retries that wait as Retry-After says
-    backoff: Span = (200_000, 600_000)
+    backoff: DurationRange = (200_000, 600_000)
     fresh: Share = 0.0  # share of the keys that use a new connection for each request
     crowd: Annotated[int, Field(ge=0, le=2000)] = 0  # further connections that stand idle
 
@@ -110,23 +110,23 @@
 _COURIER_FAULTS = ("kill", "term", "pause")
 
 
-class FaultPart(Part):
+class FaultPart(Table):
     """Something that goes wrong, and when. `for` is how long; which keys go with which kind is checked."""
 
     kind: Literal["stall", "silent", "hang", "refuse", "shut", "fail", "reset", "spoil", "drain", "leave", "replace",
                   "kill", "term", "pause", "discovery", "worker-kill", "worker-hang"]
-    at: Span
-    lasts: Annotated[Span | None, Field(alias="for")] = None
+    at: DurationRange
+    lasts: Annotated[DurationRange | None, Field(alias="for")] = None
     partner: str | None = None
     endpoint: Annotated[int, Field(ge=0)] | None = None  # one of the partner's; none: all
     courier: Annotated[int, Field(ge=0)] | None = None  # none: all
     worker: Annotated[int, Field(ge=0)] | None = None  # of a courier with workers; none: the first
-    every: Time | None = None  # stall
-    pause: Span | None = None  # stall
+    every: Duration | None = None  # stall
+    pause: DurationRange | None = None  # stall
     share: Share | None = None  # fail, reset, spoil
     when: Literal["before", "after"] | None = None  # reset: before or after the call's last byte
-    wait: Time | None = None  # shut: told with each refusal
-    told_after: Span | None = None  # drain, leave, replace: until couriers are told
+    wait: Duration | None = None  # shut: told with each refusal
+    told_after: DurationRange | None = None  # drain, leave, replace: until couriers are told
 
     @model_validator(mode="after")
     def _fits(self) -> FaultPart:
@@ -151,21 +151,21 @@
         return self
 
 
-class Scenario(Part):
+class Scenario(Table):
     """A whole scenario."""
 
     title: str
     rule: Literal["lost", "twice", "drains", "returns", "order", "waits", "all"]
-    length: Time  # clients hand in for so long
+    length: Duration  # clients hand in for so long
     couriers: Annotated[int, Field(ge=1, le=64)] = 1
     slots: Count = 16
     hold: Count = 500
     max_attempts: Count = 12
-    idle: Time = 10_000_000  # endpoints close connections that are idle for so long
-    dial: Time = 1_000_000
-    ready_within: Time = 30_000_000
+    idle: Duration = 10_000_000  # endpoints close connections that are idle for so long
+    dial: Duration = 1_000_000
+    ready_within: Duration = 30_000_000
     probes: bool = True
-    told_after: Span = (100_000, 300_000)  # discovery's delay to a courier
+    told_after: DurationRange = (100_000, 300_000)  # discovery's delay to a courier
     rules: RulesPart = RulesPart()
     classes: Annotated[tuple[ClassPart, ...], Field(alias="class", min_length=1)]
     kinds: Annotated[tuple[KindPart, ...], Field(alias="kind", min_length=1)]
@@ -183,7 +183,7 @@
     try:
         scenario = Scenario.model_validate(data)
     except ValidationError as error:
-        raise ScenarioError(f"{source}: {explain(error, 'docs/operations/rehearsal.md')}") from error
+        raise ScenarioError(f"{source}: {describe_error(error, 'docs/operations/rehearsal.md')}") from error
     for key, text in _crossings(scenario):
         raise ScenarioError(f"{source}: {key}: {text}")
     return scenario
--- a/wheelstep/rehearsal/shard_world/broken.py
+++ b/wheelstep/rehearsal/shard_world/broken.py
@@ -9,7 +9,7 @@
 
 from wheelstep.forwarding.client import ForwardClient
 from wheelstep.forwarding.server import ForwardServer, Turned
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world import check
 from wheelstep.shards.desks import RoutedDesk
 from wheelstep.shards.handoff import Handoff
@@ -26,7 +26,7 @@
     """Who is asked and is not home asks on."""
     asked = Routing.asked
 
-    def on(self: Any, message: Stored) -> Any:
+    def on(self: Any, message: StoredMessage) -> Any:
         found = asked(self, message)
         away = isinstance(found, Turned) and found.is_ == "away"
         return RoutedDesk(self._places.desk_here, self._route) if away else found
--- a/wheelstep/rehearsal/shard_world/check.py
+++ b/wheelstep/rehearsal/shard_world/check.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world.process import Process
 from wheelstep.rehearsal.shard_world.world import MS, S, World
 
@@ -50,7 +50,7 @@
     world: World
     late: Callable[[str, str], int] = lambda courier, endpoint: 0
     disks: Callable[[], dict[str, set[str]]] = dict  # what each courier's disk holds
-    told: dict[str, tuple[str, Stored]] = field(default_factory=dict)  # heard 202: at which door
+    told: dict[str, tuple[str, StoredMessage]] = field(default_factory=dict)  # heard 202: at which door
     owner: dict[str, str] = field(default_factory=dict)  # who acts on it
     ends: dict[str, str] = field(default_factory=dict)
     handing: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))  # ids at each one's door
@@ -70,19 +70,19 @@
 
     # --- who has it ---
 
-    def took(self, courier: str, message: Stored) -> None:
+    def took(self, courier: str, message: StoredMessage) -> None:
         """Written down; it may still be withdrawn."""
         self.world.trace(courier, "took", message.id, message.key or "")
         self.world.count["took"] += 1
 
-    def began(self, courier: str, message: Stored, restored: bool = False) -> None:
+    def began(self, courier: str, message: StoredMessage, restored: bool = False) -> None:
         """This courier acts on it from now on."""
         self.world.trace(courier, "restored" if restored else "began", message.id)
         other = self.owner.setdefault(message.id, courier)
         if other != courier:
             self.fail(TAKEN_ONCE, f"{message.id} at {courier}, and {other} has begun it")
 
-    def withdrawn(self, courier: str, message: Stored) -> None:
+    def withdrawn(self, courier: str, message: StoredMessage) -> None:
         """Forgotten before it was begun."""
         self.world.trace(courier, "withdrew", message.id)
         if message.id in self.told and message.id not in self.ends and not self._kept(message.id):
@@ -91,7 +91,7 @@
     def _kept(self, name: str) -> bool:
         return any(name in held for held in self.disks().values())
 
-    def answered(self, courier: str, boot: int, message: Stored, status: int) -> None:
+    def answered(self, courier: str, boot: int, message: StoredMessage, status: int) -> None:
         """A door has said so."""
         self.world.trace(courier, "says", status, message.id)
         self.world.count[f"says {status}"] += 1
@@ -103,7 +103,7 @@
             self.fail(OWED, f"{message.id}, answered 202 by {courier}, is on no disk")
         self.told.setdefault(message.id, (courier, message))
 
-    def heard(self, courier: str, boot: int, message: Stored) -> None:
+    def heard(self, courier: str, boot: int, message: StoredMessage) -> None:
         """Its client has heard 202, and hands in the next of its key only then."""
         if message.key is not None and message.id not in self._chain_of:
             chain = self._chains.setdefault((message.key, courier, boot), _Chain())
@@ -111,13 +111,13 @@
             chain.names.append(message.id)
             self._chain_of[message.id] = chain
 
-    def ended(self, courier: str, message: Stored, outcome: str) -> None:
+    def ended(self, courier: str, message: StoredMessage, outcome: str) -> None:
         """Told, and forgotten there."""
         self.world.trace(courier, "ended", message.id, outcome)
         self.world.count[outcome] += 1
         self.ends[message.id] = outcome
 
-    def dropped_owed(self, courier: str, message: Stored) -> None:
+    def dropped_owed(self, courier: str, message: StoredMessage) -> None:
         """A courier gives up a destination that it owes a message of."""
         self.fail(OWED, f"{courier} drops destination {message.destination}, and owes {message.id}")
 
@@ -132,7 +132,7 @@
 
     # --- partners ---
 
-    def sent(self, process: Process, endpoint: str, message: Stored) -> None:
+    def sent(self, process: Process, endpoint: str, message: StoredMessage) -> None:
         """The first byte of a call."""
         name, courier = message.id, process.name
         self.world.trace(courier, "calls", endpoint, name)
@@ -157,14 +157,14 @@
         """Is its time up? It is not called for any more, though a courier that is down may still hold it."""
         return self.world.wall_us() >= self.told[name][1].deadline_ms * MS
 
-    def effect(self, message: Stored) -> None:
+    def effect(self, message: StoredMessage) -> None:
         """It takes effect at its destination."""
         self.world.trace("", "effect", message.id)
         self._effects[message.id] = self._effects.get(message.id, 0) + 1
         if message.message_class == "unsafe" and self._effects[message.id] > 1:
             self.fail(ONCE, f"{message.id} takes effect at destination {message.destination} again")
 
-    def call_over(self, process: Process, message: Stored) -> None:
+    def call_over(self, process: Process, message: StoredMessage) -> None:
         """A call of it runs no more."""
         self._open[message.id].remove(process)
 
--- a/wheelstep/rehearsal/shard_world/clients.py
+++ b/wheelstep/rehearsal/shard_world/clients.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from wheelstep.courier.request import Request
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world.check import Check
 from wheelstep.rehearsal.shard_world.courier import Courier
 from wheelstep.rehearsal.shard_world.door import SimConnection
@@ -39,7 +39,7 @@
 
     world: World
     check: Check
-    message: Stored
+    message: StoredMessage
     done: Callable[[int], None]
 
     def at(self, courier: Courier, again: bool, patience_us: int = ANSWER_US) -> None:
@@ -127,10 +127,10 @@
             kind, destination = "ordered", self._same
         key = f"{self.name}-{destination}" if kind == "ordered" else None
         deadline_ms = (self.world.wall_us() + rng.randint(5, 12) * S) // MS
-        message = Stored(f"{self.name}.{self._count}", kind, destination, deadline_ms, key)
+        message = StoredMessage(f"{self.name}.{self._count}", kind, destination, deadline_ms, key)
         self._hand(message, self._at, False)
 
-    def _hand(self, message: Stored, courier: Courier, again: bool, boot: int = 0) -> None:
+    def _hand(self, message: StoredMessage, courier: Courier, again: bool, boot: int = 0) -> None:
         if again and boot != courier.disk.boot and not AFTER_RESTART:
             self.world.after(self.rng.randrange(self.every_us), self._next)
             return
@@ -139,7 +139,7 @@
         patience_us = self.rng.randrange(ANSWER_US) if self.rng.random() < 0.04 else ANSWER_US
         hand.at(courier, again, patience_us)
 
-    def _done(self, message: Stored, courier: Courier, again: bool, status: int, boot: int) -> None:
+    def _done(self, message: StoredMessage, courier: Courier, again: bool, status: int, boot: int) -> None:
         rng, left_ms = self.rng, message.deadline_ms - self.world.wall_us() // MS
         self.world.count[f"heard {status}"] += 1
         if status in (503, -1) and left_ms > LEAST_LEFT_MS + 1_000:
--- a/wheelstep/rehearsal/shard_world/disk.py
+++ b/wheelstep/rehearsal/shard_world/disk.py
@@ -8,14 +8,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
 
 @dataclass(frozen=True, slots=True)
 class Kept:
     """A message on disk. `ran`: an attempt of it may have run; `seq` tells the order in which they were taken."""
 
-    message: Stored
+    message: StoredMessage
     seq: int
     ran: bool = False
 
@@ -34,7 +34,7 @@
         self._undo.append((name, self.rows.get(name)))
         self.rows[name] = kept
 
-    def take(self, message: Stored) -> Kept:
+    def take(self, message: StoredMessage) -> Kept:
         """A new message, behind all others."""
         self.seq += 1
         kept = Kept(message, self.seq)
--- a/wheelstep/rehearsal/shard_world/door.py
+++ b/wheelstep/rehearsal/shard_world/door.py
@@ -10,7 +10,7 @@
 from wheelstep.courier.client_server import ClientServer
 from wheelstep.courier.desk import Desk
 from wheelstep.courier.request import Request
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world.check import Check
 from wheelstep.rehearsal.shard_world.process import Process
 
@@ -20,7 +20,7 @@
 class SimConnection:
     """One request's, with as much of `ClientConnection` as `ClientServer` uses."""
 
-    def __init__(self, door: Door, message: Stored, heard: Callable[[int], None]) -> None:
+    def __init__(self, door: Door, message: StoredMessage, heard: Callable[[int], None]) -> None:
         self._door, self._message, self._heard = door, message, heard
         self._waits: asyncio.Future[None] | None = None
         self.gone = self.taking = False
@@ -73,7 +73,7 @@
         self.process, self.boot, self.check = process, boot, check
         self.server = ClientServer(desk, CLASSES, 1_000, find)
 
-    def serve(self, request: Request, message: Stored, heard: Callable[[int], None],
+    def serve(self, request: Request, message: StoredMessage, heard: Callable[[int], None],
               opened: Callable[[SimConnection], None]) -> None:
         """A request has come whole, in this process's turn."""
         connection = SimConnection(self, message, heard)
--- a/wheelstep/rehearsal/shard_world/partners.py
+++ b/wheelstep/rehearsal/shard_world/partners.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world.check import Check
 from wheelstep.rehearsal.shard_world.process import Process
 from wheelstep.rehearsal.shard_world.world import MS, World
@@ -35,7 +35,7 @@
     slow: float = 0.15
     down: set[str] = field(default_factory=set)
 
-    def call(self, process: Process, endpoint: str, message: Stored, heard: Callable[[Outcome], None]) -> None:
+    def call(self, process: Process, endpoint: str, message: StoredMessage, heard: Callable[[Outcome], None]) -> None:
         """The first byte goes out now; `heard` may never be told."""
         rng = self.rng
         self.check.sent(process, endpoint, message)
@@ -51,10 +51,11 @@
         if rng.random() >= self.silent:
             self.world.after(there + works + MS, process.deliver, heard, Outcome.OK)
 
-    def _effect(self, process: Process, message: Stored) -> None:
+    def _effect(self, process: Process, message: StoredMessage) -> None:
         self.check.call_over(process, message)
         self.check.effect(message)
 
-    def _unrun(self, process: Process, message: Stored, heard: Callable[[Outcome], None], outcome: Outcome) -> None:
+    def _unrun(self, process: Process, message: StoredMessage, heard: Callable[[Outcome], None],
+               outcome: Outcome) -> None:
         self.check.call_over(process, message)
         process.deliver(heard, outcome)
--- a/wheelstep/rehearsal/shard_world/run.py
+++ b/wheelstep/rehearsal/shard_world/run.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world import clock, faults
 from wheelstep.rehearsal.shard_world.check import ERROR, Check, ViolationError
 from wheelstep.rehearsal.shard_world.clients import Client, Hand
@@ -174,7 +174,7 @@
         others = [courier] if at_it else [one for one in self.fleet if one is not courier and not one.lost]
         for number in range(rng.randint(50, 150)):
             deadline_ms = (self.world.wall_us() + 6 * S) // MS
-            message = Stored(f"b{self.world.now_us}.{number}", rng.choice(("safe", "unsafe")),
+            message = StoredMessage(f"b{self.world.now_us}.{number}", rng.choice(("safe", "unsafe")),
                              rng.choice(self.destinations), deadline_ms)
             self.world.after(rng.randrange(S // 2), Hand(self.world, self.check, message, lambda status: None).at,
                              rng.choice(others), False)
@@ -185,7 +185,7 @@
         fleet = [one for one in self.fleet if not one.lost]
         for number, destination in enumerate(self.destinations):
             for courier in rng.sample(fleet, min(2, len(fleet))):
-                message = Stored(f"p{number}.{courier.name}", "safe", destination,
+                message = StoredMessage(f"p{number}.{courier.name}", "safe", destination,
                                  (self.world.wall_us() + 2 * S) // MS)
                 hand = Hand(self.world, self.check, message, lambda status, courier=courier, destination=destination:
                             self._probes.append((courier.name, str(destination), status)))  # type: ignore[misc]
--- a/wheelstep/rehearsal/shard_world/shelf.py
+++ b/wheelstep/rehearsal/shard_world/shelf.py
@@ -11,7 +11,7 @@
 
 from wheelstep import interface as api
 from wheelstep.courier.rows import Row
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.rehearsal.shard_world.check import Check
 from wheelstep.rehearsal.shard_world.disk import Disk
 from wheelstep.rehearsal.shard_world.partners import Outcome, Partners
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class _Held:
-    message: Stored
+    message: StoredMessage
     begun: bool
     out: int = 0  # number of the call under way
     calls: int = 0
@@ -74,7 +74,7 @@
     def settles(self, message: str) -> bool:
         return message in self._held and not self._held[message].begun
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         if self.full():
             raise NoRoomError("holds all it can")
         self._disk.take(message)
@@ -109,7 +109,7 @@
             self._check.withdrawn(self._process.name, held.message)
             self._remove(name)
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """Recorded by the door."""
 
     # --- ports.Shelf ---
@@ -173,10 +173,10 @@
     def _shard(self, destination: int) -> int:
         return shard_of(destination, self._shards)
 
-    def _key(self, message: Stored) -> Key | None:
+    def _key(self, message: StoredMessage) -> Key | None:
         return (message.destination, message.message_class, message.key) if message.key is not None else None
 
-    def _add(self, message: Stored, begun: bool) -> None:
+    def _add(self, message: StoredMessage, begun: bool) -> None:
         self._held[message.id] = _Held(message, begun)
         if (key := self._key(message)) is not None:
             self._keys.setdefault(key, []).append(message.id)
--- a/wheelstep/renewal/classes.py
+++ b/wheelstep/renewal/classes.py
@@ -1,6 +1,6 @@
 """Which class rules apply to which message while settings change, under load and across restarts. No I/O.
 
-A message keeps the rules that its class had when it was accepted. The policy module gets a list of classes in which a
+A message keeps the rules that its class had when it was accepted. The decision module gets a list of classes in which a
 place keeps its meaning as long as any unfinished message uses it. Clients learn of new settings a little later than the
 courier, so for a while a changed class has the stricter of the old and new rules.
 """
@@ -13,7 +13,7 @@
 
 from wheelstep.interface import Effect, MessageClass
 
-SETTLE_S = 1.5  # from SIGHUP until only the new rules apply
+TRANSITION_S = 1.5  # from SIGHUP until only the new rules apply
 _STRICTNESS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
 
 
@@ -27,7 +27,7 @@
 
 
 class ClassTable:
-    """The policy module's list of classes, and which place in it applies to a message, by class name and sequence
+    """The decision module's list of classes, and which place in it applies to a message, by class name and sequence
     number.
 
     A place is an index into `places`.
@@ -120,7 +120,7 @@
         return table
 
 
-def during(before: ClassTable, classes: Mapping[str, MessageClass]) -> dict[str, MessageClass]:
+def transitional_classes(before: ClassTable, classes: Mapping[str, MessageClass]) -> dict[str, MessageClass]:
     """Return the classes that apply until clients know the new ones: all old and new, changed ones with the stricter
     rules."""
     both = {name: before.current(name) for name in before.names}
@@ -128,10 +128,10 @@
                        for name, cls in classes.items()}}
 
 
-def unknown(classes: Iterable[MessageClass]) -> MessageClass:
+def rules_for_unknown_class(classes: Iterable[MessageClass]) -> MessageClass:
     """Return rules for messages whose class is no longer known.
 
-    They violate no class's rules, and do not change the times that the policy module derives from all classes.
+    They violate no class's rules, and do not change the times that the decision module derives from all classes.
     """
     known = list(classes)
     return MessageClass(min(cls.promise_us for cls in known), max(cls.deadline_us for cls in known), Effect.UNSAFE,
--- a/wheelstep/shards/book.py
+++ b/wheelstep/shards/book.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from wheelstep.courier.ports import Book
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.shards.types import shard_of
 
 
@@ -15,12 +15,12 @@
 
     def __init__(self, journal: Book, shards: int) -> None:
         self._journal, self._shards = journal, shards
-        self._owed: dict[int, dict[str, Stored]] = {}
+        self._owed: dict[int, dict[str, StoredMessage]] = {}
         for message in journal.messages.values():
             if message.notice is None:
                 self._add(message)
 
-    def of(self, shard: int) -> Mapping[str, Stored]:
+    def of(self, shard: int) -> Mapping[str, StoredMessage]:
         """The shard's owed messages, in the order in which they were taken."""
         return self._owed.get(shard, {})
 
@@ -28,7 +28,7 @@
         """The number of owed messages, by shard."""
         return {shard: len(messages) for shard, messages in self._owed.items()}
 
-    def _add(self, message: Stored) -> None:
+    def _add(self, message: StoredMessage) -> None:
         self._owed.setdefault(shard_of(message.destination, self._shards), {})[message.id] = message
 
     def _remove(self, name: str) -> None:
@@ -43,7 +43,7 @@
     # --- courier.ports.Book ---
 
     @property
-    def messages(self) -> dict[str, Stored]:
+    def messages(self) -> dict[str, StoredMessage]:
         """The messages in the journal, by id."""
         return self._journal.messages
 
@@ -57,7 +57,7 @@
         """As the journal's."""
         return self._journal.waits
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Writes a new message and counts it as owed."""
         self._journal.take(message)
         self._add(self._journal.messages[message.id])
--- a/wheelstep/shards/control_settings.py
+++ b/wheelstep/shards/control_settings.py
@@ -9,7 +9,7 @@
 from pydantic import Field, ValidationError
 
 from wheelstep.courier.config import Address
-from wheelstep.fields import Part, explain
+from wheelstep.fields import Table, describe_error
 from wheelstep.fleet.settings import Address as AddressText
 from wheelstep.fleet.settings import Name, read_key
 
@@ -18,7 +18,7 @@
     """The file cannot be used; one line that names the place and what was expected."""
 
 
-class ControlPart(Part):
+class ControlPart(Table):
     """The settings of a control machine. `shards` must be the same at all members of the fleet."""
 
     name: Name
@@ -48,7 +48,8 @@
     try:
         part = ControlPart.model_validate(data.get("control", {}))
     except ValidationError as error:
-        raise ControlError(f"{path}: control.{explain(error, 'wheelstep/shards/control_settings.py')}") from error
+        raise ControlError(
+            f"{path}: control.{describe_error(error, 'wheelstep/shards/control_settings.py')}") from error
     _address(path, "listen", part.listen)
     return Control(part, [_key(path, name) for name in (part.key_file, *part.old_key_files)],
                    _address(path, "discovery", part.discovery))
--- a/wheelstep/shards/desks.py
+++ b/wheelstep/shards/desks.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from wheelstep.courier.desk import Desk
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 
-Route = Callable[["RoutedDesk", Stored], "asyncio.Future[None]"]
+Route = Callable[["RoutedDesk", StoredMessage], "asyncio.Future[None]"]
 
 
 class RoutedDesk:
@@ -20,7 +20,7 @@
 
     def __init__(self, own_desk: Desk, route: Route) -> None:
         self._own_desk, self._route = own_desk, route
-        self._message: Stored | None = None
+        self._message: StoredMessage | None = None
         self.inner: Desk | None = None  # the desk that was asked to take the message and hears of its progress
 
     def full(self) -> bool:
@@ -39,7 +39,7 @@
         """As the courier's own desk."""
         return self._own_desk.settles(message)
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """Keeps the message until `durable` routes it."""
         self._message = message
 
@@ -59,7 +59,7 @@
         if self.inner is not None:
             self.inner.withdraw(name)
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         """Counts the answer: at the desk that took the message, or here if it was turned away."""
         if self.inner is not None:
             self.inner.handed_in(message, status)
--- a/wheelstep/shards/lives.py
+++ b/wheelstep/shards/lives.py
@@ -9,7 +9,7 @@
 
 from wheelstep.courier.config import UNREADABLE
 from wheelstep.courier.rows import Row
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.shards import handoff, hosting, list_client
 from wheelstep.shards.handoff import Handoff
 from wheelstep.shards.homes import Homes
@@ -74,7 +74,7 @@
         self.run_hosting_actions(acts or ())
         return acts is not None
 
-    def taken_for_other_home(self, message: Stored) -> None:
+    def taken_for_other_home(self, message: StoredMessage) -> None:
         """A message was taken for a shard whose home is another courier."""
         now_us, shard = self._now_us(), shard_of(message.destination, self._shards)
         self.hosting.message_taken(now_us, shard)
--- a/wheelstep/shards/node.py
+++ b/wheelstep/shards/node.py
@@ -15,7 +15,7 @@
 from wheelstep.fleet.types import Action, Member, Note, Packet, SendPacket, State
 from wheelstep.forwarding.client import ForwardClient
 from wheelstep.forwarding.server import ForwardServer
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.shards.homes import Homes
 from wheelstep.shards.hosting import NEVER_US, Life
 from wheelstep.shards.links import Links
@@ -158,7 +158,7 @@
         self._arm()
         return room
 
-    def taken_for_other_home(self, message: Stored) -> None:
+    def taken_for_other_home(self, message: StoredMessage) -> None:
         """A message was taken here although another courier is home."""
         self.lives.taken_for_other_home(message)
         self._arm()
--- a/wheelstep/shards/routing.py
+++ b/wheelstep/shards/routing.py
@@ -11,7 +11,7 @@
 from wheelstep.forwarding.client import Ended, ForwardClient, RemoteDesk
 from wheelstep.forwarding.errors import AwayError
 from wheelstep.forwarding.server import Turned
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.shards.desks import RoutedDesk
 from wheelstep.shards.hosting import Hosting, Life
 from wheelstep.shards.router import Answer, Ask, BeGuest, Decision, NoAnswer, Request, Retry, Router, Take, View, Wait
@@ -49,7 +49,7 @@
         """Starts serving the shard as guest; False if there is no room."""
         ...
 
-    def taken_for_other_home(self, message: Stored) -> None:
+    def taken_for_other_home(self, message: StoredMessage) -> None:
         """A message was taken here although another courier is home."""
         ...
 
@@ -77,13 +77,13 @@
         return self._places.desk_here if self._places.takes_all(shard) else RoutedDesk(
             self._places.desk_here, self._route)
 
-    def _route(self, desk: RoutedDesk, message: Stored) -> asyncio.Future[None]:
+    def _route(self, desk: RoutedDesk, message: StoredMessage) -> asyncio.Future[None]:
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         request, now_us = self._request(message), self._places.now_us()
         self._execute(answer, desk, message, request, self._router.decide(now_us, request, self._view(request)))
         return answer
 
-    def _request(self, message: Stored) -> Request:
+    def _request(self, message: StoredMessage) -> Request:
         left_us = message.deadline_ms * 1000 - int(time.time() * 1e6)
         shard = shard_of(message.destination, self._places.shards)
         return Request(message.id, message.destination, shard, message.message_class, message.key,
@@ -92,7 +92,7 @@
     def _view(self, request: Request) -> View:
         return self._places.view(request.destination, request.shard, request.message_class, request.key)
 
-    def _execute(self, answer: asyncio.Future[None], desk: RoutedDesk, message: Stored, request: Request,
+    def _execute(self, answer: asyncio.Future[None], desk: RoutedDesk, message: StoredMessage, request: Request,
                  decision: Decision, waited: bool = False) -> None:
         if answer.done():  # its client has disconnected
             return
@@ -117,7 +117,7 @@
             case NoAnswer(reason):
                 answer.set_exception(UnansweredError(reason))
 
-    def _resume(self, answer: asyncio.Future[None], desk: RoutedDesk, message: Stored, request: Request,
+    def _resume(self, answer: asyncio.Future[None], desk: RoutedDesk, message: StoredMessage, request: Request,
                 changed: bool) -> None:
         if not answer.done():
             decision = self._router.decide(self._places.now_us(), request, self._view(request))
@@ -126,7 +126,7 @@
                 decision = self._router.answered(now_us, request, decision.courier, Answer.NOT_ASKED, view) or decision
             self._execute(answer, desk, message, request, decision, waited=True)
 
-    def _take_here(self, answer: asyncio.Future[None], desk: RoutedDesk, message: Stored, guest: bool) -> None:
+    def _take_here(self, answer: asyncio.Future[None], desk: RoutedDesk, message: StoredMessage, guest: bool) -> None:
         own_desk = self._places.desk_here
         try:
             if not own_desk.serves(message.destination):
@@ -150,14 +150,14 @@
         else:
             answer.set_result(None)
 
-    def _ask(self, answer: asyncio.Future[None], desk: RoutedDesk, message: Stored, request: Request,
+    def _ask(self, answer: asyncio.Future[None], desk: RoutedDesk, message: StoredMessage, request: Request,
              courier: str) -> None:
         remote = RemoteDesk(self._places.client(courier))
         remote.take(message)
         desk.inner = remote
         remote.durable().add_done_callback(partial(self._ask_ended, answer, desk, remote, message, request, courier))
 
-    def _ask_ended(self, answer: asyncio.Future[None], desk: RoutedDesk, remote: RemoteDesk, message: Stored,
+    def _ask_ended(self, answer: asyncio.Future[None], desk: RoutedDesk, remote: RemoteDesk, message: StoredMessage,
                    request: Request, courier: str, work: asyncio.Future[None]) -> None:
         error = None if work.cancelled() else work.exception()
         result = Answer.SILENT if remote.ended is None else _ANSWERS.get(remote.ended, Answer.SILENT)
@@ -175,7 +175,7 @@
 
     # --- at a courier that is asked ---
 
-    def asked(self, message: Stored) -> Desk | Turned:
+    def asked(self, message: StoredMessage) -> Desk | Turned:
         """Who takes a message passed on by another courier; it is not passed on again."""
         own_desk, request = self._places.desk_here, self._request(message)
         if own_desk.holds(message.id):
@@ -193,18 +193,19 @@
                 return RoutedDesk(own_desk, partial(_failed_future, UnansweredError(reason)))
         return Turned("away", "it is not at home here")
 
-    def _take_asked(self, guest: bool, desk: RoutedDesk, message: Stored) -> asyncio.Future[None]:
+    def _take_asked(self, guest: bool, desk: RoutedDesk, message: StoredMessage) -> asyncio.Future[None]:
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._take_here(answer, desk, message, guest)
         return answer
 
-    def _wait_open(self, desk: RoutedDesk, message: Stored) -> asyncio.Future[None]:
+    def _wait_open(self, desk: RoutedDesk, message: StoredMessage) -> asyncio.Future[None]:
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.waits.wait(shard_of(message.destination, self._places.shards), min(self._open_timeout_s, OPEN_TIMEOUT_S),
                         partial(self._open_wait_ended, answer, desk, message))
         return answer
 
-    def _open_wait_ended(self, answer: asyncio.Future[None], desk: RoutedDesk, message: Stored, changed: bool) -> None:
+    def _open_wait_ended(self, answer: asyncio.Future[None], desk: RoutedDesk, message: StoredMessage,
+                         changed: bool) -> None:
         if answer.done():
             return
         request = self._request(message)
@@ -230,7 +231,7 @@
         answer.set_result(None)
 
 
-def _failed_future(error: Exception, desk: RoutedDesk, message: Stored) -> asyncio.Future[None]:
+def _failed_future(error: Exception, desk: RoutedDesk, message: StoredMessage) -> asyncio.Future[None]:
     answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
     answer.set_exception(error)
     return answer
--- a/wheelstep/standalone/folder.py
+++ b/wheelstep/standalone/folder.py
@@ -13,7 +13,7 @@
 
 from pydantic import ValidationError
 
-from wheelstep.fields import explain
+from wheelstep.fields import describe_error
 from wheelstep.standalone.model import EndpointsPart, Standalone
 
 _MOST_BYTES = 1 << 20
@@ -67,7 +67,7 @@
     except tomllib.TOMLDecodeError as error:
         raise ValueError(f"{error}; expected TOML") from error
     except ValidationError as error:
-        raise ValueError(explain(error, "docs/operations/standalone.md")) from error
+        raise ValueError(describe_error(error, "docs/operations/standalone.md")) from error
 
 
 def merged(found: Standalone, parts: Mapping[str, EndpointsPart]) -> Standalone:
--- a/wheelstep/standalone/front.py
+++ b/wheelstep/standalone/front.py
@@ -19,7 +19,7 @@
 from wheelstep.courier.desk import BadRequestError, Connection, RefusedError
 from wheelstep.courier.reading import given_once, key_of, token_of
 from wheelstep.courier.request import Request
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.standalone.ends import Ends
 from wheelstep.standalone.model import Standalone, destination_number
 from wheelstep.standalone.routes import Asked, Routes, Tenants
@@ -68,7 +68,7 @@
         self._core, self._now_s = core, now_s
         self.ends: Ends | None = None  # set before anything is served
         self.tenants = Tenants(policy.found.tenants)
-        self._copies: dict[str, Stored] = {}  # by the name of what they copy
+        self._copies: dict[str, StoredMessage] = {}  # by the name of what they copy
         self.use(policy)
 
     def use(self, policy: Policy) -> None:
@@ -78,7 +78,7 @@
 
     # --- courier.desk.Front ---
 
-    def message(self, request: Request) -> Stored:
+    def message(self, request: Request) -> StoredMessage:
         """The message that a request hands in. Raises `BadRequestError` and `RefusedError`, also with the end of a
         message that has it already."""
         tenant = self._tenant(request)
@@ -104,7 +104,7 @@
         way = self._routes.way(Asked(tenant, message_class, path, key, given), name, self._open.__contains__)
         if way is None:
             raise RefusedError(404, "no route takes this message\n")
-        found = Stored(
+        found = StoredMessage(
             id=name, message_class=message_class, destination=destination_number(way.destination),
             deadline_ms=int(time.time() * 1000) + left_ms, key=f"{tenant}/{key}" if part.ordered and key else None,
             token=token, resubmitted="x-retry" in given, body=request.body)
@@ -137,11 +137,11 @@
         else:
             self._say_end(request, name, connection)
 
-    def says(self, message: Stored) -> tuple[tuple[str, str], ...]:
+    def says(self, message: StoredMessage) -> tuple[tuple[str, str], ...]:
         """Nothing goes with a 202."""
         return ()
 
-    def taken(self, message: Stored) -> None:
+    def taken(self, message: StoredMessage) -> None:
         """Its client knows that it was taken on."""
         self.tenants.took(tenant_of(message.id))
         if (copy := self._copies.pop(message.id, None)) is not None and not self._core.full():
