--- a/wheelstep/standalone/model.py
+++ b/wheelstep/standalone/model.py
@@ -14,7 +14,7 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from wheelstep.fields import Part, Time, explain
+from wheelstep.fields import Duration, Table, describe_error
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9_-]{0,39}$")]
 _ADDRESS = re.compile(r"(\[[0-9a-fA-F:.]+\]|[^\s:/@]+):(\d{1,5})")
@@ -30,16 +30,16 @@
     """The file can't be used: `file: key: what was found; expected what`."""
 
 
-class ClassPart(Part):
+class ClassPart(Table):
     """A class of messages: what a repeated delivery does, and what time means to it."""
 
     effect: Annotated[Literal["safe", "keyed", "unsafe"], Field(
         description="what a second delivery does: nothing bad, nothing where the partner knows the key, harm")]
-    aim: Annotated[Time, Field(description="delivered within this it has its full worth")] = 2_000_000
-    deadline: Annotated[Time, Field(description="after this it is given up; clients may ask for less")] = 30_000_000
+    aim: Annotated[Duration, Field(description="delivered within this it has its full worth")] = 2_000_000
+    deadline: Annotated[Duration, Field(description="after this it is given up; clients may ask for less")] = 30_000_000
     worth: Annotated[float, Field(gt=0, le=1000, description="beside messages of other classes")] = 1.0
     late_worth: Annotated[float, Field(ge=0, le=1000, description="what is left of it at the deadline")] = 0.3
-    key_life: Annotated[Time, Field(description="keyed: partners remember a key for so long")] = 60_000_000
+    key_life: Annotated[Duration, Field(description="keyed: partners remember a key for so long")] = 60_000_000
     ordered: Annotated[bool, Field(description="messages of one key go one after another")] = False
 
     @model_validator(mode="after")
@@ -51,7 +51,7 @@
         return self
 
 
-class EndpointsPart(Part):
+class EndpointsPart(Table):
     """The endpoints that serve a partner."""
 
     endpoints: Annotated[tuple[str, ...], Field(description="host:port of each")] = ()
@@ -90,7 +90,7 @@
         return self
 
 
-class RoutePart(Part):
+class RoutePart(Table):
     """What it takes, and where that goes. The first route that matches counts; one without conditions takes all."""
 
     tenant: Annotated[Name | None, Field(description="only this tenant's")] = None
@@ -110,7 +110,7 @@
         return {self.to: 1} if isinstance(self.to, str) else self.to
 
 
-class TenantPart(Part):
+class TenantPart(Table):
     """A client: what it proves itself by, and its share."""
 
     tokens: Annotated[tuple[str, ...], Field(description=(
@@ -132,20 +132,22 @@
         return self
 
 
-class RulesPart(Part):
+class RulesPart(Table):
     """What holds between this courier and its partners."""
 
-    settle: Annotated[Time, Field(description="a key rests for so long after a call of it broke")] = 300_000
-    drain_grace: Annotated[Time, Field(description="calls may still begin so long after an endpoint drains")] = 250_000
-    cold: Annotated[Time, Field(description="an endpoint that was started anew is as fast as before after this")] = \
+    settle: Annotated[Duration, Field(description="a key rests for so long after a call of it broke")] = 300_000
+    drain_grace: Annotated[
+        Duration, Field(description="calls may still begin so long after an endpoint drains")] = 250_000
+    cold: Annotated[
+        Duration, Field(description="an endpoint that was started anew is as fast as before after this")] = \
         10_000_000
     cold_from: Annotated[float, Field(gt=0, le=1, description="what it does at first, of that")] = 0.3
     fall_multiple: Annotated[float, Field(ge=1, description="it falls over at so many times what it can do")] = 1.5
-    fall_for: Annotated[Time, Field(description="and stays down for so long")] = 3_000_000
+    fall_for: Annotated[Duration, Field(description="and stays down for so long")] = 3_000_000
     probes: Annotated[bool, Field(description="partners may be asked GET /healthz where they seem sick")] = False
 
 
-class LimitsPart(Part):
+class LimitsPart(Table):
     """What the courier may use."""
 
     held: Annotated[int, Field(ge=1, le=10_000_000, description="messages whose end is owed")] = 10_000
@@ -154,11 +156,11 @@
     descriptors: Annotated[int, Field(ge=64, le=1_000_000, description="a third of them for clients")] = 1024
     disk_mb: Annotated[float, Field(ge=1, le=1_000_000, description="for the journal")] = 64.0
     kept_ends: Annotated[int, Field(ge=100, le=10_000_000, description="ends that can be asked for")] = 10_000
-    idle: Annotated[Time, Field(description="partners close connections that were idle for so long")] = 15_000_000
-    dial: Annotated[Time, Field(description="for a connection to a partner to come up")] = 1_000_000
+    idle: Annotated[Duration, Field(description="partners close connections that were idle for so long")] = 15_000_000
+    dial: Annotated[Duration, Field(description="for a connection to a partner to come up")] = 1_000_000
 
 
-class Standalone(Part):
+class Standalone(Table):
     """The whole file."""
 
     name: Annotated[Name, Field(description="of this courier")] = "umberchute"
@@ -188,7 +190,7 @@
     except tomllib.TOMLDecodeError as error:
         raise FileError(f"{source}: {error}; expected TOML") from error
     except ValidationError as error:
-        raise FileError(f"{source}: {explain(error, 'docs/operations/standalone.md')}") from error
+        raise FileError(f"{source}: {describe_error(error, 'docs/operations/standalone.md')}") from error
     for key, what in _crossings(found):
         raise FileError(f"{source}: {key}: {what}")
     return found
--- a/wheelstep/standalone/serve.py
+++ b/wheelstep/standalone/serve.py
@@ -121,7 +121,7 @@
             core.restore(journal.marks, journal.messages.values())
             gc.freeze()  # what was restored lives long: a collection that walked it all would stop the loop
             tasks = [group.create_task(work) for work in (
-                core.outlet.sweep(), server.sweep(), journal.compact_for_good(), self._follow(renewed))]
+                core.outlet.sweep(), server.sweep(), journal.run_compaction(), self._follow(renewed))]
             try:
                 port = await server.start(config.listen)
             except OSError as error:
--- a/wheelstep/upgrade/source.py
+++ b/wheelstep/upgrade/source.py
@@ -47,7 +47,7 @@
         self._leaving = False
 
     @property
-    def given(self) -> bool:
+    def handed_over(self) -> bool:
         """Whether the messages belong to another process now."""
         return self._handover.state in (State.GIVEN, State.DONE)
 
--- a/wheelstep/upgrade/target.py
+++ b/wheelstep/upgrade/target.py
@@ -128,7 +128,7 @@
             self._channel.close()
             raise ConnectionLostError(str(error)) from error
 
-    async def go_on(self, core: Core, server: ClientServer) -> None:
+    async def resume_serving(self, core: Core, server: ClientServer) -> None:
         """Serve the received connections, then process outcomes.
 
         Call this once the core holds the journal's content and `server` listens.
@@ -149,7 +149,7 @@
         else:
             self._on_lost()
 
-    def still_out(self) -> list[CallsOut]:
+    def calls_in_flight(self) -> list[CallsOut]:
         """Return the calls of the previous process that have no outcome yet."""
         calls = [replace(call, attempts=[attempt for attempt in call.attempts if attempt in self._in_flight])
                  for call in self.transferred.calls]
--- a/wheelstep/workers/between.py
+++ b/wheelstep/workers/between.py
@@ -9,7 +9,7 @@
 from wheelstep.forwarding.client import ForwardClient
 from wheelstep.forwarding.link import Heard, Link, Lost
 from wheelstep.forwarding.server import ForwardServer, Turned
-from wheelstep.journal import Stored
+from wheelstep.journal import StoredMessage
 from wheelstep.workers.frames import Frames
 
 _DIAL_S = 0.2
@@ -32,7 +32,7 @@
     """One connection from another worker; `find` gives the desk of a destination, None where its share is not open."""
 
     def __init__(self, find: Callable[[int], Desk | None]) -> None:
-        def desk(message: Stored) -> Desk | Turned:
+        def desk(message: StoredMessage) -> Desk | Turned:
             return find(message.destination) or Turned("full", "its share is not open here just now")
         server = ForwardServer(desk)
         self.frames = Frames(server.heard, server.lost)
--- a/wheelstep/workers/closed.py
+++ b/wheelstep/workers/closed.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from wheelstep.journal import NoRoomError, Stored
+from wheelstep.journal import NoRoomError, StoredMessage
 
 
 class ClosedDesk:
@@ -22,7 +22,7 @@
     def holds(self, message: str) -> bool:
         return False
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         raise NoRoomError("its share is open nowhere just now")
 
     def settles(self, message: str) -> bool:
@@ -37,5 +37,5 @@
     def withdraw(self, name: str) -> None:
         pass
 
-    def handed_in(self, message: Stored, status: int) -> None:
+    def handed_in(self, message: StoredMessage, status: int) -> None:
         pass
--- a/wheelstep/workers/journals.py
+++ b/wheelstep/workers/journals.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wheelstep.journal import Journal, NoRoomError, Stored
+from wheelstep.journal import Journal, NoRoomError, StoredMessage
 
 
 class Journals:
@@ -16,7 +16,8 @@
         self._share_of, self._share_at = share_of, share_at
         self._parts: dict[int, Journal] = {}
         self._mark_home: dict[str, int] = {}
-        self.messages: dict[str, Stored] = {}  # of all shares; each one's in the order in which they were taken on
+        # of all shares; each one's in the order in which they were taken on
+        self.messages: dict[str, StoredMessage] = {}
         self.marks: dict[str, Any] = {}
 
     def __contains__(self, share: int) -> bool:
@@ -37,7 +38,7 @@
         """Does `durable` ever wait?"""
         return any(part.waits for part in self._parts.values())
 
-    def take(self, message: Stored) -> None:
+    def take(self, message: StoredMessage) -> None:
         """As `Journal.take`."""
         part = self._parts.get(self._share_of(message.destination))
         if part is None:
--- a/wheelstep/workers/layout.py
+++ b/wheelstep/workers/layout.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from wheelstep.journal import FolderInUseError, Journal, Stored
+from wheelstep.journal import FolderInUseError, Journal, StoredMessage
 from wheelstep.journal.codec import FormatError
 from wheelstep.journal.disk import Folder
-from wheelstep.journal.oldformat import OLD_LOG
-from wheelstep.journal.promise import Sync
-from wheelstep.journal.segments import number_of
+from wheelstep.journal.durability import SyncPolicy
+from wheelstep.journal.oldformat import OLD_FORMAT_FILE
+from wheelstep.journal.segments import segment_number_of
 from wheelstep.workers.ownership import share_of
 
 FILE = "layout.json"
@@ -97,7 +97,7 @@
         for share in range(new.shares):
             folder = new.folder(state, share)
             folder.mkdir(parents=True)
-            targets.append(Journal(folder, _NO_LIMIT, Sync.NONE))
+            targets.append(Journal(folder, _NO_LIMIT, SyncPolicy.NONE))
         count = 0
         for source in sources:
             # One key's messages of one destination are all in one source, so their order is the source's.
@@ -118,8 +118,8 @@
             journal.close()
 
 
-def _copy(message: Stored) -> Stored:
-    return Stored(message.id, message.message_class, message.destination, message.deadline_ms, message.key,
+def _copy(message: StoredMessage) -> StoredMessage:
+    return StoredMessage(message.id, message.message_class, message.destination, message.deadline_ms, message.key,
                   message.token, message.resubmitted, message.body, message.attempts, message.ran_ms, message.ran_at,
                   dict(message.out), message.notice)
 
@@ -142,7 +142,7 @@
     (state / (FILE + ".new")).unlink(missing_ok=True)
     if layout.generation:
         for path in state.iterdir():
-            if number_of(path.name) is not None or path.name == OLD_LOG:
+            if segment_number_of(path.name) is not None or path.name == OLD_FORMAT_FILE:
                 path.unlink()
 
 
--- a/wheelstep/workers/worker.py
+++ b/wheelstep/workers/worker.py
@@ -133,7 +133,7 @@
         self._journals.add(number, journal)
         self._opening.discard(number)
         self._core.restore(journal.marks, journal.messages.values(), owned_since_s=time.monotonic())
-        self._tasks.append(self._group.create_task(journal.compact_for_good(), name=f"compaction of share {number}"))
+        self._tasks.append(self._group.create_task(journal.run_compaction(), name=f"compaction of share {number}"))
         log.info("share %d is open after %d ms, %d messages restored", number, (time.monotonic() - began) * 1e3,
                  len(journal.messages))
         self._control.send({"is": "open", "share": number})
