--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -59,7 +59,7 @@
     def holds(self, name: str) -> bool:
         return name in self.held
 
-    def settles(self, name: str) -> bool:
+    def is_unconfirmed(self, name: str) -> bool:
         return False
 
     def take(self, message: StoredMessage) -> None:
@@ -75,7 +75,7 @@
     def withdraw(self, name: str) -> None:
         self.held.discard(name)
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         pass
 
 
--- a/tests/client_sockets.py
+++ b/tests/client_sockets.py
@@ -8,7 +8,7 @@
 import struct
 
 from loopback import LIMIT_S
-from test_client_server import FakeDesk, request
+from test_client_server import FakeAdmission, request
 
 from wheelstep.courier.client_phases import Phase
 from wheelstep.courier.client_server import ClientServer
@@ -22,8 +22,8 @@
     """A client server, and sockets of clients. `send_buffer`: the size in bytes for its connections, 0 for default."""
 
     def __init__(self, max_connections: int = 200, send_buffer: int = 0) -> None:
-        self.desk, self._buffer = FakeDesk(), send_buffer
-        self.server = ClientServer(self.desk, {"once": False}, max_connections)
+        self.admission, self._buffer = FakeAdmission(), send_buffer
+        self.server = ClientServer(self.admission, {"once": False}, max_connections)
         self._clients: list[socket.socket] = []
 
     async def __aenter__(self) -> SocketScene:
--- a/tests/crossings_clients.py
+++ b/tests/crossings_clients.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Way:
+class SendOptions:
     """How a client sends one request."""
 
     fresh: bool = False  # on a new connection
@@ -27,14 +27,14 @@
     linger_s: float = 0.0  # how long the client waits before it reads
 
 
-class Line:
+class ClientSocket:
     """One connection; `used` counts its answered requests."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.used = sock, 0
 
     @classmethod
-    async def dial(cls, address: str) -> Line | None:
+    async def dial(cls, address: str) -> ClientSocket | None:
         """Connect; None if that fails."""
         host, port = address.rsplit(":", 1)
         sock = socket.socket()
@@ -64,7 +64,7 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.sock.close()
 
-    async def write(self, data: bytes, way: Way) -> bool:
+    async def write(self, data: bytes, way: SendOptions) -> bool:
         """Write a request. Return whether the last byte was written."""
         loop = asyncio.get_running_loop()
         try:
@@ -105,10 +105,10 @@
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self._idle: list[Line] = []
+        self._idle: list[ClientSocket] = []
         self._keys: dict[str, asyncio.Lock] = {}
 
-    async def hand_in(self, handed: HandIn, deadline_ms: int, way: Way) -> None:
+    async def hand_in(self, handed: HandIn, deadline_ms: int, way: SendOptions) -> None:
         """Hand a message in; those of one key go one after another."""
         if not handed.key:
             await self._hand_in(handed, deadline_ms, way)
@@ -116,13 +116,13 @@
         async with self._keys.setdefault(handed.key, asyncio.Lock()):
             await self._hand_in(handed, deadline_ms, way)
 
-    async def _hand_in(self, handed: HandIn, deadline_ms: int, way: Way) -> None:
+    async def _hand_in(self, handed: HandIn, deadline_ms: int, way: SendOptions) -> None:
         await self._try(handed, deadline_ms, way)
         if handed.ended_at and not handed.fresh:  # the request may have crossed the end of a kept connection
             handed.tried, handed.whole_at, handed.ended_at = 2, 0.0, 0.0
-            await self._try(handed, deadline_ms, Way(fresh=True))
+            await self._try(handed, deadline_ms, SendOptions(fresh=True))
 
-    async def _try(self, handed: HandIn, deadline_ms: int, way: Way) -> None:
+    async def _try(self, handed: HandIn, deadline_ms: int, way: SendOptions) -> None:
         line = None
         while not way.fresh and self._idle and line is None:
             line = self._idle.pop(0)
@@ -130,7 +130,7 @@
                 line.sock.close()
                 line = None
         if line is None:
-            line = await Line.dial(self.address)
+            line = await ClientSocket.dial(self.address)
         if line is None:
             return
         handed.fresh, handed.begun_at = not line.used, handed.begun_at or time.monotonic()
--- a/tests/crossings_plan.py
+++ b/tests/crossings_plan.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from crossings_clients import Way
+from crossings_clients import SendOptions
 
 ENDPOINTS = {f"e{number}": 1 + number % 4 for number in range(8)}  # and their destinations
 
@@ -20,10 +20,10 @@
     effect: str = ""
     key: str = ""
     destination: int = 0
-    way: Way = Way()
+    way: SendOptions = SendOptions()
 
     def __str__(self) -> str:
-        way = {name: value for name, value in vars(self.way).items() if value != getattr(Way(), name)}
+        way = {name: value for name, value in vars(self.way).items() if value != getattr(SendOptions(), name)}
         return " ".join(filter(None, [f"+{self.after_s * 1e3:.0f}", self.what, self.name, self.effect, self.key,
                                       f"to {self.destination}" if self.destination else "",
                                       str(way or "")]))
@@ -50,8 +50,9 @@
     effect = rng.choice(["safe", "keyed", "unsafe", "unsafe"])
     key = rng.choice(["", "k0", "k1"]) if effect != "keyed" else ""
     fresh = rng.random() < 0.4
-    way = rng.choice([Way(fresh)] * 6 + [
-        Way(fresh, held_s=rng.choice([0.0, 0.02, 0.2])), Way(fresh, more=b"POST /api/x HTTP/1.1\r\nHost"),
-        Way(fresh, more=b"\r\n"), Way(fresh, shut=True), Way(fresh, leave_s=rng.choice([0.0, 0.001, 0.05])),
-        Way(fresh, linger_s=rng.choice([0.05, 0.4]))])
+    way = rng.choice([SendOptions(fresh)] * 6 + [
+        SendOptions(fresh, held_s=rng.choice([0.0, 0.02, 0.2])),
+        SendOptions(fresh, more=b"POST /api/x HTTP/1.1\r\nHost"), SendOptions(fresh, more=b"\r\n"),
+        SendOptions(fresh, shut=True), SendOptions(fresh, leave_s=rng.choice([0.0, 0.001, 0.05])),
+        SendOptions(fresh, linger_s=rng.choice([0.05, 0.4]))])
     return Step(after_s, "message", name, effect, key, rng.choice(list(ENDPOINTS.values())), way)
--- a/tests/crossings_world.py
+++ b/tests/crossings_world.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from crossings_clients import Clients, Line
+from crossings_clients import Clients, ClientSocket
 from crossings_endpoints import Desk, Link
 from crossings_judge import HandIn, Seen
 from crossings_plan import ENDPOINTS, Step, plan
@@ -148,7 +148,7 @@
 
     async def _crowd(self) -> None:
         """More silent connections than clients may hold."""
-        lines = await asyncio.gather(*(Line.dial(self._courier.address) for _ in range(CROWD)))
+        lines = await asyncio.gather(*(ClientSocket.dial(self._courier.address) for _ in range(CROWD)))
         await asyncio.sleep(0.3)
         for line in lines:
             if line is not None:
--- a/tests/forwarding_world.py
+++ b/tests/forwarding_world.py
@@ -45,7 +45,7 @@
     def holds(self, name: str) -> bool:
         return name in self.taken
 
-    def settles(self, name: str) -> bool:
+    def is_unconfirmed(self, name: str) -> bool:
         return name in self.taken and name not in self.begun
 
     def take(self, one: StoredMessage) -> None:
@@ -66,7 +66,7 @@
         self.withdrawn.append(name)
         self.news.set()
 
-    def handed_in(self, one: StoredMessage, status: int) -> None:
+    def record_answer(self, one: StoredMessage, status: int) -> None:
         self.noted.append((one.id, status))
 
     async def until(self, holds: Callable[[], bool]) -> None:
--- a/tests/shard_nodes.py
+++ b/tests/shard_nodes.py
@@ -72,7 +72,7 @@
     def holds(self, message: str) -> bool:
         return message in self.held
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         return message in self.held and message not in self.begun
 
     def durable(self) -> asyncio.Future[None]:
@@ -85,7 +85,7 @@
         self.withdrawn.append(name)
         self.held.pop(name, None)
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         self.answers[status] += 1
 
     def listed(self, rows: Sequence[Row]) -> None:
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -14,8 +14,8 @@
 from wheelstep.journal import StoredMessage
 
 
-class FakeDesk:
-    """A `Desk` that keeps messages in memory; with `syncs`, it answers once `synced` is set."""
+class FakeAdmission:
+    """An `Admission` that keeps messages in memory; with `syncs`, it answers once `synced` is set."""
 
     ready, syncs = True, False
 
@@ -39,10 +39,10 @@
     def begin(self, name: str) -> None:
         """Record that the client was told."""
         self.begun.append(name)
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """Answers are not recorded."""
         pass
-    def settles(self, name: str) -> bool:
+    def is_unconfirmed(self, name: str) -> bool:
         """Return whether the client of a message has no answer yet."""
         return name in self.taken and name not in self.begun
     def durable(self) -> asyncio.Future[bool]:
@@ -57,8 +57,8 @@
     """A client server and raw connections to it."""
 
     def __init__(self, max_connections: int = 200) -> None:
-        self.desk = FakeDesk()
-        self.server = ClientServer(self.desk, {"once": False}, max_connections)
+        self.admission = FakeAdmission()
+        self.server = ClientServer(self.admission, {"once": False}, max_connections)
 
     async def __aenter__(self) -> Scene:
         self.port = await self.server.start(Address("127.0.0.1", 0))
@@ -144,7 +144,7 @@
             async with asyncio.TaskGroup() as group:
                 for name in BAD:
                     group.create_task(check(name))
-            assert s.desk.taken == {} and s.desk.begun == []
+            assert s.admission.taken == {} and s.admission.begun == []
             assert b" 202 " in await s.send(request("good", b"x", {"Connection": "close"}))
     run(work())
     assert "Traceback" not in caplog.text
@@ -165,7 +165,7 @@
                         writer.write(b"10000\r\n" + b"x" * 65536 + b"\r\n")
                         await writer.drain()
                 writer.transport.abort()
-            assert s.desk.taken == {}
+            assert s.admission.taken == {}
     run(work())
 
 
@@ -184,7 +184,7 @@
                 await writer.drain()
                 writer.transport.abort()
             assert b" 202 " in await s.send(request("good", b"x", {"Connection": "close"}))
-            assert list(s.desk.taken) == ["good"]
+            assert list(s.admission.taken) == ["good"]
     run(work())
     assert "Traceback" not in caplog.text
 
@@ -196,7 +196,7 @@
             body = b"\x1f\x8b no gzip at all"
             headers = {"Content-Encoding": "gzip", "Connection": "close"}
             assert b" 202 " in await s.send(request("m", body, headers))
-            assert s.desk.taken["m"].body == body
+            assert s.admission.taken["m"].body == body
     run(work())
 
 
@@ -207,7 +207,7 @@
             data = b"".join(request(f"m{n}") for n in range(300))
             answer = await s.send(data + request("last", b"x", {"Connection": "close"}))
             assert answer.count(b"HTTP/1.1 202") == 301
-            assert s.desk.begun == [*(f"m{n}" for n in range(300)), "last"]
+            assert s.admission.begun == [*(f"m{n}" for n in range(300)), "last"]
     run(work())
 
 
@@ -249,7 +249,7 @@
                         await asyncio.sleep(0.1)
                         idle[-1] = await s.connect()
                         idle[-1][1].write(request(f"i{number}"))
-            assert len(s.desk.begun) == 102
+            assert len(s.admission.begun) == 102
     run(work())
 
 
@@ -257,8 +257,8 @@
     """The loop accepts it before the pause, and its transport opens after. It was read, and its message answered 202 by
     a process whose journal another process had by then."""
     async def work() -> None:
-        desk = FakeDesk()
-        server = ClientServer(desk, {"once": False}, 200, transferable=True)
+        admission = FakeAdmission()
+        server = ClientServer(admission, {"once": False}, 200, transferable=True)
         await server.start(Address("127.0.0.1", 0))
         listener = await server.pause()
         client, accepted = socket.socketpair()
@@ -268,10 +268,10 @@
         for _ in range(20):
             await asyncio.sleep(0)
         ((_, idle, raw),) = server.connections()
-        assert (desk.taken, idle, raw) == ({}, False, b"")
+        assert (admission.taken, idle, raw) == ({}, False, b"")
         await server.resume()
         async with asyncio.timeout(LIMIT_S):
-            while not desk.begun:
+            while not admission.begun:
                 await asyncio.sleep(0.01)
         client.close()
         await server.stop()
@@ -283,20 +283,20 @@
     """With syncs on, a second client got 202 at once; the first left before the sync, and the message was dropped."""
     async def work() -> None:
         async with Scene() as s:
-            s.desk.syncs = True
+            s.admission.syncs = True
             _, first = await s.connect()
             first.write(request("m"))
             async with asyncio.timeout(LIMIT_S):
-                while "m" not in s.desk.taken:
+                while "m" not in s.admission.taken:
                     await asyncio.sleep(0.005)
                 assert await s.send(request("m")) == b""
                 first.transport.abort()
-                while "m" in s.desk.taken:
+                while "m" in s.admission.taken:
                     await asyncio.sleep(0.005)
-            s.desk.synced.set()
+            s.admission.synced.set()
             reader, writer = await s.connect()
             writer.write(request("m"))
             assert (await reader.readline()).startswith(b"HTTP/1.1 202")
             writer.close()
-            assert s.desk.begun == ["m"]
+            assert s.admission.begun == ["m"]
     run(work())
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -26,13 +26,13 @@
         async with SocketScene(send_buffer=4608) as s:
             client = s.client(receive_buffer=2304)
             client.sendall(HEALTH * 300 + last)
-            await s.until(lambda: any(c.gone for c in s.connections.all()))
+            await s.until(lambda: any(c.write_closed for c in s.connections.all()))
             client.sendall(request("late") * 3)  # closing without reading these would send a reset
             await asyncio.sleep(0)
             answers = await read_all(client)
             assert answers.count(b"HTTP/1.1 200") == 300
             assert answers.count(b"Connection: close") == 1
-            assert "late" not in s.desk.taken
+            assert "late" not in s.admission.taken
     run(work())
 
 
@@ -72,7 +72,7 @@
             answer = await read_all(client)
             assert answer.startswith(b"HTTP/1.1 503" if end is at_stop else b"HTTP/1.1 202")
             assert answer.count(b"HTTP/1.1") == answer.count(b"Connection: close") == 1
-            assert ("m" in s.desk.begun) == (end is not at_stop)
+            assert ("m" in s.admission.begun) == (end is not at_stop)
     run(work())
 
 
@@ -86,7 +86,7 @@
             loop.call_soon(loop.call_soon, client.send, request("m"))  # the loop polls, then this, then the half-close
             end(s)
             assert (await read_all(client)).startswith(b"HTTP/1.1 202")
-            assert "m" in s.desk.begun
+            assert "m" in s.admission.begun
     run(work())
 
 
@@ -106,7 +106,7 @@
                     await asyncio.wait_for(loop.sock_sendall(client, request("late", b"x" * 60_000)), 10)
             assert loop.time() - began < LINGER_S + 2
             assert MAX_DISCARDED_BYTES <= connection._discarded_bytes < MAX_DISCARDED_BYTES + 2**18  # one read more
-            assert list(s.desk.taken) == ["m"] and not s.connections.all()
+            assert list(s.admission.taken) == ["m"] and not s.connections.all()
             s.connections.report()
             sweep.cancel()
     run(work())
@@ -142,7 +142,7 @@
                 assert answer.startswith(b"HTTP/1.1 503") and b"Connection: close" in answer
                 client.close()
             await stopping
-            assert not s.desk.taken and not s.connections.all()
+            assert not s.admission.taken and not s.connections.all()
             with pytest.raises(ConnectionRefusedError):
                 s.client()
     run(work())
@@ -153,17 +153,17 @@
     """Also when the answer waits for the disk. `late`: the client half-closes only during that wait."""
     async def work() -> None:
         async with SocketScene() as s:
-            s.desk.syncs = True
+            s.admission.syncs = True
             client = s.client(request("m"))
             if not late:
                 client.shutdown(1)
-            await s.until(lambda: "m" in s.desk.taken)
+            await s.until(lambda: "m" in s.admission.taken)
             if late:
                 client.shutdown(1)
             await asyncio.sleep(0)
-            s.desk.synced.set()
+            s.admission.synced.set()
             assert (await read_all(client)).startswith(b"HTTP/1.1 202")
-            assert s.desk.begun == ["m"]
+            assert s.admission.begun == ["m"]
             await s.until(lambda: not s.connections.all())
     run(work())
 
@@ -174,13 +174,13 @@
     """Guards against a message that is delivered though its client was told to hand it in again."""
     async def work() -> None:
         async with SocketScene() as s:
-            s.desk.syncs = True
+            s.admission.syncs = True
             client = s.client(request("m", headers=CLOSE if end is at_sweep else {}))
-            await s.until(lambda: "m" in s.desk.taken)
+            await s.until(lambda: "m" in s.admission.taken)
             s.age(Phase.ASKING)
             end(s)
             assert (await read_all(client)).startswith(b"HTTP/1.1 503")
-            assert not s.desk.taken and not s.desk.begun
+            assert not s.admission.taken and not s.admission.begun
     run(work())
 
 
@@ -189,18 +189,19 @@
     """Messages answered before the reset is seen are begun, one that waits is withdrawn, later ones are not taken."""
     async def work() -> None:
         async with SocketScene() as s:
-            s.desk.syncs = syncs
+            s.admission.syncs = syncs
             client = s.client()
             await s.until(s.connections.all)
             gone = weakref.ref(s.connections.all()[0])
             client.sendall(b"".join(request(f"m{n}") for n in range(200)))
             if syncs:
-                await s.until(lambda: s.desk.taken)
+                await s.until(lambda: s.admission.taken)
             reset(client)
             s.age(Phase.ASKING)  # a connection that waits is not read: its end is seen at the time limit
             s.connections.sweep()
             await s.until(lambda: not s.connections.all())
-            assert list(s.desk.taken) == s.desk.begun and len(s.desk.begun) in ((0,) if syncs else (0, 200))
+            assert list(s.admission.taken) == s.admission.begun and len(s.admission.begun) in (
+                (0,) if syncs else (0, 200))
             gc.collect()
             assert gone() is None
     run(work())
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.owed: dict[str, str] = {}
 
-    def owe(self, message: str, outcome: str, retry_ms: int) -> None:
+    def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
         """Record the end of a message."""
         self.owed[message] = outcome
 
--- a/tests/test_crossings_notices.py
+++ b/tests/test_crossings_notices.py
@@ -11,7 +11,7 @@
 from silent_agent import SilentAgent
 
 from wheelstep.courier.config import Address
-from wheelstep.courier.notices import Notices
+from wheelstep.courier.notifier import Notifier
 
 CROWDED_S = 1.0  # the platform's limit is 0.3 s, and 0.11 s are usual; a busy machine needs more
 
@@ -22,7 +22,7 @@
     def __init__(self, http: aiohttp.ClientSession, address: Address) -> None:
         self.at: dict[str, float] = {}
         self._loop, self._has_news = asyncio.get_running_loop(), asyncio.Event()
-        self.notices = Notices(http, address, self._answered)
+        self.notices = Notifier(http, address, self._answered)
         self._task = asyncio.create_task(self.notices.run())
 
     def _answered(self, names: list[str]) -> None:
@@ -33,7 +33,7 @@
         """Send notices for the messages. Return the seconds until all are answered."""
         began = self._loop.time()
         for name in names:
-            self.notices.owe(name, "given_up", 0)
+            self.notices.enqueue(name, "given_up", 0)
         while not all(name in self.at for name in names):
             self._has_news.clear()
             await asyncio.wait_for(self._has_news.wait(), 10)
@@ -80,7 +80,7 @@
         slow.noticed = lambda link, body: loop.call_later(0.5, link.answer, 204)
         async with aiohttp.ClientSession() as http:
             sender = _Sender(http, await agent.start())
-            sender.notices.owe("bad", "given_up", 0)
+            sender.notices.enqueue("bad", "given_up", 0)
             await sender.send("m1", "m2")
             sender.notices.move(await slow.start())
             await sender.send("m3")
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -78,9 +78,9 @@
                 case "crowd":
                     s.connections._make_room()
                 case "syncs":
-                    s.desk.syncs = not s.desk.syncs
+                    s.admission.syncs = not s.admission.syncs
                 case "disk":
-                    (s.desk.synced.clear if s.desk.synced.is_set() else s.desk.synced.set)()
+                    (s.admission.synced.clear if s.admission.synced.is_set() else s.admission.synced.set)()
                 case "turn":
                     for _ in range(rng.randrange(1, 5)):
                         await asyncio.sleep(0)
@@ -95,9 +95,9 @@
             if not client.was_reset:
                 assert len(answers) == len(client.sent), (client.sent, client.received)
             for name, status in zip(client.sent, answers, strict=False):
-                assert (status == b"202") == (name in s.desk.begun), (name, status)
+                assert (status == b"202") == (name in s.admission.begun), (name, status)
                 assert status in (b"202", b"503")
-        assert sorted(s.desk.taken) == sorted(s.desk.begun)
+        assert sorted(s.admission.taken) == sorted(s.admission.begun)
         assert not s.connections.all()
 
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -112,8 +112,8 @@
     the first; one that was delivered, or may have run in a class that is never repeated, is not sent again. The steps
     are further apart than by default, so that a slow machine hands in between two of them."""
     (tmp_path / "sitecustomize.py").write_text(
-        "from wheelstep.courier import leaving\n"
-        "leaving._ATTEMPTS_UNTIL_S, leaving._CONNECTIONS_UNTIL_S, leaving._MESSAGES_UNTIL_S, leaving.LEAVE_S"
+        "from wheelstep.courier import shutdown\n"
+        "shutdown._ATTEMPTS_UNTIL_S, shutdown._CONNECTIONS_UNTIL_S, shutdown._MESSAGES_UNTIL_S, shutdown.SHUTDOWN_S"
         " = 0.5, 3.5, 3.5, 3.9\n")
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -10,7 +10,7 @@
 from forwarding_world import World, message
 from loopback import run
 
-from wheelstep.courier.desk import BadRequestError, UnansweredError
+from wheelstep.courier.admission import BadRequestError, UnansweredError
 from wheelstep.forwarding.client import Ended
 from wheelstep.forwarding.errors import AwayError, NotAskedError
 from wheelstep.forwarding.link import Heard, Link, Lost
--- a/tests/test_forwarding_heads.py
+++ b/tests/test_forwarding_heads.py
@@ -9,7 +9,7 @@
 from forwarding_world import End, Home, World, message
 from loopback import run
 
-from wheelstep.courier.desk import UnansweredError
+from wheelstep.courier.admission import UnansweredError
 from wheelstep.forwarding.client import Ended
 from wheelstep.forwarding.server import ForwardServer
 
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -12,10 +12,10 @@
 from wheelstep import interface as api
 from wheelstep.courier.call import Item
 from wheelstep.courier.flight_recorder import EventKind, FlightRecorder
-from wheelstep.courier.invariants import MOST_TOLD, Invariant, Invariants
+from wheelstep.courier.handover_state import continue_settling
+from wheelstep.courier.invariants import MAX_LOGGED, Invariant, Invariants
 from wheelstep.courier.key_order import Block, KeyOrder
 from wheelstep.courier.send_guard import SendGuard
-from wheelstep.courier.succession import follow
 from wheelstep.journal import StoredMessage
 
 SETTLE_S = 0.3
@@ -77,27 +77,27 @@
     order.attempt_ended("first", 0, True, 1.0)
     order.completed("first", 1.0)
     after = KeyOrder(SETTLE_S)
-    event = follow(after, order.settling(1.1), 99.0, 1.1)
+    event = continue_settling(after, order.settling(1.1), 99.0, 1.1)
     assert event is not None and event.all_us == 0 and [key for key, _ in event.keys] == ["k"]
     assert 200_000 <= event.keys[0][1] <= 200_002
     after.accepted("second", "k")
     after.accepted("other", "o")
     assert after.block("second", 1.29) is Block.SETTLING and after.block("other", 1.29) is None
     assert after.block("second", 1.31) is None
-    assert follow(KeyOrder(SETTLE_S), {}, 99.0, 1.1) is None
+    assert continue_settling(KeyOrder(SETTLE_S), {}, 99.0, 1.1) is None
 
 
 def test_after_a_restart_every_key_settles_except_for_a_message_that_was_tried() -> None:
     """Guards against attempts of a killed process that may still run: which keys they concern is unknown, so all
     keys settle; a message tried before had its turn already."""
     order = KeyOrder(SETTLE_S)
-    event = follow(order, None, 5.0, 4.9)
+    event = continue_settling(order, None, 5.0, 4.9)
     assert event is not None and 100_000 <= event.all_us <= 100_002 and not event.keys
     order.accepted("untried", "k")
     order.accepted("tried", "o", tried=True)
     assert order.block("untried", 4.99) is Block.SETTLING and order.block("tried", 4.99) is None
     assert order.block("untried", 5.0) is None
-    assert follow(KeyOrder(SETTLE_S), None, 4.0, 4.9) is None
+    assert continue_settling(KeyOrder(SETTLE_S), None, 4.0, 4.9) is None
 
 
 @given(st.lists(st.tuples(st.sampled_from(["accept", "start", "end", "break", "complete"]), st.integers(0, 5),
@@ -149,10 +149,10 @@
 def test_violations_beyond_the_log_limit_are_only_counted(caplog: pytest.LogCaptureFixture) -> None:
     """Guards against a log flooded by a violation that repeats."""
     invariants = Invariants(FlightRecorder())
-    for _ in range(MOST_TOLD + 5):
-        invariants.violated(Invariant.ANSWERED, "x")
-    assert invariants.violations[Invariant.ANSWERED] == MOST_TOLD + 5
-    assert caplog.text.count("invariant violated") == MOST_TOLD
+    for _ in range(MAX_LOGGED + 5):
+        invariants.report_violation(Invariant.ANSWERED, "x")
+    assert invariants.violations[Invariant.ANSWERED] == MAX_LOGGED + 5
+    assert caplog.text.count("invariant violated") == MAX_LOGGED
 
 
 def test_policy_waits_for_the_settle_periods_of_the_previous_process() -> None:
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -193,7 +193,7 @@
     async def work() -> None:
         table, counts = partners()
         desk = HollowDesk(settings_from(settings(1)), 1, 64, table, counts, asyncio.get_running_loop().time())
-        desk.take_list([NAMES.entry({"host": one.host, "dial": one.dial, "site": one.site, "class": one.kind,
+        desk.take_list([NAMES.parse_row({"host": one.host, "dial": one.dial, "site": one.site, "class": one.kind,
                                      "block": one.block, "health": one.health}) for one in
                         (row(PLAN, destination) for destination in range(5))])
         assert desk.serves(4) and not desk.serves(5)
--- a/tests/test_shard_control.py
+++ b/tests/test_shard_control.py
@@ -14,7 +14,7 @@
 from list_courier import KEY, SHARDS, Courier
 from loopback import LIMIT_S, ROOT, run, started
 
-from wheelstep.courier.config import UNREADABLE, Address, Names
+from wheelstep.courier.config import ROW_ERRORS, Address, Names
 from wheelstep.courier.listing import Listing
 from wheelstep.rehearsal.history import Figures, History
 from wheelstep.rehearsal.standins.platform import Agent, row
@@ -61,8 +61,8 @@
 def test_rows_read_here_are_those_that_a_courier_reads(entry: Any) -> None:
     raw = json.dumps(entry).encode()
     try:
-        expected = NAMES.entry(entry)
-    except UNREADABLE:
+        expected = NAMES.parse_row(entry)
+    except ROW_ERRORS:
         with pytest.raises(ValueError):
             read_entry(raw)
     else:
--- a/tests/test_shard_node.py
+++ b/tests/test_shard_node.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from tests.shard_nodes import QUICK, SHARDS, Fleet, message, row, until
-from wheelstep.courier.desk import UnansweredError
+from wheelstep.courier.admission import UnansweredError
 from wheelstep.fleet.types import State
 from wheelstep.journal import NoRoomError
 from wheelstep.shards.hosting import Life
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -530,20 +530,20 @@
     class Notices:
         owed: list[str] = []
 
-        def owe(self, message: str, outcome: str, retry_ms: int) -> None:
+        def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
             self.owed.append(message)
 
     async def work() -> None:
         core, notices = Core(), Notices()
         told = Told(Front(Policy.of(parse(FILE, "x")), core), core)  # type: ignore[arg-type]
         told.ends, told.notices = Ends(tmp_path, 100, told.settled), notices  # type: ignore[assignment]
-        told.owe("one~a", "given_up", 0)
-        told.owe("one~b", "delivered", 0)
+        told.enqueue("one~a", "given_up", 0)
+        told.enqueue("one~b", "delivered", 0)
         told.ends.flush()
         assert (core.over, notices.owed) == (["one~b"], ["one~a"])
         told.settled(["one~a"])  # answered
         assert core.over == ["one~b", "one~a"]
-        told.owe("one~b~mirror", "given_up", 0)
+        told.enqueue("one~b~mirror", "given_up", 0)
         await asyncio.sleep(0)
         assert core.over[-1] == "one~b~mirror" and told.ends.get("one~b~mirror") is None
         told.ends.close()
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -14,7 +14,7 @@
 from loopback import ALONE, ROOT, Call, Endpoint, Reply, Scene, host, run
 from test_rehearsal import rehearse
 
-from wheelstep.courier.desk import BadRequestError, UnansweredError
+from wheelstep.courier.admission import BadRequestError, UnansweredError
 from wheelstep.forwarding.client import RemoteDesk
 from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.rehearsal.rig import module_command
@@ -53,7 +53,7 @@
             raise NoRoomError("no room at all")
         self.taken[one.id] = one
 
-    def settles(self, name: str) -> bool:
+    def is_unconfirmed(self, name: str) -> bool:
         return name in self.taken and name not in self.begun
 
     def durable(self) -> asyncio.Future[bool]:
@@ -68,7 +68,7 @@
             self.withdrawn.append(name)
             asyncio.get_running_loop().create_task(self._tell())
 
-    def handed_in(self, one: StoredMessage, status: int) -> None:
+    def record_answer(self, one: StoredMessage, status: int) -> None:
         pass
 
     async def _tell(self) -> None:
--- a/wheelstep/channels/front.py
+++ b/wheelstep/channels/front.py
@@ -16,10 +16,10 @@
 from wheelstep.channels.kept import Kept
 from wheelstep.channels.position import PositionError, read_number
 from wheelstep.channels.serving import Serving
+from wheelstep.courier.admission import BadRequestError, Connection, RefusedError
 from wheelstep.courier.core import Core
-from wheelstep.courier.desk import BadRequestError, Connection, RefusedError
+from wheelstep.courier.message_request import key_of, read_message
 from wheelstep.courier.outlet import Item
-from wheelstep.courier.reading import key_of, read_message
 from wheelstep.courier.request import Request
 from wheelstep.journal import NoRoomError, StoredMessage
 
@@ -31,8 +31,8 @@
 
 
 class ChannelFront:
-    """As `courier.desk.Front`. `owner` tells where a part's owner takes clients ("" if nobody knows) and in how many
-    seconds to come again."""
+    """As `courier.admission.ClientApi`. `owner` tells where a part's owner takes clients ("" if nobody knows) and in
+    how many seconds to come again."""
 
     def __init__(self, classes: Mapping[str, bool], book: Book, serving: Serving, parts: int,
                  now_ms: Callable[[], int], owner: Callable[[int], tuple[str, float]]) -> None:
@@ -74,7 +74,7 @@
         self._next = (message.id, verdict.next)
         return message
 
-    def says(self, message: StoredMessage) -> Headers:
+    def response_headers(self, message: StoredMessage) -> Headers:
         """With a 202: the number that it has and the next one expected."""
         if message.channel is None:
             return ()
@@ -100,15 +100,15 @@
         row: dict[str, Any] = {"channel": channel, "part": part, "part_epoch": epoch, "known": position is not None}
         row |= {"next": 1, "epoch": 0, "held": []} if position is None else {
             "next": position.next, "epoch": position.session, "held": sorted(position.entries)}
-        connection.say(request, 200, json.dumps(row) + "\n", (_JSON, ("X-Channel-Next", str(row["next"]))))
+        connection.respond(request, 200, json.dumps(row) + "\n", (_JSON, ("X-Channel-Next", str(row["next"]))))
 
     def taken(self, message: StoredMessage) -> None:
         """Its client has heard."""
 
     def _given(self, request: Request, header: str) -> int | None:
-        if header in request.twice:
+        if header in request.repeated_headers:
             raise BadRequestError(f"{header} is given twice")
-        text = request.once.get(header)
+        text = request.headers.get(header)
         try:
             return None if text is None else read_number(text.strip())
         except PositionError as error:
@@ -125,7 +125,7 @@
 
 
 class ChannelDesk:
-    """As `courier.desk.Desk`: what is taken on goes to the module when its contract lets it."""
+    """As `courier.admission.Admission`: what is taken on goes to the module when its contract lets it."""
 
     def __init__(self, core: Core, kept: Kept, serving: Serving, now_ms: Callable[[], int],
                  wall_ms: Callable[[], int]) -> None:
@@ -156,9 +156,9 @@
         """Was it taken on before?"""
         return self._core.holds(message)
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         """May it still be withdrawn?"""
-        return self._core.settles(message)
+        return self._core.is_unconfirmed(message)
 
     def durable(self) -> asyncio.Future[None]:
         """Done once it is safe."""
@@ -189,9 +189,9 @@
         self._core.withdraw(name)
         self.wake()
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """It was handed in, and this is the answer."""
-        self._core.handed_in(message, status)
+        self._core.record_answer(message, status)
 
     # --- what waits ---
 
--- a/wheelstep/console/front.py
+++ b/wheelstep/console/front.py
@@ -8,7 +8,7 @@
 from wheelstep.console.commands import MAX_LINE_BYTES, ConsoleBackend, reply
 from wheelstep.courier.client_listener import ClientListener
 from wheelstep.courier.config import Address
-from wheelstep.courier.listen import QUEUE, bind
+from wheelstep.courier.listener import BACKLOG, open_listener
 
 MAX_CONNECTIONS = 20  # concurrent connections; one more closes the oldest one whose command is incomplete
 _TIME_LIMIT_S = 5.0  # time limit of a connection
@@ -82,8 +82,8 @@
 
     async def start(self, listen: Address) -> int:
         """Listen, and return the port. Raises `OSError`."""
-        listener = bind(listen)
-        listener.listen(QUEUE)
+        listener = open_listener(listen)
+        listener.listen(BACKLOG)
         self._listener = ClientListener(listener, lambda: _Connection(self))
         self._listener.resume()
         return int(listener.getsockname()[1])
--- a/wheelstep/courier/__main__.py
+++ b/wheelstep/courier/__main__.py
@@ -19,10 +19,10 @@
 from wheelstep.courier.config import Address, Config, ConfigError, load
 from wheelstep.courier.core import Core
 from wheelstep.courier.invariants import Invariant
-from wheelstep.courier.leaving import LEAVE_S, deafen, leave
 from wheelstep.courier.listing import entries
-from wheelstep.courier.notices import Notices
+from wheelstep.courier.notifier import Notifier
 from wheelstep.courier.opening import account, obtain_journal, open_console, open_journal_with_retry, recorder
+from wheelstep.courier.shutdown import SHUTDOWN_S, ignore_signals, leave
 from wheelstep.courier.spread import callers, longest_s
 from wheelstep.courier.wall_clock import clock
 from wheelstep.courier.watch import Watch
@@ -65,10 +65,10 @@
     core = Core(config if fleet is None else fleet.config, journal if fleet is None else fleet.kept)
     if operator is not None:
         core.recorder, core.account = recorder(operator, config), account(operator, config)
-    desk, front, find_desk = (core, None, None) if fleet is None else fleet.join(core)
-    server = ClientServer(desk, core.ordered, config.sockets // 3, find_desk, transferable=console is not None,
-                          front=front)
-    server.on_unanswered = functools.partial(core.invariants.violated, Invariant.ANSWERED)
+    admission, client_api, find_admission = (core, None, None) if fleet is None else fleet.join(core)
+    server = ClientServer(admission, core.ordered, config.max_descriptors // 3, find_admission,
+                          transferable=console is not None, client_api=client_api)
+    server.on_unanswered = functools.partial(core.invariants.report_violation, Invariant.ANSWERED)
     source: HandoverSource | None = None
     if console is not None:
         from wheelstep.console.metrics import Counters
@@ -79,7 +79,7 @@
             reload_operator_file(operator_file, fleet)
 
     async with aiohttp.ClientSession(auto_decompress=False, trust_env=False) as http:
-        core.notices = Notices(http, config.discovery, core.answered)
+        core.notices = Notifier(http, config.discovery, core.answered)
         seq, rows = config.known.get("seq", 0), entries(config.known, config.names)
         if target is not None and target.transferred.rows:
             seq, rows = target.transferred.seq, target.transferred.rows
@@ -123,12 +123,12 @@
             core.ready = True
             log.info("%s serves on %s:%d, %d messages restored; %d slots, holds %d, %d descriptors",
                      config.name, config.listen.host, port, len(journal.messages), config.settings.slots,
-                     config.settings.hold_limit, config.sockets)
+                     config.settings.hold_limit, config.max_descriptors)
             await terminated.wait()
             if source is not None:
                 source.leave()
             if source is not None and source.handed_over:
-                await source.finish(LEAVE_S)
+                await source.finish(SHUTDOWN_S)
                 log.info("stopped after a hand-over; invariants violated: %s", core.invariants.summary())
             else:
                 await leave(core, server, fleet.leave() if fleet is not None else None)
@@ -144,7 +144,7 @@
         core.recorder.close()
     if source is None or not source.handed_over:
         journal.close()
-    deafen()
+    ignore_signals()
 
 
 def create_fleet_daemon(config: Config, settings: Fleet, journal: Journal) -> FleetDaemon | ShardDaemon:
@@ -180,10 +180,10 @@
 
 
 async def follow_config(config: Config, reload_requested: asyncio.Event, *users: DiscoveryUser,
-                        heeded: Callable[[], None] = lambda: None, core: Core | None = None,
+                        on_applied: Callable[[], None] = lambda: None, core: Core | None = None,
                         on_reload: Callable[[], None] = lambda: None) -> None:
     """Read the configuration again whenever that is requested, until cancelled. A configuration that can't be used
-    changes nothing. `on_reload` is called before it is read, `heeded` after it was applied."""
+    changes nothing. `on_reload` is called before it is read, `on_applied` after it was applied."""
     discovery, raw = config.discovery, config.raw
     while True:
         await reload_requested.wait()
@@ -208,7 +208,7 @@
             discovery = address
             for user in users:
                 user.move(address)
-        heeded()
+        on_applied()
 
 
 def main(operator_file: str | None = None, workers: int | None = None) -> int:
--- a/wheelstep/courier/desk.py
+++ b/wheelstep/courier/admission.py
@@ -10,7 +10,7 @@
 from wheelstep.journal import StoredMessage
 
 
-class Desk(Protocol):
+class Admission(Protocol):
     """What accepts messages from the client server."""
 
     @property
@@ -33,7 +33,7 @@
     def holds(self, message: str) -> bool:
         """Return whether a message was accepted before and has not ended."""
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         """Return whether a message is written for a client that has no answer yet, so that it may be withdrawn."""
 
     def durable(self) -> asyncio.Future[None]:
@@ -46,7 +46,7 @@
     def withdraw(self, name: str) -> None:
         """Forget a message that was written, as its client was not told that it is accepted."""
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """Record the status with which a message was answered."""
 
 
@@ -65,8 +65,8 @@
 class Connection(Protocol):
     """The connection on which a request came."""
 
-    def say(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
-            keep_alive: bool = True) -> bool:
+    def respond(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
+                keep_alive: bool = True) -> bool:
         """Write an answer. Return False if the client can no longer receive it."""
 
     def wait(self, work: asyncio.Future[None], on_done: Callable[[asyncio.Future[None]], None],
@@ -74,7 +74,7 @@
         """Stop reading until `work` is done, then call `on_done`, which answers. `held`: it may take a minute."""
 
 
-class Front(Protocol):
+class ClientApi(Protocol):
     """Interprets requests of other clients than the platform's, for example those of `wheelstep.standalone`."""
 
     def message(self, request: Request) -> StoredMessage:
@@ -83,7 +83,7 @@
     def other(self, request: Request, connection: Connection) -> None:
         """Answer a request that neither hands in a message nor asks for readiness. Raises the same errors."""
 
-    def says(self, message: StoredMessage) -> tuple[tuple[str, str], ...]:
+    def response_headers(self, message: StoredMessage) -> tuple[tuple[str, str], ...]:
         """Return the headers of the 202 for a message."""
 
     def taken(self, message: StoredMessage) -> None:
--- a/wheelstep/courier/carrier.py
+++ b/wheelstep/courier/carrier.py
@@ -14,16 +14,16 @@
 from wheelstep import Sender
 from wheelstep import interface as api
 from wheelstep.courier.call import Item, Result
-from wheelstep.courier.classes import Classes
+from wheelstep.courier.classes import ClassIndex
 from wheelstep.courier.config import Config
 from wheelstep.courier.endpoints import Endpoints
 from wheelstep.courier.flight_recorder import EventKind, FlightRecorder
+from wheelstep.courier.handover_state import calls_in_progress
 from wheelstep.courier.invariants import Invariant, Invariants
 from wheelstep.courier.key_order import KeyOrder
 from wheelstep.courier.outlet import EndpointClient
 from wheelstep.courier.ports import Book, CallsOut, NotificationSender, OutcomeListener
 from wheelstep.courier.send_guard import SendGuard
-from wheelstep.courier.succession import begun
 from wheelstep.courier.turns import Sends, Turns
 from wheelstep.courier.wall_clock import clock, time_is_up
 from wheelstep.interface import NEVER_EXECUTED, Outcome
@@ -46,14 +46,14 @@
         self._config, self._settings, self._journal = config, config.settings, journal
         self.turns = Turns(Sender(config.settings, config.seed), config.settings.tick_us, self._carry_out, self._call)
         self.endpoints = Endpoints(config.settings, journal, self.turns.post)
-        self.classes = Classes(config, journal, self.turns.post)
+        self.classes = ClassIndex(config, journal, self.turns.post)
         self.ordered = self.classes.ordered
         self._held: dict[str, StoredMessage] = {}  # messages that the policy module holds
         self._next_attempt: dict[str, int] = {}  # number of each message's next attempt
         self._untried: set[str] = set()  # restored messages, neither tried nor ended since
         self.order = KeyOrder(config.settings.order_settle_us / 1e6)
         self.outlet = EndpointClient(self, config.dial_timeout_us, config.settings.conn_idle_us, config.names.report,
-                                     max(16, config.sockets - config.sockets // 3 - _RESERVED_FDS))
+                                     max(16, config.max_descriptors - config.max_descriptors // 3 - _RESERVED_FDS))
         self.flight_recorder = self.outlet.recorder = FlightRecorder()
         self.invariants = Invariants(self.flight_recorder)
         self._send_guard = SendGuard(self.order, self.invariants)
@@ -111,7 +111,7 @@
         """Journal the attempts before their first byte."""
         now_ms = clock.now_ms()
         if self._report is not None:
-            self.invariants.violated(Invariant.OWNER, f"a call to {endpoint} began after the handover")
+            self.invariants.report_violation(Invariant.OWNER, f"a call to {endpoint} began after the handover")
         for item in items:
             self.order.attempt_started(item.message, item.attempt)
             self._journal.attempt(item.message, item.attempt, now_ms, endpoint)
@@ -183,7 +183,7 @@
 
     def calls_out(self) -> list[CallsOut]:
         """Return the calls that have begun and have no outcome yet."""
-        return begun(self.outlet.calls(), self._journal.messages)
+        return calls_in_progress(self.outlet.calls(), self._journal.messages)
 
     # --- actions of the policy module ---
     def _carry_out(self, action: api.Action, batches: Sends) -> None:
@@ -246,4 +246,4 @@
             return
         if message.notice[0] != "delivered":
             self.order.notification_pending(message.id, message.key)
-        self.notices.owe(message.id, *message.notice)
+        self.notices.enqueue(message.id, *message.notice)
--- a/wheelstep/courier/classes.py
+++ b/wheelstep/courier/classes.py
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 
-class Classes:
+class ClassIndex:
     """The classes in force. `ordered` tells by name which ones keep messages of a key in order."""
 
     def __init__(self, config: Config, journal: Book, post: Callable[[api.Event], None]) -> None:
--- a/wheelstep/courier/client_connection.py
+++ b/wheelstep/courier/client_connection.py
@@ -40,7 +40,7 @@
         self.transport: asyncio.Transport | None = None
         self.phase, self.phase_since = Phase.SILENT, 0.0
         self.partial_request: bytes | None = b""  # of an incomplete request, to transfer; None: more than the limit
-        self.taking = False  # its message is written to the journal, and the client has no answer yet
+        self.awaiting_sync = False  # its message is written to the journal, and the client has no answer yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the new connection with its manager."""
@@ -76,7 +76,7 @@
         if self._pending_work is None and not self._queued and not self._ended:
             if reader.refusal is not None:
                 self._connections.count_malformed()
-                self.say(Request(), reader.refusal.status, reader.refusal.text + "\n", keep_alive=False)
+                self.respond(Request(), reader.refusal.status, reader.refusal.text + "\n", keep_alive=False)
             elif reader.in_request:
                 if served:  # part of the next request came with it: its time starts now, its bytes can't be separated
                     self.partial_request = None
@@ -107,10 +107,10 @@
                 self._serve()
         work.add_done_callback(done)
 
-    def say(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
-            keep_alive: bool = True) -> bool:
+    def respond(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
+                keep_alive: bool = True) -> bool:
         """Write an answer. Return False if the client can no longer receive it."""
-        if self.transport is None or self.gone:
+        if self.transport is None or self.write_closed:
             return False
         keep_alive = keep_alive and request.keep_alive  # the courier closes only after the last complete request
         keep_alive = keep_alive and (bool(self._queued) or not (self._closing or self._client_half_closed)
@@ -124,7 +124,7 @@
     def end(self) -> None:
         """Close after answering what is in the kernel's buffer by now or waits for its answer: a request whose last
         byte was written must not be lost (PROTOCOL, the rules on sockets)."""
-        if self._closing or self.gone:
+        if self._closing or self.write_closed:
             return
         self._closing = self._reading_rest = True
         self.update_reading()
@@ -193,7 +193,7 @@
         return self.busy and not self._ended
 
     @property
-    def gone(self) -> bool:
+    def write_closed(self) -> bool:
         """Whether no further answer can be sent."""
         return self._ended or self.transport is None or self.transport.is_closing()
 
@@ -231,7 +231,7 @@
 
     def close(self) -> None:
         """Close at once. The client may get a reset because of unread input, and so lose an answer."""
-        if self.busy and not self.gone:
+        if self.busy and not self.write_closed:
             self._connections.report_unanswered(self)
         self._ended = True
         if self.transport is not None:
--- a/wheelstep/courier/client_connections.py
+++ b/wheelstep/courier/client_connections.py
@@ -112,7 +112,7 @@
         ending[connection] = None
         if len(ending) > (self._total_limit if self._server.closing else self._ending_limit):
             oldest = next(iter(ending))
-            if oldest is not connection and oldest.gone:  # otherwise it still has requests to read or answer
+            if oldest is not connection and oldest.write_closed:  # otherwise it still has requests to read or answer
                 self._close_now(oldest)
 
     def _close_now(self, connection: ClientConnection) -> None:
--- a/wheelstep/courier/client_server.py
+++ b/wheelstep/courier/client_server.py
@@ -1,8 +1,8 @@
 """HTTP server for clients: receives messages and answers the readiness check.
 
-`request` parses requests and formats answers; a request whose answer needs no waiting is answered without a task, in
-the turn of the event loop in which it is complete. `client_connections` limits the number of connections and the time
-until a request is complete; `reading` turns a request into a message; `desk` is the interface of what accepts messages.
+`request` parses requests and formats answers; one whose answer needs no waiting is answered without a task, in the turn
+of the event loop in which it is complete. `client_connections` limits connections in number and time, `message_request`
+turns requests into messages, and `admission` has the interface of what accepts them.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 import socket
 from collections.abc import Callable, Mapping
 
+from wheelstep.courier.admission import Admission, BadRequestError, ClientApi, RefusedError, UnansweredError
 from wheelstep.courier.client_connection import ClientConnection
 from wheelstep.courier.client_connections import LINGER_S, ClientConnections
 from wheelstep.courier.client_listener import ClientListener
 from wheelstep.courier.client_phases import Phase
 from wheelstep.courier.config import Address
-from wheelstep.courier.desk import BadRequestError, Desk, Front, RefusedError, UnansweredError
-from wheelstep.courier.listen import QUEUE, bind
-from wheelstep.courier.reading import read_message
+from wheelstep.courier.listener import BACKLOG, open_listener
+from wheelstep.courier.message_request import read_message
 from wheelstep.courier.request import Request
 from wheelstep.journal import NoRoomError, StoredMessage
 
@@ -36,14 +36,14 @@
 class ClientServer:
     """Server for clients; it allows about `max_connections` connections."""
 
-    def __init__(self, desk: Desk, classes: Mapping[str, bool], max_connections: int,
-                 find_desk: Callable[[int], Desk] | None = None, transferable: bool = False,
-                 front: Front | None = None) -> None:
-        """`find_desk` returns the desk of a destination where there are several; `desk` tells whether all are ready.
-        With `transferable`, connections can be passed on to another process. `front` interprets the requests."""
-        self._front = front
-        self._desk, self._classes, self._max_connections = desk, classes, max_connections
-        self._find_desk, self._transferable = find_desk, transferable
+    def __init__(self, admission: Admission, classes: Mapping[str, bool], max_connections: int,
+                 find_admission: Callable[[int], Admission] | None = None, transferable: bool = False,
+                 client_api: ClientApi | None = None) -> None:
+        """`find_admission` returns what accepts messages of a destination, where that differs; `admission` tells
+        readiness. `transferable`: another process may take connections over. `client_api` interprets requests."""
+        self._api = client_api
+        self._admission, self._classes, self._limit = admission, classes, max_connections
+        self._find_admission, self._transferable = find_admission, transferable
         self.closing = False  # answers close their connections from now on
         self.refusing = False  # new messages are refused
         self.bad_requests = self._no_room_count = 0
@@ -53,10 +53,9 @@
 
     async def start(self, listen: Address, listener: socket.socket | None = None) -> int:
         """Listen on `listener`, or at the address `listen` without one, and return the port."""
-        connections = self._connections = self._connections or ClientConnections(
-            self, self._max_connections, self._transferable)
-        listener = listener or bind(listen)
-        listener.listen(QUEUE)  # another process may have had it
+        connections = self._connections = self._connections or ClientConnections(self, self._limit, self._transferable)
+        listener = listener or open_listener(listen)
+        listener.listen(BACKLOG)  # another process may have had it
         self._listener = ClientListener(listener, lambda: ClientConnection(connections))
         self._listener.resume()
         return int(self._listener.socket.getsockname()[1])
@@ -64,8 +63,8 @@
     # --- transfer from one process to the next (wheelstep.upgrade) ---
 
     async def pause(self) -> socket.socket:
-        """Accept and read nothing more, and answer the complete requests. Return the listener, whose queue in the
-        kernel goes on taking connections. Raises `TimeoutError` if answers take too long."""
+        """Stop accepting and reading, and answer the complete requests. Return the listener, whose queue in the kernel
+        still accepts connections. Raises `TimeoutError` if answers take too long."""
         assert self._listener is not None and self._connections is not None
         self._listener.pause()
         self._connections.paused = True
@@ -74,7 +73,7 @@
         async with asyncio.timeout(_UNANSWERED_S):
             for _ in range(_LOOP_TURNS):
                 await asyncio.sleep(0)
-            while self._listener.opening or any(connection.taking for connection in self._connections.all()):
+            while self._listener.opening or any(connection.awaiting_sync for connection in self._connections.all()):
                 await asyncio.sleep(0.002)
         return self._listener.socket
 
@@ -92,16 +91,16 @@
         assert self._connections is not None
         return [(client.transport.get_extra_info("socket").fileno(), client.phase is Phase.IDLE, client.partial_request)
                 for client in self._connections.all()
-                if client.transport is not None and not client.gone and client.partial_request is not None
-                and not client.taking and not client.transport.get_write_buffer_size()]
+                if client.transport is not None and not client.write_closed and client.partial_request is not None
+                and not client.awaiting_sync and not client.transport.get_write_buffer_size()]
 
-    def let_go(self) -> None:
+    def close_transferred(self) -> None:
         """Close the handles of what another process has taken over."""
         if self._listener is not None:
             self._listener.close()
         if self._connections is not None:
             for connection in self._connections.all():
-                if (connection.transport is not None and not connection.gone
+                if (connection.transport is not None and not connection.write_closed
                         and not connection.transport.get_write_buffer_size()):
                     connection.close()
 
@@ -129,13 +128,12 @@
                 log.warning("no room for %d messages", self._no_room_count)
                 self._no_room_count = 0
 
-    def refuse(self) -> None:
+    def refuse_messages(self) -> None:
         """Refuse new messages from now on."""
         self.refusing = True
 
     async def stop(self) -> None:
-        """Answer the current requests and those in the kernel's buffers and queue, then end the connections. Clients
-        that have connected and sent nothing have half of the time to do so."""
+        """Answer requests that have arrived or are queued, then close. Silent clients have half of the time to send."""
         self.closing = self.refusing = True
         if self._connections is None or self._listener is None:
             return
@@ -164,62 +162,63 @@
                 self._hand_in(request, connection)
                 return
             if request.target.partition("?")[0] != "/healthz":
-                if self._front is not None:
-                    self._front.other(request, connection)
+                if self._api is not None:
+                    self._api.other(request, connection)
                     return
                 raise BadRequestError("no such path; expected /healthz, or a message by POST")
             if request.method not in ("GET", "HEAD"):
                 raise BadRequestError("no such method; expected GET, or a message by POST")
-            connection.say(request, 200 if self._desk.ready else 503)
+            connection.respond(request, 200 if self._admission.ready else 503)
         except BadRequestError as error:
             self._reject(request, error, connection)
         except RefusedError as error:
-            connection.say(request, error.status, error.text, error.headers)
+            connection.respond(request, error.status, error.text, error.headers)
         except Exception:
             log.exception("a request failed unexpectedly")
-            connection.say(request, 500, keep_alive=False)
+            connection.respond(request, 500, keep_alive=False)
 
     def _reject(self, request: Request, error: BadRequestError, connection: ClientConnection) -> None:
         self.bad_requests += 1
-        connection.say(request, 400, f"{error}\n", keep_alive=False)
+        connection.respond(request, 400, f"{error}\n", keep_alive=False)
 
     def _hand_in(self, request: Request, connection: ClientConnection) -> None:
-        message = self._front.message(request) if self._front is not None else read_message(request, self._classes)
-        desk = self._desk if self._find_desk is None else self._find_desk(message.destination)
-        if desk.holds(message.id):  # handed in again, after the end of a connection crossed the first request
-            if desk.settles(message.id):  # guards against a 202 for a message that may still be withdrawn
+        message = self._api.message(request) if self._api is not None else read_message(request, self._classes)
+        admission = self._admission if self._find_admission is None else self._find_admission(message.destination)
+        if admission.holds(message.id):  # handed in again, after the end of a connection crossed the first request
+            if admission.is_unconfirmed(message.id):  # guards against a 202 for a message that may still be withdrawn
                 self.on_unanswered(f"another client hands in {message.id} at the same time")
                 connection.close()
             else:
-                connection.say(request, 202)
-        elif not desk.serves(message.destination):
+                connection.respond(request, 202)
+        elif not admission.serves(message.destination):
             raise BadRequestError("no such destination")
         elif self.refusing:
-            self._refuse(request, message, desk, connection)
-        elif desk.full():
-            self._refuse(request, message, desk, connection, "holds all it can")
-        elif not connection.gone:  # otherwise the client could not receive the answer
+            self._refuse(request, message, admission, connection)
+        elif admission.full():
+            self._refuse(request, message, admission, connection, "holds all it can")
+        elif not connection.write_closed:  # otherwise the client could not receive the answer
             try:
-                desk.take(message)
+                admission.take(message)
             except NoRoomError:
-                self._refuse_no_room(request, message, desk, connection)
+                self._refuse_no_room(request, message, admission, connection)
                 return
-            if desk.syncs:
-                connection.taking = True
-                connection.wait(desk.durable(), functools.partial(self._synced, request, message, desk, connection))
+            if admission.syncs:
+                connection.awaiting_sync = True
+                connection.wait(admission.durable(), functools.partial(
+                    self._synced, request, message, admission, connection))
             else:
-                self._accept(request, message, desk, connection)
+                self._accept(request, message, admission, connection)
 
-    def _synced(self, request: Request, message: StoredMessage, desk: Desk, connection: ClientConnection,
+    def _synced(self, request: Request, message: StoredMessage, admission: Admission, connection: ClientConnection,
                 work: asyncio.Future[None]) -> None:
-        connection.taking = False
+        connection.awaiting_sync = False
         error = None if work.cancelled() else work.exception()
         if not work.cancelled() and error is None:
-            self._accept(request, message, desk, connection)
+            self._accept(request, message, admission, connection)
             return
-        desk.withdraw(message.id)  # also where its client has disconnected: no client was told that it is accepted
+        admission.withdraw(message.id)  # also where its client has disconnected: no client was told that it is accepted
         if isinstance(error, NoRoomError):
-            self._refuse_no_room(request, message, desk, connection)
+            self._refuse_no_room(request, message, admission, connection)
         elif isinstance(error, BadRequestError):
             self._reject(request, error, connection)
         elif isinstance(error, UnansweredError):
@@ -227,24 +226,25 @@
             connection.close()
         elif error is not None:
             raise error
-        elif not connection.gone:  # the time of the connection, or of the courier, is up
-            self._refuse(request, message, desk, connection)
-
-    def _accept(self, request: Request, message: StoredMessage, desk: Desk, connection: ClientConnection) -> None:
-        if connection.say(request, 202, "", self._front.says(message) if self._front is not None else ()):
-            desk.begin(message.id)
-            desk.handed_in(message, 202)
-            if self._front is not None:
-                self._front.taken(message)
+        elif not connection.write_closed:  # the time of the connection, or of the courier, is up
+            self._refuse(request, message, admission, connection)
+
+    def _accept(self, request: Request, message: StoredMessage, admission: Admission,
+                connection: ClientConnection) -> None:
+        if connection.respond(request, 202, "", self._api.response_headers(message) if self._api is not None else ()):
+            admission.begin(message.id)
+            admission.record_answer(message, 202)
+            if self._api is not None:
+                self._api.taken(message)
         else:
-            desk.withdraw(message.id)
+            admission.withdraw(message.id)
 
-    def _refuse_no_room(self, request: Request, message: StoredMessage, desk: Desk,
+    def _refuse_no_room(self, request: Request, message: StoredMessage, admission: Admission,
                         connection: ClientConnection) -> None:
         self._no_room_count += 1
-        self._refuse(request, message, desk, connection, "no room")
+        self._refuse(request, message, admission, connection, "no room")
 
-    def _refuse(self, request: Request, message: StoredMessage, desk: Desk, connection: ClientConnection,
+    def _refuse(self, request: Request, message: StoredMessage, admission: Admission, connection: ClientConnection,
                 why: str = "not now") -> None:
-        desk.handed_in(message, 503)
-        connection.say(request, 503, f"{why}\n", _RETRY_AFTER)
+        admission.record_answer(message, 503)
+        connection.respond(request, 503, f"{why}\n", _RETRY_AFTER)
--- a/wheelstep/courier/config.py
+++ b/wheelstep/courier/config.py
@@ -13,7 +13,7 @@
 
 _STATES = {"SERVING": api.EndpointState.UP, "DRAINING": api.EndpointState.DRAINING,
            "DELETED": api.EndpointState.REMOVED}
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError)
+ROW_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError)
 
 
 class ConfigError(Exception):
@@ -45,8 +45,8 @@
     zones: tuple[str, ...]
     report: tuple[str, ...]
 
-    def entry(self, row: Mapping[str, Any]) -> tuple[api.EndpointInfo, Address]:
-        """Parse one row of discovery's list. Raises one of `UNREADABLE` if that fails."""
+    def parse_row(self, row: Mapping[str, Any]) -> tuple[api.EndpointInfo, Address]:
+        """Parse one row of discovery's list. Raises one of `ROW_ERRORS` if that fails."""
         state = _STATES[row["health"]]
         info = api.EndpointInfo(
             endpoint=str(row["host"]), destination=int(row["block"]),
@@ -69,7 +69,7 @@
     state: Path  # the folder of the journal
     seed: int
     disk_bytes: int
-    sockets: int  # limit on descriptors
+    max_descriptors: int  # limit on descriptors
     known: Mapping[str, Any]  # the list of endpoints in the file, empty if there is none
     settings: api.Settings
     raw_settings: Mapping[str, Any]  # as they stand in the file
@@ -116,7 +116,7 @@
         state=state,
         seed=int(str(data.get("seed", "0")), 16),
         disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
-        sockets=int(limits.get("sockets", 256)),
+        max_descriptors=int(limits.get("sockets", 256)),
         known=known if isinstance(known, dict) and isinstance(known.get("hosts"), list) else {},
         settings=settings,
         raw_settings=info,
--- a/wheelstep/courier/core.py
+++ b/wheelstep/courier/core.py
@@ -15,10 +15,10 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import Address, Config
 from wheelstep.courier.flight_recorder import EventKind
+from wheelstep.courier.handover_state import continue_settling
 from wheelstep.courier.operated import OperatorCommands
 from wheelstep.courier.ports import Book, CallsOut, OutcomeListener
 from wheelstep.courier.rows import Row
-from wheelstep.courier.succession import follow
 from wheelstep.courier.wall_clock import MARK, ago_us, left_us
 from wheelstep.interface import EndpointState
 from wheelstep.journal import StoredMessage
@@ -67,7 +67,7 @@
         self.endpoints.remove(endpoint)
         self.outlet.remove_address(endpoint)
 
-    # --- clients (desk.Desk) ---
+    # --- clients (admission.Admission) ---
 
     def full(self) -> bool:
         """Return whether the hold limit is reached; owed notifications count, since their number needs a bound too.
@@ -94,7 +94,7 @@
         """Return whether the message was accepted before and its end is still owed."""
         return message in self._journal.messages
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         """Return whether the message is journalled for a client without its answer yet, and may be withdrawn."""
         return message in self._unacknowledged
 
@@ -115,7 +115,7 @@
         self._unacknowledged.discard(name)
         self._journal.over(name)
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """Count the answer to a client's request, and record the request if the operator wants that."""
         if status == 202:
             self._account_accepted(message)
@@ -188,7 +188,7 @@
         first = marks.keys() <= {MARK}  # no process has used this folder before
         settle_us = 0 if first else self._settings.order_settle_us
         settled_s = (owned_since_s or self._created_s) + settle_us / 1e6
-        if (event := follow(self.order, settling, settled_s, time.monotonic())) is not None:
+        if (event := continue_settling(self.order, settling, settled_s, time.monotonic())) is not None:
             self.turns.post(event)
         out = {name: (at, number, call) for at, call in enumerate(calls) for name, number in call.attempts}
         messages = list(messages)
--- a/wheelstep/courier/succession.py
+++ b/wheelstep/courier/handover_state.py
@@ -10,7 +10,8 @@
 from wheelstep.journal import StoredMessage
 
 
-def begun(calls: Sequence[Sequence[tuple[str, int]]], messages: Mapping[str, StoredMessage]) -> list[CallsOut]:
+def calls_in_progress(calls: Sequence[Sequence[tuple[str, int]]],
+                      messages: Mapping[str, StoredMessage]) -> list[CallsOut]:
     """Return the calls of which an attempt is in the journal without an outcome. `calls` has the messages and attempt
     numbers of each."""
     found = []
@@ -22,7 +23,7 @@
     return found
 
 
-def follow(order: KeyOrder, settling: Mapping[str, int] | None, all_settled_s: float,
+def continue_settling(order: KeyOrder, settling: Mapping[str, int] | None, all_settled_s: float,
            now_s: float) -> api.KeysSettling | None:
     """Continue the settle periods of the process before, and return the event for the decision module, None if no key
     settles.
--- a/wheelstep/courier/invariants.py
+++ b/wheelstep/courier/invariants.py
@@ -13,7 +13,7 @@
 
 from wheelstep.courier.flight_recorder import FlightRecorder
 
-MOST_TOLD = 20
+MAX_LOGGED = 20
 """Violations that are logged with the events before them; later ones are only counted."""
 
 log = logging.getLogger(__name__)
@@ -35,10 +35,10 @@
         self._recorder = recorder
         self.violations: Counter[Invariant] = Counter()
 
-    def violated(self, invariant: Invariant, detail: str, message: str = "", key: str | None = None) -> None:
+    def report_violation(self, invariant: Invariant, detail: str, message: str = "", key: str | None = None) -> None:
         """Count a violation, and log it with the recorded events of the message and its key."""
         self.violations[invariant] += 1
-        if self.violations.total() > MOST_TOLD:
+        if self.violations.total() > MAX_LOGGED:
             return
         log.error("invariant violated (%s): %s; %s", invariant.name, invariant.value, detail)
         for event in self._recorder.related(message, key):
--- a/wheelstep/courier/listen.py
+++ b/wheelstep/courier/listener.py
@@ -6,12 +6,12 @@
 
 from wheelstep.courier.config import Address
 
-QUEUE = 512  # backlog in the kernel: many clients at once must not make others connect again
+BACKLOG = 512  # backlog in the kernel: many clients at once must not make others connect again
 
 
-def bind(listen: Address) -> socket.socket:
+def open_listener(listen: Address) -> socket.socket:
     """Return a socket that listens at an address. Raises `OSError`."""
     family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
     listener = socket.create_server((listen.host, listen.port), family=family)
-    listener.listen(QUEUE)
+    listener.listen(BACKLOG)
     return listener
--- a/wheelstep/courier/listing.py
+++ b/wheelstep/courier/listing.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from wheelstep import interface as api
-from wheelstep.courier.config import UNREADABLE, Address, Names
+from wheelstep.courier.config import ROW_ERRORS, Address, Names
 
 MAX_BYTES = 24 << 20  # of one list, which is buffered whole: 80,000 indented entries; bounds the memory
 
@@ -97,8 +97,8 @@
         raise ValueError("hosts is not a list")
     for row in rows:
         try:
-            found.append(names.entry(row))
-        except UNREADABLE as error:
+            found.append(names.parse_row(row))
+        except ROW_ERRORS as error:
             passed += 1
             first = first or f"{row!r:.200}: {error!r:.200}"
     if passed:
--- a/wheelstep/courier/reading.py
+++ b/wheelstep/courier/message_request.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from wheelstep.courier.desk import BadRequestError
+from wheelstep.courier.admission import BadRequestError
 from wheelstep.courier.request import Request
 from wheelstep.courier.wall_clock import clock
 from wheelstep.journal import StoredMessage
@@ -16,7 +16,7 @@
 def read_message(request: Request, classes: Mapping[str, bool]) -> StoredMessage:
     """Return the message that a request hands in; `classes` tells which ones keep messages of a key in order. Raises
     `BadRequestError`."""
-    headers = given_once(request)
+    headers = unique_headers(request)
     name = headers.get("x-request-id", "")
     if not name or len(name) > 128 or not name.isascii() or not name.isprintable() or " " in name:
         raise BadRequestError("X-Request-Id is missing or malformed")
@@ -34,12 +34,12 @@
         token=token, resubmitted="x-retry" in headers, body=request.body)
 
 
-def given_once(request: Request) -> Mapping[str, str]:
+def unique_headers(request: Request) -> Mapping[str, str]:
     """Return the headers of a request. Raises `BadRequestError` if one that this module reads is given twice: of two
     ids, for example, it would be unclear under which the message has to be delivered."""
-    if request.twice and (repeated := request.twice & _UNIQUE_HEADERS):
+    if request.repeated_headers and (repeated := request.repeated_headers & _UNIQUE_HEADERS):
         raise BadRequestError(f"{min(repeated)} is given twice")
-    return request.once
+    return request.headers
 
 
 def token_of(headers: Mapping[str, str]) -> str | None:
--- a/wheelstep/courier/notices.py
+++ b/wheelstep/courier/notifier.py
@@ -21,7 +21,7 @@
 _RETRY_S = 0.25  # between tries from the second on: the agent is on the same host, so a try is cheap
 _MAX_BATCH = 200  # notices in one request
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("wheelstep.courier.notices")
 
 
 class _Target:
@@ -49,7 +49,7 @@
                 self._exchange = None
 
 
-class Notices:
+class Notifier:
     """Notifies the platform of every message that ended undelivered, and repeats each notice until it is answered."""
 
     def __init__(self, http: aiohttp.ClientSession, discovery: Address,
@@ -64,7 +64,7 @@
         """Send what is not answered yet to another address."""
         self._target.move(discovery)
 
-    def owe(self, message: str, outcome: str, retry_ms: int) -> None:
+    def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
         """Queue a notice; it is sent as soon as possible."""
         notice: dict[str, Any] = {"message": message, "outcome": outcome}
         if retry_ms:
--- a/wheelstep/courier/ports.py
+++ b/wheelstep/courier/ports.py
@@ -62,7 +62,7 @@
 class NotificationSender(Protocol):
     """Sends notifications of ends; calls `Core.answered` once they are answered."""
 
-    def owe(self, message: str, outcome: str, retry_ms: int) -> None:
+    def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
         """Send a notification of this end as soon as possible."""
 
 
--- a/wheelstep/courier/request.py
+++ b/wheelstep/courier/request.py
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class Request:
-    """A complete request. `once` maps each header's name in lower case to its first value; `twice` holds the names of
-    headers that were given more than once."""
+    """A complete request. `headers` maps each header's name in lower case to its first value; `repeated_headers` holds
+    the names that were given more than once."""
 
     method: str = ""
     target: str = ""
     version: str = "1.1"
-    once: dict[str, str] = field(default_factory=dict)
-    twice: set[str] = field(default_factory=set)
+    headers: dict[str, str] = field(default_factory=dict)
+    repeated_headers: set[str] = field(default_factory=set)
     body: bytes = b""
     keep_alive: bool = True  # whether its connection may stay open
 
@@ -122,10 +122,10 @@
         if self._header_count > _MAX_HEADERS or self._head_bytes > MAX_HEAD_BYTES:
             self._abort(431, "a head of more than 128 fields or 32 KiB")
         key = name.decode("latin-1").lower()
-        if key in request.once:
-            request.twice.add(key)
+        if key in request.headers:
+            request.repeated_headers.add(key)
         else:
-            request.once[key] = value.decode("utf-8", "surrogateescape")
+            request.headers[key] = value.decode("utf-8", "surrogateescape")
 
     def on_headers_complete(self) -> None:
         """Check the head, and refuse a body that is declared too large before any of it is read."""
@@ -136,10 +136,10 @@
         self._in_head = False
         if request.version not in ("1.0", "1.1"):
             self._abort(400, "this version of HTTP is not spoken here; expected 1.0 or 1.1")
-        length = request.once.get("content-length", "0")
+        length = request.headers.get("content-length", "0")
         if length.isdigit() and int(length[:20]) > MAX_BODY_BYTES:
             self._abort(413, f"a body of {length[:20]} bytes; expected {MAX_BODY_BYTES} at most")
-        if (expected := request.once.get("expect")) is not None:
+        if (expected := request.headers.get("expect")) is not None:
             if expected.lower() != "100-continue":
                 self._abort(417, "only 100-continue can be expected here")
             self.expects_continue = request.version == "1.1"
@@ -153,9 +153,9 @@
     def on_message_complete(self) -> None:
         """Finish the request, unless the body of a request for an upgrade is still to be read."""
         if self._parser.should_upgrade() and self._request.method != "CONNECT":
-            if "transfer-encoding" in self._request.once:
+            if "transfer-encoding" in self._request.headers:
                 self._abort(400, "chunks and another protocol can't be asked for at once")
-            self._body_bytes_left = int(self._request.once.get("content-length", "0"))
+            self._body_bytes_left = int(self._request.headers.get("content-length", "0"))
         if not self._body_bytes_left:
             self._finish()
 
--- a/wheelstep/courier/send_guard.py
+++ b/wheelstep/courier/send_guard.py
@@ -17,11 +17,11 @@
     def may_send(self, message: StoredMessage, item: Item, now_s: float) -> bool:
         """Return whether the attempt keeps the invariants. A violation is counted, and the attempt must not be sent."""
         if item.once and message.may_have_run(except_attempt=item.attempt) is not None:
-            self._invariants.violated(Invariant.SENT_ONCE, f"attempt {item.attempt} of {message.id}", message.id,
-                                      message.key)
+            self._invariants.report_violation(Invariant.SENT_ONCE, f"attempt {item.attempt} of {message.id}",
+                                              message.id, message.key)
             return False
         if (block := self._order.block(message.id, now_s)) is not None:
-            self._invariants.violated(Invariant.KEY_ORDER, f"attempt {item.attempt} of {message.id}: {block.value}",
-                                      message.id, message.key)
+            self._invariants.report_violation(
+                Invariant.KEY_ORDER, f"attempt {item.attempt} of {message.id}: {block.value}", message.id, message.key)
             return False
         return True
--- a/wheelstep/courier/leaving.py
+++ b/wheelstep/courier/shutdown.py
@@ -15,9 +15,9 @@
 _CONNECTIONS_UNTIL_S = 2.8  # clients' connections are ended
 # Messages get 503. One that is accepted after _ATTEMPTS_UNTIL_S waits in the journal for the next process.
 _MESSAGES_UNTIL_S = _CONNECTIONS_UNTIL_S
-LEAVE_S = _CONNECTIONS_UNTIL_S + STOP_S  # calls that are still under way are left to the next process
+SHUTDOWN_S = _CONNECTIONS_UNTIL_S + STOP_S  # calls that are still under way are left to the next process
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("wheelstep.courier.leaving")
 
 
 async def leave(core: Core, server: ClientServer, first: Awaitable[None] | None = None) -> None:
@@ -35,19 +35,19 @@
     await until(_ATTEMPTS_UNTIL_S)
     core.stop()
     log.info("no new attempt from now on")
-    refusal = asyncio.get_running_loop().call_at(began + _MESSAGES_UNTIL_S, server.refuse)
+    refusal = asyncio.get_running_loop().call_at(began + _MESSAGES_UNTIL_S, server.refuse_messages)
     await core.outlet.finish(_CONNECTIONS_UNTIL_S - _ATTEMPTS_UNTIL_S)
     server.closing = True
     await until(_CONNECTIONS_UNTIL_S)
     refusal.cancel()
     log.info("ending clients' connections")
     await server.stop()
-    await core.outlet.finish(max(0.0, began + LEAVE_S - asyncio.get_running_loop().time()))
+    await core.outlet.finish(max(0.0, began + SHUTDOWN_S - asyncio.get_running_loop().time()))
     await core.outlet.abandon()  # before the folder is unlocked: the next process takes these calls for ended
     log.info("stopped; invariants violated: %s", core.invariants.summary())
 
 
-def deafen() -> None:
+def ignore_signals() -> None:
     """Ignore SIGTERM, SIGINT and SIGHUP for the rest of the process. A closing event loop restores their default
     actions, so a second SIGTERM in the last moments would kill the process, which has to exit with 0."""
     numbers = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -18,9 +18,9 @@
 from wheelstep.channels.contracts import changes
 from wheelstep.channels.front import ChannelDesk, ChannelFront, signed
 from wheelstep.channels.kept import Kept
+from wheelstep.courier.admission import Admission, ClientApi
 from wheelstep.courier.config import Address, Config, ConfigError
 from wheelstep.courier.core import Core
-from wheelstep.courier.desk import Desk, Front
 from wheelstep.fleet.clocks import now_ms, now_us
 from wheelstep.fleet.log import Log, LogBrokenError, LogDamagedError
 from wheelstep.fleet.node import Node
@@ -68,7 +68,7 @@
         except OSError as error:
             raise ConfigError(f"{self.config.state / 'fleet'}: {error}") from error
 
-    def join(self, core: Core) -> tuple[Desk, Front | None, Callable[[int], Desk] | None]:
+    def join(self, core: Core) -> tuple[Admission, ClientApi | None, Callable[[int], Admission] | None]:
         """The parts that need the core: what the client server asks."""
         part, config = self._part, self.config
         self._core = core
--- a/wheelstep/forwarding/client.py
+++ b/wheelstep/forwarding/client.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from wheelstep.courier.desk import BadRequestError, UnansweredError
+from wheelstep.courier.admission import BadRequestError, UnansweredError
 from wheelstep.forwarding.errors import AwayError, NotAskedError
 from wheelstep.forwarding.heads import answered, ask_head
 from wheelstep.forwarding.link import Dial, Link
@@ -197,7 +197,7 @@
 
 
 class RemoteDesk:
-    """Stands for the owner while one request is answered (desk.Desk)."""
+    """Stands for the owner while one request is answered (admission.Admission)."""
 
     ready = True
     syncs = True  # its answer is waited for
@@ -216,7 +216,7 @@
     def serves(self, destination: int) -> bool:
         return True
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         return False
 
     def holds(self, message: str) -> bool:
@@ -238,5 +238,5 @@
         if not self.known:
             self._client.tell("withdraw", self)
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """The owner records it."""
--- a/wheelstep/forwarding/server.py
+++ b/wheelstep/forwarding/server.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from wheelstep.courier.desk import BadRequestError, Desk, UnansweredError
+from wheelstep.courier.admission import Admission, BadRequestError, UnansweredError
 from wheelstep.forwarding.errors import NotAskedError
 from wheelstep.forwarding.heads import Ask, Begin, Withdraw, said
 from wheelstep.forwarding.link import Link
@@ -32,13 +32,13 @@
     """The owner's side of one connection from another process. `find` gives the desk of a message, or why there is
     none. Tell it the connection by `attach`, each frame by `heard`, its end by `lost`."""
 
-    def __init__(self, find: Callable[[StoredMessage], Desk | Turned], *, most: int = 20_000) -> None:
+    def __init__(self, find: Callable[[StoredMessage], Admission | Turned], *, most: int = 20_000) -> None:
         """`most` messages are taken and not begun at once; beyond that it is `full`."""
         self._find, self._most = find, most
         self._link: Link | None = None
         self._ended = False
         self._next = 0  # numbers below were asked
-        self._pending: dict[int, tuple[Desk, StoredMessage]] = {}  # taken, and its client has not heard for all we know
+        self._pending: dict[int, tuple[Admission, StoredMessage]] = {}  # accepted, maybe without an answer yet
         self._tasks: dict[int, asyncio.Task[None]] = {}  # taken, and waiting for a sync
         self.refused: Counter[str] = Counter()  # frames that were none of an asker, by reason
 
@@ -74,27 +74,27 @@
                     desk, message = self._pending.pop(one.n)
                     desk.withdraw(message.id)
 
-    def _begin(self, desk: Desk, message: StoredMessage) -> None:
+    def _begin(self, desk: Admission, message: StoredMessage) -> None:
         if desk.holds(message.id):
             desk.begin(message.id)
-            desk.handed_in(message, 202)
+            desk.record_answer(message, 202)
 
     def _ask(self, number: int, message: StoredMessage) -> None:
         desk = self._find(message)
         if isinstance(desk, Turned):
             self._answer(number, desk.is_, desk.why)
         elif desk.holds(message.id):
-            self._answer(number, "unsettled" if desk.settles(message.id) else "known")
+            self._answer(number, "unsettled" if desk.is_unconfirmed(message.id) else "known")
         elif not desk.serves(message.destination):
             self._answer(number, "bad", "no such destination")
         elif desk.full() or len(self._pending) >= self._most:
-            desk.handed_in(message, 503)
+            desk.record_answer(message, 503)
             self._answer(number, "full", "holds all it can")
         else:
             try:
                 desk.take(message)
             except NoRoomError as error:
-                desk.handed_in(message, 503)
+                desk.record_answer(message, 503)
                 self._refuse(number, error)
                 return
             self._pending[number] = desk, message
@@ -103,7 +103,7 @@
             else:
                 self._answer(number, "taken")
 
-    async def _settle(self, desk: Desk, number: int, name: str) -> None:
+    async def _settle(self, desk: Admission, number: int, name: str) -> None:
         try:
             await desk.durable()
         except Exception as error:  # guards against a message that nobody was told of, and a lost connection begins
--- a/wheelstep/rehearsal/broken/lost.py
+++ b/wheelstep/rehearsal/broken/lost.py
@@ -5,7 +5,7 @@
 import json
 
 from wheelstep.courier.core import Core
-from wheelstep.courier.notices import Notices
+from wheelstep.courier.notifier import Notifier
 from wheelstep.journal import Journal
 from wheelstep.journal.segments import Log, Segment
 
@@ -40,12 +40,12 @@
 
 def two_ends() -> None:
     """Each notice goes out twice, the second time with the other end."""
-    post = Notices._post
+    post = Notifier._post
 
-    async def twice(self: Notices, body: bytes) -> bool:
+    async def twice(self: Notifier, body: bytes) -> bool:
         lines = [json.loads(line) for line in body.splitlines()]
         for line in lines:
             line["outcome"] = "given_up" if line["outcome"] == "handed_back" else "handed_back"
         return await post(self, body + b"".join(json.dumps(line).encode() + b"\n" for line in lines))
 
-    Notices._post = twice  # type: ignore[method-assign]
+    Notifier._post = twice  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/fronts/standalone.py
+++ b/wheelstep/rehearsal/fronts/standalone.py
@@ -32,7 +32,7 @@
              f"notify = {_text(f'{config.discovery.host}:{config.discovery.port}')}",
              f"state = {_text(str(config.state))}",
              "[limits]", f"held = {caps['open_cap']}", f"slots = {specifics['calls_out']}",
-             f"attempts = {caps['most_tries']}", f"descriptors = {config.sockets}",
+             f"attempts = {caps['most_tries']}", f"descriptors = {config.max_descriptors}",
              f"disk_mb = {config.disk_bytes / 1e6}", f"idle = {_time(caps['conn_idle_us'])}",
              f"dial = {_time(config.dial_timeout_us)}",
              "[rules]", f"settle = {_time(rules['order_settle_us'])}", f"cold = {_time(rules['cold_us'])}",
--- a/wheelstep/rehearsal/scale/courier.py
+++ b/wheelstep/rehearsal/scale/courier.py
@@ -29,7 +29,7 @@
 
 def read_row(line: ListRow) -> Row:
     """A courier's row of a line of the list."""
-    return NAMES.entry({"host": line.host, "dial": line.dial, "site": line.site, "class": line.kind,
+    return NAMES.parse_row({"host": line.host, "dial": line.dial, "site": line.site, "class": line.kind,
                         "block": line.block, "health": line.health, "share": line.share})
 
 
--- a/wheelstep/rehearsal/scale/desk.py
+++ b/wheelstep/rehearsal/scale/desk.py
@@ -20,7 +20,7 @@
 
 
 class HollowDesk:
-    """As `courier.desk.Desk` asks. `epoch_s`: the loop's time at the run's start."""
+    """As `courier.admission.Admission` asks. `epoch_s`: the loop's time at the run's start."""
 
     ready = True
     syncs = False
@@ -43,7 +43,7 @@
     def _now_s(self) -> float:
         return asyncio.get_running_loop().time() - self._epoch_s
 
-    # --- courier.desk.Desk ---
+    # --- courier.admission.Admission ---
 
     def full(self) -> bool:
         return len(self.held) >= self._s.hold_limit
@@ -60,7 +60,7 @@
     def holds(self, message: str) -> bool:
         return message in self.held
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         return message in self._settling
 
     def durable(self) -> asyncio.Future[None]:
@@ -83,7 +83,7 @@
             self._forget(name)
             self.taken -= 1
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """Nobody records it."""
 
     # --- the list, whole or in part ---
--- a/wheelstep/rehearsal/scale/host.py
+++ b/wheelstep/rehearsal/scale/host.py
@@ -166,7 +166,7 @@
 
     def owed(self) -> dict[str, Any]:
         """What is held still (of this, neither begun nor withdrawn), and what was lost with machines."""
-        settling = [name for one in self._up.values() for name in one.shelf.held if one.shelf.settles(name)]
+        settling = [name for one in self._up.values() for name in one.shelf.held if one.shelf.is_unconfirmed(name)]
         return {"held": sum(len(one.shelf.held) for one in self._up.values()), "lost": self._lost, "settling": settling,
                 "kept": sum(map(len, self._kept.values())),
                 "open": sum(one.traffic.open for one in self._up.values())}
--- a/wheelstep/rehearsal/scale/traffic.py
+++ b/wheelstep/rehearsal/scale/traffic.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from wheelstep.courier.desk import BadRequestError, Desk, UnansweredError
+from wheelstep.courier.admission import Admission, BadRequestError, UnansweredError
 from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.rehearsal.scale.settings import DEADLINE_S, KEYS, ORDERED, draw_class
 
@@ -64,7 +64,7 @@
 class Traffic:
     """Hands messages in at `per_s`, until `stop`. A client that was turned away or not answered comes again."""
 
-    def __init__(self, name: str, find: Callable[[int], Desk], ready: Callable[[], bool], draw: Draw,
+    def __init__(self, name: str, find: Callable[[int], Admission], ready: Callable[[], bool], draw: Draw,
                  rng: random.Random, answers: Counter[str], took: Histogram, waited: Histogram) -> None:
         self._name, self._find, self._ready, self.draw, self._rng = name, find, ready, draw, rng
         self.answers, self._took, self._waited = answers, took, waited
@@ -108,7 +108,7 @@
         self.answers["handed_in"] += 1
         desk, began_s = self._find(message.destination), time.perf_counter()
         if desk.holds(message.id):
-            self._answered(message, tries, "none" if desk.settles(message.id) else "202")
+            self._answered(message, tries, "none" if desk.is_unconfirmed(message.id) else "202")
         elif not desk.serves(message.destination):
             self._answered(message, tries, "400")
         elif desk.full():
@@ -131,7 +131,7 @@
                 self._settled(desk, message, tries, began_s, work, not at_once)
             work.add_done_callback(settled)
 
-    def _settled(self, desk: Desk, message: StoredMessage, tries: int, began_s: float, work: asyncio.Future[None],
+    def _settled(self, desk: Admission, message: StoredMessage, tries: int, began_s: float, work: asyncio.Future[None],
                  waited: bool) -> None:
         error = None if work.cancelled() else work.exception()
         if not work.cancelled() and error is None:
@@ -139,7 +139,7 @@
             return
         desk.withdraw(message.id)
         if isinstance(error, NoRoomError):
-            desk.handed_in(message, 503)
+            desk.record_answer(message, 503)
             self.answers[f"503: {error}"[:60]] += 1
             self._answered(message, tries, "503")
         elif isinstance(error, BadRequestError):
@@ -149,13 +149,13 @@
         else:
             raise error
 
-    def _began(self, desk: Desk, message: StoredMessage, tries: int, began_s: float, waited: bool) -> None:
+    def _began(self, desk: Admission, message: StoredMessage, tries: int, began_s: float, waited: bool) -> None:
         spent_s = time.perf_counter() - began_s
         self._took.add(spent_s)
         if waited:
             self._waited.add(spent_s)
         desk.begin(message.id)
-        desk.handed_in(message, 202)
+        desk.record_answer(message, 202)
         self._answered(message, tries, "202")
 
     def _answered(self, message: StoredMessage, tries: int, answer: str) -> None:
--- a/wheelstep/rehearsal/scale/undivided.py
+++ b/wheelstep/rehearsal/scale/undivided.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 
 from wheelstep import interface as api
+from wheelstep.courier.admission import Admission
 from wheelstep.courier.config import Address
-from wheelstep.courier.desk import Desk
 from wheelstep.courier.watch import Watch
 from wheelstep.fleet.datagrams import Datagrams
 from wheelstep.fleet.membership import Limits, Membership
@@ -60,7 +60,7 @@
     def _now_us(self) -> int:
         return int(self._loop.time() * 1e6)
 
-    def _desk(self, destination: int) -> Desk:
+    def _desk(self, destination: int) -> Admission:
         return self.shelf
 
     @property
--- a/wheelstep/rehearsal/shard_world/courier.py
+++ b/wheelstep/rehearsal/shard_world/courier.py
@@ -82,7 +82,7 @@
         await node.leave()
         await asyncio.sleep(END_S)
         if self.door is not None:
-            self.door.server.refuse()
+            self.door.server.refuse_messages()
         await asyncio.sleep(END_S)
         self.door = None
         await node.close()
--- a/wheelstep/rehearsal/shard_world/discovery.py
+++ b/wheelstep/rehearsal/shard_world/discovery.py
@@ -24,7 +24,7 @@
 
 def read(row: ListRow) -> Row:
     """As the daemon reads a row."""
-    return NAMES.entry({"host": row.host, "dial": row.dial, "site": row.site, "class": row.kind, "block": row.block,
+    return NAMES.parse_row({"host": row.host, "dial": row.dial, "site": row.site, "class": row.kind, "block": row.block,
                         "health": row.health, "share": row.share})
 
 
--- a/wheelstep/rehearsal/shard_world/door.py
+++ b/wheelstep/rehearsal/shard_world/door.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import cast
 
+from wheelstep.courier.admission import Admission
 from wheelstep.courier.client_connection import ClientConnection
 from wheelstep.courier.client_server import ClientServer
-from wheelstep.courier.desk import Desk
 from wheelstep.courier.request import Request
 from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world.check import Check
@@ -23,12 +23,12 @@
     def __init__(self, door: Door, message: StoredMessage, heard: Callable[[int], None]) -> None:
         self._door, self._message, self._heard = door, message, heard
         self._waits: asyncio.Future[None] | None = None
-        self.gone = self.taking = False
+        self.write_closed = self.awaiting_sync = False
         door.check.handing[door.process.name][message.id] += 1
 
-    def say(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
-            keep: bool = True) -> bool:
-        if self.gone:
+    def respond(self, request: Request, status: int, text: str = "", headers: tuple[tuple[str, str], ...] = (),
+                keep: bool = True) -> bool:
+        if self.write_closed:
             return False
         self._over()
         door = self._door
@@ -49,27 +49,28 @@
 
     def close(self) -> None:
         """The courier ends it without an answer."""
-        if not self.gone:
+        if not self.write_closed:
             self._over()
             self._door.check.world.count["no answer"] += 1
             self._heard(0)
 
     def lost(self) -> None:
         """Its client has gone."""
-        if not self.gone:
+        if not self.write_closed:
             self._over()
             if self._waits is not None:
                 self._waits.cancel()
 
     def _over(self) -> None:
-        self.gone = True
+        self.write_closed = True
         self._door.check.handing[self._door.process.name][self._message.id] -= 1
 
 
 class Door:
     """Of one life of a courier."""
 
-    def __init__(self, process: Process, boot: int, desk: Desk, find: Callable[[int], Desk], check: Check) -> None:
+    def __init__(self, process: Process, boot: int, desk: Admission, find: Callable[[int], Admission],
+                 check: Check) -> None:
         self.process, self.boot, self.check = process, boot, check
         self.server = ClientServer(desk, CLASSES, 1_000, find)
 
--- a/wheelstep/rehearsal/shard_world/shelf.py
+++ b/wheelstep/rehearsal/shard_world/shelf.py
@@ -60,7 +60,7 @@
     def desk(self) -> SimShelf:
         return self
 
-    # --- desk.Desk ---
+    # --- admission.Admission ---
 
     def full(self) -> bool:
         return len(self._held) >= MOST
@@ -71,7 +71,7 @@
     def holds(self, message: str) -> bool:
         return message in self._held
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         return message in self._held and not self._held[message].begun
 
     def take(self, message: StoredMessage) -> None:
@@ -109,7 +109,7 @@
             self._check.withdrawn(self._process.name, held.message)
             self._remove(name)
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """Recorded by the door."""
 
     # --- ports.Shelf ---
--- a/wheelstep/shards/daemon.py
+++ b/wheelstep/shards/daemon.py
@@ -13,9 +13,9 @@
 from dataclasses import replace
 from pathlib import Path
 
+from wheelstep.courier.admission import Admission, ClientApi
 from wheelstep.courier.config import Address, Config, ConfigError
 from wheelstep.courier.core import Core
-from wheelstep.courier.desk import Desk, Front
 from wheelstep.courier.rows import Row
 from wheelstep.fleet.log import Log, LogDamagedError
 from wheelstep.fleet.membership import Limits as MemberLimits
@@ -58,7 +58,7 @@
         _check_shard_count(folder / "shards", fleet.part.shards.count)
         self._boot = _boot(Folder(folder), folder)
 
-    def join(self, core: Core) -> tuple[Desk, Front | None, Callable[[int], Desk] | None]:
+    def join(self, core: Core) -> tuple[Admission, ClientApi | None, Callable[[int], Admission] | None]:
         """What the client server uses: the desk that tells whether all is ready, no front, and a function from a
         destination to its desk."""
         core.endpoints.knows_list = True  # a destination without a row is unknown, even before rows have arrived
@@ -79,7 +79,7 @@
         self._core_adapter.restore()
 
     def _read(self, row: ListRow) -> Row:
-        return self.config.names.entry({"host": row.host, "dial": row.dial, "site": row.site, "class": row.kind,
+        return self.config.names.parse_row({"host": row.host, "dial": row.dial, "site": row.site, "class": row.kind,
                                          "block": row.block, "health": row.health, "share": row.share})
 
     async def start(self) -> None:
--- a/wheelstep/shards/desks.py
+++ b/wheelstep/shards/desks.py
@@ -1,11 +1,11 @@
-"""The desk of a destination whose messages are routed: passed on to their home, or taken here (desk.Desk)."""
+"""The desk of a destination whose messages are routed: passed on to their home, or taken here (admission.Admission)."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from wheelstep.courier.desk import Desk
+from wheelstep.courier.admission import Admission
 from wheelstep.journal import StoredMessage
 
 Route = Callable[["RoutedDesk", StoredMessage], "asyncio.Future[None]"]
@@ -18,10 +18,10 @@
     ready = True
     syncs = True  # the caller waits for `durable`
 
-    def __init__(self, own_desk: Desk, route: Route) -> None:
+    def __init__(self, own_desk: Admission, route: Route) -> None:
         self._own_desk, self._route = own_desk, route
         self._message: StoredMessage | None = None
-        self.inner: Desk | None = None  # the desk that was asked to take the message and hears of its progress
+        self.inner: Admission | None = None  # the desk that was asked to take the message and hears of its progress
 
     def full(self) -> bool:
         """False: the desk that takes the message decides."""
@@ -35,9 +35,9 @@
         """Tells whether this courier holds the message already."""
         return self._own_desk.holds(message)
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         """As the courier's own desk."""
-        return self._own_desk.settles(message)
+        return self._own_desk.is_unconfirmed(message)
 
     def take(self, message: StoredMessage) -> None:
         """Keeps the message until `durable` routes it."""
@@ -45,7 +45,7 @@
 
     def durable(self) -> asyncio.Future[None]:
         """Routes the message; the future is done once its home, or this courier, has taken it, with the errors of
-        `Desk.durable`."""
+        `Admission.durable`."""
         assert self._message is not None
         return self._route(self, self._message)
 
@@ -59,9 +59,9 @@
         if self.inner is not None:
             self.inner.withdraw(name)
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         """Counts the answer: at the desk that took the message, or here if it was turned away."""
         if self.inner is not None:
-            self.inner.handed_in(message, status)
+            self.inner.record_answer(message, status)
         elif status != 202:
-            self._own_desk.handed_in(message, status)
+            self._own_desk.record_answer(message, status)
--- a/wheelstep/shards/list_rows.py
+++ b/wheelstep/shards/list_rows.py
@@ -10,7 +10,7 @@
 import msgspec
 import xxhash
 
-from wheelstep.courier.config import UNREADABLE, Address, Names
+from wheelstep.courier.config import ROW_ERRORS, Address, Names
 from wheelstep.courier.rows import Row
 from wheelstep.shards.types import ListRow
 
@@ -75,8 +75,8 @@
 
 
 def read_entry(raw: msgspec.Raw | bytes) -> ListRow:
-    """Decodes one entry of discovery's list. Accepts what a courier's own `Names.entry` accepts; raises `ValueError`
-    for anything else."""
+    """Decodes one entry of discovery's list. Accepts what a courier's own `Names.parse_row` accepts; raises
+    `ValueError` for anything else."""
     try:
         row = _ENTRY.decode(raw)
         return _validated(ListRow(row.host, row.dial, row.site, row.kind, row.block, row.health, row.share))
@@ -92,7 +92,7 @@
         return _validated(ListRow(
             str(row["host"]), str(row["dial"]), site if isinstance(site, str) else "",
             kind if isinstance(kind, str) else "", int(row["block"]), row["health"], float(row.get("share", 1.0))))
-    except UNREADABLE as error:
+    except ROW_ERRORS as error:
         raise ValueError(f"{raw[:200]!r}: {error!r:.200}") from error
 
 
@@ -130,5 +130,5 @@
 
 
 def courier_row(row: ListRow, names: Names) -> Row:
-    """The row as in a courier's own list; raises the errors in `UNREADABLE`."""
-    return names.entry(entry_of(row))
+    """The row as in a courier's own list; raises the errors in `ROW_ERRORS`."""
+    return names.parse_row(entry_of(row))
--- a/wheelstep/shards/lives.py
+++ b/wheelstep/shards/lives.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
-from wheelstep.courier.config import UNREADABLE
+from wheelstep.courier.config import ROW_ERRORS
 from wheelstep.courier.rows import Row
 from wheelstep.journal import StoredMessage
 from wheelstep.shards import handoff, hosting, list_client
@@ -116,7 +116,7 @@
         for row in rows:
             try:
                 found.append(self._read(row))
-            except UNREADABLE:
+            except ROW_ERRORS:
                 self.counts["unreadable_rows"] += 1
         return found
 
--- a/wheelstep/shards/node.py
+++ b/wheelstep/shards/node.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Callable, Collection, Mapping, Sequence, Set
 
-from wheelstep.courier.desk import Desk
+from wheelstep.courier.admission import Admission
 from wheelstep.courier.rows import Row
 from wheelstep.fleet.datagrams import Datagrams
 from wheelstep.fleet.membership import Membership
@@ -33,7 +33,7 @@
 
 class ShardNode:
     """A shard node. `seeds` (name to address) are couriers to contact first, `control` the control machines. `read`
-    converts a row of the list into a courier's row; it raises the errors in `UNREADABLE`. `note` receives lines for
+    converts a row of the list into a courier's row; it raises the errors in `ROW_ERRORS`. `note` receives lines for
     operators. `classes`: the message classes accepted; None: any."""
 
     def __init__(self, me: Member, settings: NodeSettings, seeds: Mapping[str, str], control: Mapping[str, str],
@@ -92,7 +92,7 @@
             self._was_ready = self.now_us() > late_us or not self.hosting.of(Life.OPENING)
         return self._was_ready and self.formed and not self._leaving
 
-    def desk(self, destination: int) -> Desk:
+    def desk(self, destination: int) -> Admission:
         """The desk for one client request to the destination."""
         return self.routing.find(destination)
 
@@ -129,7 +129,7 @@
     # --- routing.RoutingNode ---
 
     @property
-    def desk_here(self) -> Desk:
+    def desk_here(self) -> Admission:
         """This courier's own desk."""
         return self._courier.desk
 
--- a/wheelstep/shards/ports.py
+++ b/wheelstep/shards/ports.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Protocol
 
-from wheelstep.courier.desk import Desk
+from wheelstep.courier.admission import Admission
 from wheelstep.courier.rows import Row
 from wheelstep.shards.types import EndpointHealth, OwedKey
 
@@ -15,7 +15,7 @@
     """A courier as seen by its shard node: its desk, its list, its module."""
 
     @property
-    def desk(self) -> Desk:
+    def desk(self) -> Admission:
         """Takes messages here, as home or guest."""
 
     def listed(self, rows: Sequence[Row]) -> None:
--- a/wheelstep/shards/routing.py
+++ b/wheelstep/shards/routing.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import Protocol
 
-from wheelstep.courier.desk import BadRequestError, Desk, UnansweredError
+from wheelstep.courier.admission import Admission, BadRequestError, UnansweredError
 from wheelstep.forwarding.client import Ended, ForwardClient, RemoteDesk
 from wheelstep.forwarding.errors import AwayError
 from wheelstep.forwarding.server import Turned
@@ -33,7 +33,7 @@
         ...
 
     @property
-    def desk_here(self) -> Desk:
+    def desk_here(self) -> Admission:
         """This courier's own desk."""
         ...
 
@@ -71,7 +71,7 @@
 
     # --- at the courier that a client reached ---
 
-    def find(self, destination: int) -> Desk:
+    def find(self, destination: int) -> Admission:
         """The desk for one request: this courier's own if it may take any message of the shard."""
         shard = shard_of(destination, self._places.shards)
         return self._places.desk_here if self._places.takes_all(shard) else RoutedDesk(
@@ -175,7 +175,7 @@
 
     # --- at a courier that is asked ---
 
-    def asked(self, message: StoredMessage) -> Desk | Turned:
+    def asked(self, message: StoredMessage) -> Admission | Turned:
         """Who takes a message passed on by another courier; it is not passed on again."""
         own_desk, request = self._places.desk_here, self._request(message)
         if own_desk.holds(message.id):
--- a/wheelstep/shards/types.py
+++ b/wheelstep/shards/types.py
@@ -23,7 +23,7 @@
 # --- the list by shard ---
 
 class ListRow(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of discovery's list, with the names used here; `courier.config.Names.entry` reads the same entry."""
+    """One entry of discovery's list, with the names used here; `courier.config.Names.parse_row` reads the same."""
 
     host: str
     dial: str
--- a/wheelstep/standalone/front.py
+++ b/wheelstep/standalone/front.py
@@ -3,7 +3,7 @@
     POST /any/path/KEY        hands a message in: 202, or 200 with its end if it has one
     GET /messages/ID?wait=S   its end: 200 with it, 202 while there is none, 404 if nobody knows it
 
-Sits before the daemon's own client server (`courier.desk.Front`); holds no sockets.
+Sits before the daemon's own client server (`courier.admission.ClientApi`); holds no sockets.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, replace
 from urllib.parse import parse_qs
 
+from wheelstep.courier.admission import BadRequestError, Connection, RefusedError
 from wheelstep.courier.core import Core
-from wheelstep.courier.desk import BadRequestError, Connection, RefusedError
-from wheelstep.courier.reading import given_once, key_of, token_of
+from wheelstep.courier.message_request import key_of, token_of, unique_headers
 from wheelstep.courier.request import Request
 from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.standalone.ends import Ends
@@ -76,13 +76,13 @@
         self._found, self._routes, self._open = policy.found, policy.routes, policy.open
         self.tenants.renew(policy.found.tenants)
 
-    # --- courier.desk.Front ---
+    # --- courier.admission.ClientApi ---
 
     def message(self, request: Request) -> StoredMessage:
         """The message that a request hands in. Raises `BadRequestError` and `RefusedError`, also with the end of a
         message that has it already."""
         tenant = self._tenant(request)
-        given = given_once(request)
+        given = unique_headers(request)
         name = self._name(tenant, given.get("x-request-id", ""))
         if (end := self._kept.get(name)) is not None:
             raise RefusedError(200, json.dumps(end.row(_own(name))) + "\n", _JSON)
@@ -137,7 +137,7 @@
         else:
             self._say_end(request, name, connection)
 
-    def says(self, message: StoredMessage) -> tuple[tuple[str, str], ...]:
+    def response_headers(self, message: StoredMessage) -> tuple[tuple[str, str], ...]:
         """Nothing goes with a 202."""
         return ()
 
@@ -159,10 +159,10 @@
         return self.ends
 
     def _tenant(self, request: Request) -> str:
-        if "authorization" in request.twice:
+        if "authorization" in request.repeated_headers:
             raise BadRequestError("authorization is given twice")
-        if "authorization" in request.once:
-            scheme, _, token = request.once["authorization"].partition(" ")
+        if "authorization" in request.headers:
+            scheme, _, token = request.headers["authorization"].partition(" ")
             tenant = self.tenants.named(token.strip()) if scheme.lower() == "bearer" else None
         else:
             tenant = self.tenants.open_to_all()
@@ -174,11 +174,11 @@
     def _say_end(self, request: Request, name: str, connection: Connection) -> None:
         own = _own(name)
         if (end := self._kept.get(name)) is not None:
-            connection.say(request, 200, json.dumps(end.row(own)) + "\n", _JSON)
+            connection.respond(request, 200, json.dumps(end.row(own)) + "\n", _JSON)
         elif self._core.holds(name):
-            connection.say(request, 202, json.dumps({"message": own}) + "\n", _JSON)
+            connection.respond(request, 202, json.dumps({"message": own}) + "\n", _JSON)
         else:  # also another tenant's: nobody learns that it exists
-            connection.say(request, 404, "no such message\n")
+            connection.respond(request, 404, "no such message\n")
 
     def _name(self, tenant: str, own: str) -> str:
         if not 0 < len(own) <= 80 or not own.isascii() or not own.isprintable() or set(own) & set(" ~/?#%"):
--- a/wheelstep/standalone/serve.py
+++ b/wheelstep/standalone/serve.py
@@ -19,10 +19,10 @@
 from wheelstep.courier.client_server import ClientServer
 from wheelstep.courier.config import Address, Config, ConfigError, from_data
 from wheelstep.courier.core import Core
-from wheelstep.courier.leaving import deafen, leave
-from wheelstep.courier.notices import Notices
+from wheelstep.courier.notifier import Notifier
 from wheelstep.courier.opening import open_journal
 from wheelstep.courier.rows import Row
+from wheelstep.courier.shutdown import ignore_signals, leave
 from wheelstep.standalone.ends import Ends
 from wheelstep.standalone.folder import Folder, merged
 from wheelstep.standalone.front import Front, Policy, mirrored, tenant_of
@@ -103,12 +103,12 @@
         for name in journal.messages:
             if not mirrored(name):
                 front.tenants.took(tenant_of(name))
-        server = ClientServer(core, core.ordered, config.sockets // 3, front=front)
+        server = ClientServer(core, core.ordered, config.max_descriptors // 3, client_api=front)
         async with contextlib.AsyncExitStack() as stack, asyncio.TaskGroup() as group:
             if self._found.notify is not None:
                 import aiohttp
                 http = await stack.enter_async_context(aiohttp.ClientSession(auto_decompress=False, trust_env=False))
-                told.notices = Notices(http, Address.parse(self._found.notify), told.settled)
+                told.notices = Notifier(http, Address.parse(self._found.notify), told.settled)
             if self._found.endpoints_from is not None:
                 self._folder = Folder(self._found.endpoints_from)
                 for text in self._folder.look()[1]:
@@ -139,7 +139,7 @@
                 task.cancel()
         ends.close()
         journal.close()
-        deafen()
+        ignore_signals()
 
     async def _change(self, read: Callable[[], Standalone]) -> _Fresh:
         """Read and work out off the loop what changes, then let it count. Raises `FileError`, `ConfigError`."""
--- a/wheelstep/standalone/told.py
+++ b/wheelstep/standalone/told.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from wheelstep.courier.core import Core
-from wheelstep.courier.notices import Notices
+from wheelstep.courier.notifier import Notifier
 from wheelstep.standalone.ends import End, Ends
 from wheelstep.standalone.front import Front, mirrored, tenant_of
 
@@ -19,7 +19,7 @@
     def __init__(self, front: Front, core: Core) -> None:
         self._front, self._core = front, core
         self.ends: Ends | None = None
-        self.notices: Notices | None = None
+        self.notices: Notifier | None = None
         self._half: set[str] = set()  # one of the two has them; bounded by what may be held
 
     def settled(self, names: list[str]) -> None:
@@ -34,7 +34,7 @@
         if done:
             self._core.answered(done)
 
-    def owe(self, message: str, outcome: str, retry_ms: int) -> None:
+    def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
         """It has ended."""
         if mirrored(message):
             asyncio.get_running_loop().call_soon(self._core.answered, [message])
@@ -46,4 +46,4 @@
             if outcome == "delivered":
                 self.settled([message])
             else:
-                self.notices.owe(message, outcome, retry_ms)
+                self.notices.enqueue(message, outcome, retry_ms)
--- a/wheelstep/upgrade/source.py
+++ b/wheelstep/upgrade/source.py
@@ -170,7 +170,7 @@
     def _release(self) -> None:
         """Close the own descriptors of the connections and listeners."""
         self._cancel_time_limit()
-        self._server.let_go()
+        self._server.close_transferred()
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener.fileno())
             self._listener.close()
--- a/wheelstep/workers/between.py
+++ b/wheelstep/workers/between.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from wheelstep.courier.desk import Desk
+from wheelstep.courier.admission import Admission
 from wheelstep.forwarding.client import ForwardClient
 from wheelstep.forwarding.link import Heard, Link, Lost
 from wheelstep.forwarding.server import ForwardServer, Turned
@@ -31,8 +31,8 @@
 class OwnerSide:
     """One connection from another worker; `find` gives the desk of a destination, None where its share is not open."""
 
-    def __init__(self, find: Callable[[int], Desk | None]) -> None:
-        def desk(message: StoredMessage) -> Desk | Turned:
+    def __init__(self, find: Callable[[int], Admission | None]) -> None:
+        def desk(message: StoredMessage) -> Admission | Turned:
             return find(message.destination) or Turned("full", "its share is not open here just now")
         server = ForwardServer(desk)
         self.frames = Frames(server.heard, server.lost)
--- a/wheelstep/workers/closed.py
+++ b/wheelstep/workers/closed.py
@@ -8,7 +8,7 @@
 
 
 class ClosedDesk:
-    """It takes nothing and holds nothing (desk.Desk)."""
+    """It takes nothing and holds nothing (admission.Admission)."""
 
     ready = False
     syncs = False
@@ -25,7 +25,7 @@
     def take(self, message: StoredMessage) -> None:
         raise NoRoomError("its share is open nowhere just now")
 
-    def settles(self, message: str) -> bool:
+    def is_unconfirmed(self, message: str) -> bool:
         return False
 
     def durable(self) -> asyncio.Future[None]:
@@ -37,5 +37,5 @@
     def withdraw(self, name: str) -> None:
         pass
 
-    def handed_in(self, message: StoredMessage, status: int) -> None:
+    def record_answer(self, message: StoredMessage, status: int) -> None:
         pass
--- a/wheelstep/workers/parts.py
+++ b/wheelstep/workers/parts.py
@@ -14,5 +14,5 @@
         return whole // workers + (worker < whole % workers)
     settings = replace(config.settings, slots=part(config.settings.slots),
                        hold_limit=part(config.settings.hold_limit))
-    return replace(config, name=f"{config.name}/{worker}", settings=settings, sockets=config.sockets // workers,
-                   seed=config.seed + worker)
+    return replace(config, name=f"{config.name}/{worker}", settings=settings,
+                   max_descriptors=config.max_descriptors // workers, seed=config.seed + worker)
--- a/wheelstep/workers/start.py
+++ b/wheelstep/workers/start.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from wheelstep.courier.config import Address, Config, ConfigError
-from wheelstep.courier.listen import bind
+from wheelstep.courier.listener import open_listener
 from wheelstep.journal.disk import Folder
 from wheelstep.workers.layout import LayoutError, prepare
 from wheelstep.workers.ownership import Fleet, Limits
@@ -65,7 +65,7 @@
     until = asyncio.get_running_loop().time() + _BIND_S
     while True:
         try:
-            return bind(listen)
+            return open_listener(listen)
         except OSError as error:
             if asyncio.get_running_loop().time() > until:
                 raise ConfigError(f"can't listen at {listen.host}:{listen.port}: {error}") from error
--- a/wheelstep/workers/supervisor.py
+++ b/wheelstep/workers/supervisor.py
@@ -15,9 +15,9 @@
 from wheelstep import interface as api
 from wheelstep.courier.__main__ import follow_config
 from wheelstep.courier.config import Address, Config
-from wheelstep.courier.leaving import deafen
 from wheelstep.courier.listing import entries
 from wheelstep.courier.rows import Row, write_rows
+from wheelstep.courier.shutdown import ignore_signals
 from wheelstep.courier.spread import callers, longest_s
 from wheelstep.courier.watch import Watch
 from wheelstep.workers import ownership
@@ -68,13 +68,13 @@
                           longest_s(self._config.settings))
             tasks = [self._group.create_task(work) for work in (
                 self._tick(), watch.run(),
-                follow_config(self._config, renewed, watch, self, heeded=self._reload))]
+                follow_config(self._config, renewed, watch, self, on_applied=self._reload))]
             await terminated.wait()
             await self._leave()
             for task in tasks:
                 task.cancel()
         log.info("stopped")
-        deafen()
+        ignore_signals()
 
     # --- the list ---
 
--- a/wheelstep/workers/worker.py
+++ b/wheelstep/workers/worker.py
@@ -19,14 +19,14 @@
 import aiohttp
 
 from wheelstep import interface as api
+from wheelstep.courier.admission import Admission
 from wheelstep.courier.client_server import ClientServer
 from wheelstep.courier.config import Address, Config, ConfigError, load
 from wheelstep.courier.core import Core
-from wheelstep.courier.desk import Desk
-from wheelstep.courier.leaving import leave
-from wheelstep.courier.notices import Notices
+from wheelstep.courier.notifier import Notifier
 from wheelstep.courier.opening import account, open_journal, recorder
 from wheelstep.courier.rows import Row, read_rows
+from wheelstep.courier.shutdown import leave
 from wheelstep.forwarding.client import RemoteDesk
 from wheelstep.journal import FolderInUseError, Journal
 from wheelstep.workers.between import OwnerSide, forward_client
@@ -69,7 +69,7 @@
 
     # --- for the door ---
 
-    def find(self, destination: int) -> Desk:
+    def find(self, destination: int) -> Admission:
         """The desk of a destination: ours, or a stand-in for its owner's."""
         share = self._share_of(destination)
         if share in self._journals:
@@ -164,12 +164,12 @@
         loop.add_signal_handler(signal.SIGTERM, self._leaving.set)
         ordered = [cls.ordered for cls in self._config.settings.classes]
         server = ClientServer(self, dict(zip(self._config.names.classes, ordered, strict=True)),
-                      self._config.sockets // 3, self.find)
+                      self._config.max_descriptors // 3, self.find)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._path)
         async with aiohttp.ClientSession(auto_decompress=False, trust_env=False) as http, \
                 asyncio.TaskGroup() as self._group:
-            self._notices = self._core.notices = Notices(http, self._config.discovery, self._core.answered)
+            self._notices = self._core.notices = Notifier(http, self._config.discovery, self._core.answered)
             counters = await loop.create_unix_server(lambda: OwnerSide(self._ours).frames, self._path)
             self._tasks = [self._group.create_task(work) for work in (
                 self._beat(), server.sweep(), self._notices.run(), self._core.outlet.sweep())]
