--- a/tests/test_unix_clock.py
+++ b/tests/test_unix_clock.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from wheelstep.courier.wall_clock import MARK, UnixClock, boot_id
+from wheelstep.courier.wall_clock import CLOCK_MARK, UnixClock, boot_id
 
 
 class FakeWallClock:
@@ -52,15 +52,15 @@
     started_clock(marks)
     wall.off_s = 3600.0
     assert abs(started_clock(marks, "b2").now_s() - time.time()) < 0.1
-    assert marks[MARK][0] == "b2"
+    assert marks[CLOCK_MARK][0] == "b2"
 
 
 @pytest.mark.parametrize("mark", [None, [], ["b1"], ["b1", "x"], {"b1": 1}, ["", 5]])
 def test_an_invalid_mark_is_replaced(mark: Any, wall: FakeWallClock) -> None:
     """Guards against a start that fails on a damaged or foreign mark, or on a system without a boot id."""
-    marks = {MARK: mark}
+    marks = {CLOCK_MARK: mark}
     assert abs(started_clock(marks, "").now_s() - time.time()) < 0.1
-    assert marks[MARK][0] == "" and isinstance(marks[MARK][1], int)
+    assert marks[CLOCK_MARK][0] == "" and isinstance(marks[CLOCK_MARK][1], int)
 
 
 def test_until_an_offset_is_adopted_the_wall_clock_counts(wall: FakeWallClock) -> None:
--- a/wheelstep/courier/client_connection.py
+++ b/wheelstep/courier/client_connection.py
@@ -177,7 +177,7 @@
         self._reader, self.partial_request = None, b""
         if self.transport is None or self.transport.is_closing():
             return
-        self._connections.begin_linger(self)
+        self._connections.start_close_timeout(self)
         if self._client_half_closed:
             self.transport.close()  # no more input can come
             return
--- a/wheelstep/courier/client_connections.py
+++ b/wheelstep/courier/client_connections.py
@@ -100,11 +100,11 @@
 
     def _end(self, connection: ClientConnection, reason: str) -> bool:
         self._end_reasons[reason] += 1
-        self.begin_linger(connection)
+        self.start_close_timeout(connection)
         connection.end()
         return True
 
-    def begin_linger(self, connection: ClientConnection) -> None:
+    def start_close_timeout(self, connection: ClientConnection) -> None:
         """Start the time limit of a connection that ends. Beyond the limit in number, the oldest such one is closed."""
         self.remove(connection)
         connection.phase, connection.phase_since = Phase.ENDING, time.monotonic()
--- a/wheelstep/courier/client_phases.py
+++ b/wheelstep/courier/client_phases.py
@@ -17,15 +17,15 @@
     SILENT = "silent"  # connected, nothing received yet
     ASKING = "asking"  # a request has begun and is not answered yet
     IDLE = "idle"  # the last request was answered, and no byte of another has come
-    HELD = "held"  # the answer waits for an event that may take up to a minute
+    HELD = "held"  # the answer is delayed until its work is done, up to a minute (long polling)
     ENDING = "ending"  # requests that have arrived are still answered, later input is discarded
 
 
 class ConnectionManager(Protocol):
     """What a connection needs from the manager of all connections, see `ClientConnections`."""
 
-    transferable: bool
-    paused: bool
+    transferable: bool  # connections can be passed on to another process
+    paused: bool  # nothing is read
 
     def add(self, connection: ClientConnection) -> None:
         """Register a connection that has just been opened."""
@@ -35,7 +35,7 @@
         """Move a connection to another phase."""
         ...
 
-    def begin_linger(self, connection: ClientConnection) -> None:
+    def start_close_timeout(self, connection: ClientConnection) -> None:
         """Start the time limit of a connection that is about to close."""
         ...
 
--- a/wheelstep/courier/config.py
+++ b/wheelstep/courier/config.py
@@ -46,7 +46,8 @@
     report: tuple[str, ...]
 
     def parse_row(self, row: Mapping[str, Any]) -> tuple[api.EndpointInfo, Address]:
-        """Parse one row of discovery's list. Raises one of `ROW_ERRORS` if that fails."""
+        """Parse one row of discovery's list. An unknown kind or zone counts as the first one. Raises one of
+        `ROW_ERRORS` if the row can't be parsed."""
         state = _STATES[row["health"]]
         info = api.EndpointInfo(
             endpoint=str(row["host"]), destination=int(row["block"]),
@@ -67,10 +68,10 @@
     listen: Address
     discovery: Address
     state: Path  # the folder of the journal
-    seed: int
-    disk_bytes: int
+    seed: int  # of random numbers; hexadecimal in the file
+    disk_bytes: int  # that the journal may use
     max_descriptors: int  # limit on descriptors
-    known: Mapping[str, Any]  # the list of endpoints in the file, empty if there is none
+    known: Mapping[str, Any]  # the list of endpoints in the file, empty without a valid `hosts` list
     settings: api.Settings
     raw_settings: Mapping[str, Any]  # as they stand in the file
     names: Names
@@ -81,7 +82,8 @@
 
 def load(environ: Mapping[str, str], again: bool = False) -> Config:
     """Read the configuration file named by `RELAY_CONFIG`, with the state folder named by `RELAY_STATE`. A file that is
-    read `again` is newer than the environment, so its discovery address takes precedence. Raises `ConfigError`."""
+    read `again` is newer than the environment, so its discovery address precedes `RELAY_DISCOVERY`; `RELAY_LISTEN` and
+    `RELAY_CONSOLE` always precede the file. Raises `ConfigError`."""
     path, state = environ.get("RELAY_CONFIG"), environ.get("RELAY_STATE")
     if not path or not state:
         raise ConfigError("RELAY_CONFIG and RELAY_STATE must be set")
--- a/wheelstep/courier/core.py
+++ b/wheelstep/courier/core.py
@@ -19,7 +19,7 @@
 from wheelstep.courier.operated import OperatorCommands
 from wheelstep.courier.ports import Book, CallsOut, OutcomeListener
 from wheelstep.courier.rows import Row
-from wheelstep.courier.wall_clock import MARK, ago_us, left_us
+from wheelstep.courier.wall_clock import CLOCK_MARK, ago_us, left_us
 from wheelstep.interface import EndpointState
 from wheelstep.journal import StoredMessage
 
@@ -185,7 +185,7 @@
         way in the previous process, which will report their outcomes. `settling` has the keys that settle there and
         the microseconds left. None: no process can report them, so any key may settle until a settle period after
         `owned_since_s`, when this process got the state folder (default: when this core was made)."""
-        first = marks.keys() <= {MARK}  # no process has used this folder before
+        first = marks.keys() <= {CLOCK_MARK}  # no process has used this folder before
         settle_us = 0 if first else self._settings.order_settle_us
         settled_s = (owned_since_s or self._created_s) + settle_us / 1e6
         if (event := continue_settling(self.order, settling, settled_s, time.monotonic())) is not None:
--- a/wheelstep/courier/notifier.py
+++ b/wheelstep/courier/notifier.py
@@ -16,8 +16,9 @@
 
 # After a message's deadline its notice must have been answered within this time (PROTOCOL, 'The rules on sockets').
 _ANSWERED_WITHIN_S = 0.3
-_FIRST_TIMEOUT_S = _ANSWERED_WITHIN_S / 3  # a notice is answered at once; a second try, twice as long, is in time too
-_MAX_TIMEOUT_S = 2.0  # the timeout doubles from try to try up to this, for an agent that is only slow
+# The platform's agent answers at once; a second try, twice as long, is in time too.
+_FIRST_TIMEOUT_S = _ANSWERED_WITHIN_S / 3
+_MAX_TIMEOUT_S = 2.0  # the timeout doubles from try to try up to this, for a platform's agent that is only slow
 _RETRY_S = 0.25  # between tries from the second on: the agent is on the same host, so a try is cheap
 _MAX_BATCH = 200  # notices in one request
 
@@ -25,7 +26,7 @@
 
 
 class _Target:
-    """The URL of a service of the platform, and the exchange in progress with it."""
+    """The URL at the address of the platform's agent, and the exchange in progress with it."""
 
     def __init__(self, discovery: Address, path: str) -> None:
         self._path = path
@@ -41,7 +42,7 @@
 
     @asynccontextmanager
     async def exchange(self) -> AsyncIterator[str]:
-        """Return the URL for one exchange."""
+        """Context of one request: gives its URL; `move` ends it with `TimeoutError`."""
         async with asyncio.timeout(None) as self._exchange:
             try:
                 yield self._url
@@ -50,11 +51,12 @@
 
 
 class Notifier:
-    """Notifies the platform of every message that ended undelivered, and repeats each notice until it is answered."""
+    """Notifies the platform of every message that ended undelivered, and repeats each notice until it is accepted
+    with status 204."""
 
     def __init__(self, http: aiohttp.ClientSession, discovery: Address,
-                 on_answered: Callable[[list[str]], None]) -> None:
-        self._http, self._on_answered = http, on_answered
+                 on_accepted: Callable[[list[str]], None]) -> None:
+        self._http, self._on_accepted = http, on_accepted
         self._target = _Target(discovery, "/v1/outcomes")
         self._pending: dict[str, bytes] = {}
         self._has_pending = asyncio.Event()
@@ -65,7 +67,7 @@
         self._target.move(discovery)
 
     def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
-        """Queue a notice; it is sent as soon as possible."""
+        """Queue a notice; it replaces one that is queued for the message. With `retry_ms` 0 it states no retry time."""
         notice: dict[str, Any] = {"message": message, "outcome": outcome}
         if retry_ms:
             notice["retry_in_ms"] = retry_ms
@@ -82,7 +84,7 @@
                 self._failures = 0
                 for message in batch:
                     del self._pending[message]
-                self._on_answered(batch)
+                self._on_accepted(batch)
             else:
                 self._failures += 1
                 if self._failures == 1:
--- a/wheelstep/courier/request.py
+++ b/wheelstep/courier/request.py
@@ -22,8 +22,8 @@
 
 @dataclass(slots=True)
 class Request:
-    """A complete request. `headers` maps each header's name in lower case to its first value; `repeated_headers` holds
-    the names that were given more than once."""
+    """A complete request. `headers` maps each header's name in lower case to its first value;
+    `repeated_headers` holds the names of those that were given more than once."""
 
     method: str = ""
     target: str = ""
@@ -59,7 +59,8 @@
         self._in_head = True
 
     def feed(self, data: bytes) -> list[Request]:
-        """Parse more input and return the requests that it completes. Once `refusal` is set, nothing more is read."""
+        """Parse more input and return the requests that it completes. Once `refusal` is set, nothing more is read; a
+        CONNECT request is returned and also refused."""
         self._complete = []
         while data and self.refusal is None:
             if self._body_bytes_left:
@@ -186,7 +187,8 @@
 
 def format_response(status: int, text: str = "", headers: Sequence[tuple[str, str]] = (), keep_alive: bool = True,
                     version: str = "1.1") -> bytes:
-    """Return the bytes of a response. `version` is that of the request."""
+    """Return the bytes of a response. `status` must be in `HTTPStatus`, headers must be Latin-1; `version` is that of
+    the request."""
     parts = [_STATUS_LINES[status], _date_header.line()]
     if not keep_alive:
         parts.append(b"Connection: close\r\n")
--- a/wheelstep/courier/wall_clock.py
+++ b/wheelstep/courier/wall_clock.py
@@ -16,7 +16,7 @@
 
 from wheelstep.journal import StoredMessage
 
-MARK = ":time"  # the journal's mark: the boot's id, and Unix time minus monotonic time, in milliseconds
+CLOCK_MARK = ":time"  # the journal's mark: the boot's id, and Unix time minus monotonic time, in milliseconds
 _BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 _STEPPED_MS = 50  # a larger difference from the wall clock is logged
 
@@ -30,7 +30,7 @@
         self._offset_s: float | None = None
 
     def now_s(self) -> float:
-        """Return the Unix time in seconds."""
+        """Return the Unix time in seconds, by the adopted offset once there is one."""
         return time.time() if self._offset_s is None else time.monotonic() + self._offset_s
 
     def now_ms(self) -> int:
@@ -40,17 +40,18 @@
     def adopt_offset(self, marks: Mapping[str, Any], store: Callable[[str, Any], None],
                      boot: str | None = None) -> None:
         """Use the offset of an earlier process on this boot, or store a new one. `marks` are the journal's, `store`
-        writes one; `boot` is the boot's id (default: that of the system)."""
+        writes one; `boot` is the boot's id (default: that of the system). Without one no stored offset
+        is used."""
         boot = boot_id() if boot is None else boot
         self._offset_s = time.time() - time.monotonic()
-        match marks.get(MARK):
+        match marks.get(CLOCK_MARK):
             case [str(known), int(offset_ms)] if known == boot and boot:
                 stepped_ms = int(self._offset_s * 1000) - offset_ms
                 if abs(stepped_ms) > _STEPPED_MS:
                     log.warning("the wall clock was set by %+d ms; deadlines go on by the monotonic one", stepped_ms)
                 self._offset_s = offset_ms / 1000
             case _:
-                store(MARK, [boot, int(self._offset_s * 1000)])
+                store(CLOCK_MARK, [boot, int(self._offset_s * 1000)])
 
 
 def boot_id() -> str:
@@ -76,7 +77,7 @@
 
 
 def time_is_up(message: StoredMessage, ahead_us: int) -> bool:
-    """Return whether it is too late for a delivery.
+    """Return whether at most `ahead_us` is left until the deadline, so that it is too late for a delivery.
 
     For the platform a 200 that an endpoint writes after the deadline is no delivery, and the courier can't tell when it
     was written. The client's deadline is `ahead_us` earlier than the courier's, for the transfer of its request and
