--- a/wheelstep/account/writer.py
+++ b/wheelstep/account/writer.py
@@ -1,4 +1,4 @@
-"""The daemon's side of the account: writes lines into the log as events happen. Nothing is kept and nothing waits."""
+"""The daemon's side of the account: writes one log line per event. Lines are written at once and not buffered here."""
 
 from __future__ import annotations
 
@@ -37,7 +37,11 @@
 
     def taken(self, message: str, cls: str, destination: int, key: str | None, left_ms: int, again: bool,
               restored: bool = False) -> None:
-        """A message was answered 202, or was found in the journal. `key` is set only if the message keeps an order."""
+        """A message was answered 202, or was found in the journal (`restored`).
+
+        `left_ms` is the time to its deadline, `again` whether the client had sent it before; `key` is set only if it
+        keeps an order.
+        """
         hashed = None if key is None else hashlib.blake2b(key.encode(), digest_size=6, key=self._salt).hexdigest()
         self._write_line("back" if restored else "take", message, cls, destination, hashed, left_ms, again)
 
@@ -51,12 +55,13 @@
 
     def ended(self, message: str, attempt: int, endpoint: str, outcome: str, spent_us: int, over: bool,
               limit: LimitReport | None) -> None:
-        """An attempt has an outcome. `over` is true if the message is delivered, now or before."""
+        """An attempt has an outcome. `over` is true if its message is delivered, now or before."""
         told = (None, None) if limit is None else (limit.left, limit.per_s)
         self._write_line("out", message, attempt, endpoint, outcome, spent_us // 1000, over, *told)
 
     def final(self, message: str, outcome: str, reason: str) -> None:
-        """A message has ended undelivered; `reason` is the value of an `EndReason`."""
+        """A message has ended undelivered; `reason` is the value of an `EndReason`. A delivered one has no such
+        line."""
         self._write_line("end", message, outcome, reason)
 
     def probed(self, endpoint: str, outcome: str) -> None:
@@ -66,7 +71,8 @@
     async def run(self, gauge: Gauge) -> None:
         """Write a gauge line every `GAUGE_S` seconds; never returns.
 
-        `gauge` returns slots out, connections open, handshakes since the start, and what holds up which destinations.
+        `gauge` returns calls in progress, open connections, handshakes since the start, and by destination why and how
+        many messages wait.
         """
         while True:
             await asyncio.sleep(GAUGE_S)
--- a/wheelstep/console/metrics.py
+++ b/wheelstep/console/metrics.py
@@ -11,8 +11,8 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counters since the process started. Those by class name are bounded by the classes that configurations have
-    named."""
+    """Counters since the process started. There is one per message class named in any configuration so far, so their
+    number stays small."""
 
     passed: Counter[str] = field(default_factory=Counter)  # messages delivered
     dropped: Counter[str] = field(default_factory=Counter)  # messages refused on receipt or handed back
@@ -22,7 +22,7 @@
     load_errors: int = 0  # configurations rejected at SIGHUP
 
     def ended(self, message_class: str, outcome: str) -> None:
-        """Count a message's end by the outcome that its notice states."""
+        """Count a message that ended undelivered: `handed_back` as dropped, any other outcome as bad_gateway."""
         (self.dropped if outcome == "handed_back" else self.bad_gateway)[message_class] += 1
 
 
@@ -36,7 +36,10 @@
 
 
 def render(counters: Counters, gauges: Gauges, classes: Iterable[str]) -> str:
-    """Return one line per metric; the given classes are listed even with a count of 0."""
+    """Return one line per metric; the given classes are listed even with a count of 0.
+
+    Counters are totals since the process started, not increments.
+    """
     lines = []
     for name in ("passed", "dropped", "bad_gateway"):
         counts: Counter[str] = getattr(counters, name)
--- a/wheelstep/journal/recovery.py
+++ b/wheelstep/journal/recovery.py
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """A range of bytes in a segment that cannot be read."""
+    """Bytes `start` to `stop` of a segment that cannot be read or are missing at its end; 0 to 0: the segment is
+    missing.
+
+    Also used for a torn record, which is not damage.
+    """
 
     file: str
     start: int
@@ -34,19 +38,22 @@
     segments: list[Segment] = field(default_factory=list)
     damage: list[Damage] = field(default_factory=list)
     torn: Damage | None = None  # an incomplete record at the end of the log, which loses nothing
-    stale: list[str] = field(default_factory=list)  # files no longer in use
+    stale: list[str] = field(default_factory=list)  # to delete: superseded, migrated or without a valid record
     doubted: set[str] = field(default_factory=set)  # messages that may have run, because damage may hide an attempt
-    bodies_lost: set[str] = field(default_factory=set)  # messages with only later records left
+    bodies_lost: set[str] = field(default_factory=set)  # messages whose first record is lost; ended as failed
     records: int = 0
     size: int = 0
     segments_by_number: dict[int, Segment] = field(default_factory=dict)
     fact_segments: dict[str, int] = field(default_factory=dict)
     old: State | None = None  # content of an old-format journal that is to be migrated
-    old_fingerprint: str = ""
+    old_fingerprint: str = ""  # of the old-format file, migrated already (`old` is None) or to be; empty: none
 
 
 def read(disk: Disk) -> RecoveryResult:
-    """Replay a folder. Raises `FormatError` for an unknown format or version, `OSError` from the disk."""
+    """Replay a folder. Raises `FormatError` for an unknown format or version, `OSError` from the disk.
+
+    Unreadable bytes are no error: see `damage`, `doubted` and `bodies_lost`.
+    """
     names = disk.names()
     numbers = sorted(number for name in names if (number := segment_number_of(name)) is not None)
     low = 0
@@ -174,7 +181,7 @@
     with only later records left, is ended as failed, since its client is still owed an end.
     """
     if not result.damage:
-        result.bodies_lost.clear()  # records left from before a copy forward, of messages that have finished since
+        result.bodies_lost.clear()  # their messages have finished; the first records went with their segments
         return
     for name in result.doubted:
         if (message := result.state.messages.get(name)) is not None:
--- a/wheelstep/renewal/files.py
+++ b/wheelstep/renewal/files.py
@@ -18,8 +18,8 @@
 def check(new: Mapping[str, Any], old: Mapping[str, Any]) -> None:
     """Raise `RenewalError` at the first reason why `new` cannot replace `old`; both are whole files.
 
-    Rejects files that were cut off or half filled in: every key of the old file must be in the new one with the same
-    kind of value.
+    Rejects files that were cut off or half filled in: every key of the old file's tables must be in the new one, as a
+    table, list or single value as before. The contents of `known` and of lists other than `services` are not compared.
     """
     for where, found in _missing(new, old, ""):
         raise RenewalError(f"{where}: {found}")
@@ -53,7 +53,7 @@
             yield path, "missing; expected a value"
         elif isinstance(value, Mapping):
             if path == "known":
-                continue  # the last known endpoint list, which may be outdated or absent
+                continue  # contents are not compared: an endpoint list may be outdated or empty
             if not isinstance(new[key], Mapping):
                 yield path, f"{new[key]!r:.60}; expected a table"
             else:
