--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -230,7 +230,7 @@
             await s.courier.kill()
             await s.courier.start()
             assert await s.courier.hand_in("m1") == 202
-            while not any("e0 out" in line for line in s.courier.log):
+            while not any("e0 unavailable" in line for line in s.courier.log):
                 await asyncio.sleep(0.01)
             await s.courier.kill()
             journal = Journal(tmp_path / "state", 3_000_000)
--- a/wheelstep/account/writer.py
+++ b/wheelstep/account/writer.py
@@ -1,4 +1,7 @@
-"""The daemon's side of the account: writes one log line per event. Lines are written at once and not buffered here."""
+"""The daemon's side of the account: writes one log line per event. Lines are written at once and not buffered here.
+
+`wheelstep.account.lines` lists the kinds of lines.
+"""
 
 from __future__ import annotations
 
@@ -37,42 +40,43 @@
 
     def taken(self, message: str, cls: str, destination: int, key: str | None, left_ms: int, again: bool,
               restored: bool = False) -> None:
-        """A message was answered 202, or was found in the journal (`restored`).
+        """Write a "take" line: a message was answered 202; `restored`: a "back" line, it was found in the journal.
 
-        `left_ms` is the time to its deadline, `again` whether the client had sent it before; `key` is set only if it
-        keeps an order.
+        `left_ms` is the time to its deadline, `again` whether it had been handed in or accepted before
+        (`resubmitted`); `key` is set only if it keeps an order.
         """
         hashed = None if key is None else hashlib.blake2b(key.encode(), digest_size=6, key=self._salt).hexdigest()
         self._write_line("back" if restored else "take", message, cls, destination, hashed, left_ms, again)
 
     def turned_away(self, message: str, cls: str, status: int) -> None:
-        """A message was refused with this HTTP status."""
+        """Write a "door" line: a message was refused on receipt with this HTTP status."""
         self._write_line("door", message, cls, status)
 
     def starting(self, message: str, attempt: int, endpoint: str) -> None:
-        """An attempt's first byte is about to be written."""
+        """Write a "go" line: an attempt's first byte is about to be written."""
         self._write_line("go", message, attempt, endpoint)
 
     def ended(self, message: str, attempt: int, endpoint: str, outcome: str, spent_us: int, over: bool,
               limit: LimitReport | None) -> None:
-        """An attempt has an outcome. `over` is true if its message is delivered, now or before."""
+        """Write an "out" line: an attempt has an outcome. `over` is true if it delivered its message, or the endpoint
+        answered that the message is over already."""
         told = (None, None) if limit is None else (limit.left, limit.per_s)
         self._write_line("out", message, attempt, endpoint, outcome, spent_us // 1000, over, *told)
 
-    def final(self, message: str, outcome: str, reason: str) -> None:
-        """A message has ended undelivered; `reason` is the value of an `EndReason`. A delivered one has no such
-        line."""
+    def ended_undelivered(self, message: str, outcome: str, reason: str) -> None:
+        """Write an "end" line: a message has ended undelivered; `reason` is the value of an `EndReason`. A delivered
+        one has no such line."""
         self._write_line("end", message, outcome, reason)
 
     def probed(self, endpoint: str, outcome: str) -> None:
-        """A probe has an outcome."""
+        """Write a "probe" line: a probe has an outcome."""
         self._write_line("probe", endpoint, outcome)
 
     async def run(self, gauge: Gauge) -> None:
-        """Write a gauge line every `GAUGE_S` seconds; never returns.
+        """Write a "gauge" line every `GAUGE_S` seconds; never returns.
 
         `gauge` returns calls in progress, open connections, handshakes since the start, and by destination why and how
-        many messages wait.
+        many messages wait. The line also has `lists`.
         """
         while True:
             await asyncio.sleep(GAUGE_S)
--- a/wheelstep/console/metrics.py
+++ b/wheelstep/console/metrics.py
@@ -11,8 +11,8 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counters since the process started. There is one per message class named in any configuration so far, so their
-    number stays small."""
+    """Counters since the process started. Those by class have one entry per message class named in any configuration
+    so far, so their number stays small."""
 
     passed: Counter[str] = field(default_factory=Counter)  # messages delivered
     dropped: Counter[str] = field(default_factory=Counter)  # messages refused on receipt or handed back
@@ -38,7 +38,7 @@
 def render(counters: Counters, gauges: Gauges, classes: Iterable[str]) -> str:
     """Return one line per metric; the given classes are listed even with a count of 0.
 
-    Counters are totals since the process started, not increments.
+    Counters are totals since the process started, not increments, which StatsD takes `|c` for.
     """
     lines = []
     for name in ("passed", "dropped", "bad_gateway"):
--- a/wheelstep/courier/carrier.py
+++ b/wheelstep/courier/carrier.py
@@ -237,7 +237,7 @@
         if self.counters is not None:
             self.counters.ended(message.message_class, outcome)
         if self.account is not None:
-            self.account.final(message.id, outcome, reason.value)
+            self.account.ended_undelivered(message.id, outcome, reason.value)
         self._notify_end(message)
 
     def _notify_end(self, message: StoredMessage) -> None:
--- a/wheelstep/journal/recovery.py
+++ b/wheelstep/journal/recovery.py
@@ -38,7 +38,9 @@
     segments: list[Segment] = field(default_factory=list)
     damage: list[Damage] = field(default_factory=list)
     torn: Damage | None = None  # an incomplete record at the end of the log, which loses nothing
-    stale: list[str] = field(default_factory=list)  # to delete: superseded, migrated or without a valid record
+    # To delete: segments no longer in use, last segments without a valid record (in neither `damage` nor `torn`),
+    # unfinished rewrites, and an old-format file that was migrated already.
+    stale: list[str] = field(default_factory=list)
     doubted: set[str] = field(default_factory=set)  # messages that may have run, because damage may hide an attempt
     bodies_lost: set[str] = field(default_factory=set)  # messages whose first record is lost; ended as failed
     records: int = 0
--- a/wheelstep/policy/balancing.py
+++ b/wheelstep/policy/balancing.py
@@ -14,12 +14,15 @@
 from wheelstep.policy.messages import Destination
 
 PRIOR_CALLS = 1.0  # calls of the destination's mean time that are added, since few samples tell little
-TIME_EXPONENT = 2  # one that takes twice the time gets a quarter of the turns, under half of its part
+# An endpoint that takes twice the mean time gets a quarter of the turns of a mean one, under half of an equal
+# share.
+TIME_EXPONENT = 2
 
 
 def relative_times(destination: Destination, now_us: int) -> dict[Endpoint, float]:
-    """Return the time of a call at each endpoint over the mean of all. Calls in progress count with the time
-    that they have taken so far: the estimate for exponential times of which some are censored."""
+    """Return the time of a call at each endpoint over the mean of all, drawn towards 1 by PRIOR_CALLS; 1.0
+    for all while fewer than PRIOR_CALLS were answered recently. Calls in progress count with the time that
+    they have taken so far: the estimate for exponential times of which some are censored."""
     seen = {e: (e.recent_answers.read(now_us), e.recent_time_us.read(now_us)) for e in destination.endpoints}
     answers = sum(own for own, _ in seen.values())
     if answers < PRIOR_CALLS:
@@ -32,9 +35,10 @@
 
 def next_in_turn(destination: Destination, candidates: list[Endpoint], now_us: int,
                  rng: random.Random) -> Endpoint:
-    """Return the one of `candidates` whose turn it is, and take its turn. One that is new, or was not
-    available for longer than a turn, joins at a random point. Keeps couriers from all going to the same one
-    at once; costs time where one endpoint is always the quickest and could carry all."""
+    """Return the one of `candidates` whose turn it is, and take its turn. A single candidate is returned
+    without taking a turn. One that is new, or was not available for longer than a turn, joins at a random
+    point. Keeps couriers from all going to the same one at once. Calls take longer than they need to where
+    one endpoint is always the quickest and could carry all."""
     if len(candidates) == 1:
         return candidates[0]
     times = relative_times(destination, now_us)
--- a/wheelstep/policy/common.py
+++ b/wheelstep/policy/common.py
@@ -20,7 +20,7 @@
     """A sum that decays exponentially, by a factor of e over `time_constant_us`."""
 
     time_constant_us: float
-    value: float = 0.0
+    value: float = 0.0  # the sum at `updated_us`; `read` gives the current one
     updated_us: int = 0
 
     def read(self, now_us: int) -> float:
--- a/wheelstep/policy/dispatch.py
+++ b/wheelstep/policy/dispatch.py
@@ -20,7 +20,11 @@
 
 
 class Dispatch(Ranking, Outcomes):
-    """Gives slots to the most urgent messages, and chooses an endpoint for each."""
+    """Gives slots to the destinations with the highest gain rates, and chooses an endpoint for each message.
+
+    A message's gain is the worth that sending it now saves over sending it later by the longest promise of a
+    class. A destination's gain rate is the highest gain of its heads over the time that a call takes.
+    """
 
     def wait_reasons(self, now_us: int) -> list[tuple[int, api.WaitReason, int]]:
         """For operators: each destination with waiting messages, why they wait, and how many they are."""
@@ -43,8 +47,8 @@
                 or any(e.sick for e in destination.endpoints))
 
     def _dispatch(self) -> None:
-        """Send while slots are free, the most urgent message of any ready destination first. A destination
-        that can't send is left out until something happens to it, so that a batch costs what its events do.
+        """Send while slots are free, from the ready destination with the highest gain rate first. One that
+        can't send is left out until something happens to it, so that a batch costs what its events do.
         The same holds for those that merely wait: each has a bound on its gain rate for a while, and is
         ranked again only where that exceeds the best ranked one (to `NEAR`, the result is that of ranking
         all)."""
@@ -80,7 +84,7 @@
             return False
         if too_late := [m for m in heads if self._now + destination.expected_us() > m.due_us]:
             # Ends a backlog as old as its deadline: sent in order, every message would come too late, and the
-            # ones behind it as well. Its cost: one that would have been answered unusually soon.
+            # ones behind it as well. May end a message that an unusually quick answer would have delivered.
             for message in too_late:
                 self._end(message, EndReason.TOO_LATE)
             return True
@@ -103,17 +107,18 @@
         return False
 
     def _cost(self, endpoint: Endpoint) -> tuple[float, bool]:
-        """Return the sort key of an endpoint: fees first (of its route, of another zone), then trials that
-        are due before other calls."""
+        """Return the sort key of an endpoint: fees first (of its route, of another zone); among equal fees,
+        an endpoint that is due for a trial comes before the others."""
         zone = endpoint.info.zone
         fee = sum(self._settings.zone_fees[zone:zone + 1]) if self._kind(endpoint.info).routes_apart else 0.0
         fee += self._settings.cross_zone_price if zone != self._settings.zone else 0.0
         return fee, not endpoint.sick
 
     def _may_send_to(self, message: Message, endpoint: Endpoint) -> bool:
-        """Return whether a message may go to an endpoint. One that may be sent only once goes neither as a
-        trial nor where calls fail, until its promise is past: protects it from any failing endpoint, but
-        delays the recovery of one to which nothing else is sent."""
+        """Return whether a message may go to an endpoint. One that may be sent only once never goes to
+        an endpoint whose failure share is above RISKY_FAILURE_SHARE but that is not sick. To a sick one, as a
+        trial, it goes only after its promised time, and never if the settings allow probes. Protects it from
+        any failing endpoint, but delays the recovery of one to which nothing else is sent."""
         moved = message.ran_us is not None and endpoint.info.zone != message.ran_zone
         if not self._may_resend(message, self._now) or message.cls.zone_keys and moved:
             return False
--- a/wheelstep/policy/pacer.py
+++ b/wheelstep/policy/pacer.py
@@ -7,14 +7,17 @@
 
 from wheelstep.policy.common import RATE_WINDOW_US, SMALL_FLEET, DecayingSum
 
-DECREASE_FACTOR, INCREASE_PER_S = 0.55, 0.2  # factor at a refusal; growth a second, in start rates
-SUSTAINABLE_SHARE = 0.85  # of its even part of a limit: a rate that all senders together can keep up
-MIN_SHARE = 0.4  # of its even part: where the limit is known, no refusal takes a sender below this
+# The even part of a limit is the limit divided by the number of senders.
+# Factor at a refusal; growth per second, in start rates, when every call at the current rate is delivered.
+DECREASE_FACTOR, INCREASE_PER_S = 0.55, 0.2
+SUSTAINABLE_SHARE = 0.85  # share of the even part: a rate that all senders together can keep up
+MIN_SHARE = 0.4  # lowest rate after a refusal where limits are reported, as a share of the even part
 RECOVERY_PER_S = 0.4  # growth up to SUSTAINABLE_SHARE, in even parts a second
 TARGET_LEFT, GROWTH_PER_S = 0.6, 0.7  # unused share for rates above SUSTAINABLE_SHARE; exponent a second
 MAX_LIMIT_PER_S = 1e9  # calls a second; a higher limit is taken for a mistake and ignored
 EXHAUSTED_LEFT = 0.1  # a lower reported share (reports are noisy) means that all calls are refused
-COUNTED_COOLDOWNS = 6  # time constant of the count of sent calls, in cooldowns
+# Time constant of the count of sent calls, and mean longest pause at an exhausted limit, in cooldowns.
+COUNTED_COOLDOWNS = 6
 MIN_TOTAL_PER_S = 6.0  # calls a second of all senders together to a destination of which nothing is known
 MIN_START_PER_S = 1.0  # lowest start rate, in calls a second; higher where the even part of the limit is
 
@@ -27,6 +30,7 @@
 
     def __init__(self, senders: int, cooldown_us: int, rng: random.Random) -> None:
         self.rate = self._limit = math.inf
+        # `wait_until_us`: no call starts before, whatever is delivered; set from the wait an answer asks for.
         self.wait_until_us, self._senders, self._cooldown_us, self.endpoints = 0, senders, cooldown_us, 0
         self.even_rate = MIN_TOTAL_PER_S / senders  # this sender's even part of the limit, in calls a second
         self._start_rate, self._mean_left, self.last_cut_us, self._rng = MIN_START_PER_S, 0.5, 0, rng
@@ -46,9 +50,9 @@
 
     def apply_report(self, now_us: int, per_s: float, left: float) -> None:
         """Apply a reported limit over all senders and its unused share, which all senders see alike: start
-        well within an even part, and follow a change at once. Values out of range are ignored. The share is
-        averaged over about a second: where a limit counts calls per interval, a single report shows the phase
-        of the interval more than its use."""
+        well within an even part, and follow a change at once. A report with either value out of range is
+        ignored as a whole. The share is averaged over about a second: where a limit counts calls per
+        interval, a single report shows the phase of the interval more than its use."""
         if not (0 < per_s < MAX_LIMIT_PER_S and 0 <= left <= 1):
             return
         previous_limit, self._limit, self.even_rate = self._limit, per_s, per_s / self._senders
@@ -66,9 +70,9 @@
         return max(self.wait_until_us, self._next_us)
 
     def record_call(self, now_us: int) -> None:
-        """Record a call that starts now. After a pause one extra call may follow at once; not before anything
-        is known of a limit, since many senders that start together, each with a few calls, would exhaust
-        it."""
+        """Record a call that starts now. After a pause, the calls of one cooldown at the current rate may
+        start without gaps, and at least one extra call where limits are reported; not before anything is
+        known of a limit, since many senders that start together, each with a few calls, would exhaust it."""
         self._sent.add(now_us)
         if self.rate < math.inf:
             gap_us = 1e6 / self.rate
@@ -82,11 +86,11 @@
         return self._cooldown_us * self._rng.uniform(0.5, 1.5)
 
     def refused(self, now_us: int, cold_share: float) -> None:
-        """Reduce the rate, at most once in a cooldown. Where refused calls count against the limit too, all
-        senders together must come well under it before any call gets through, so each slows down a lot and
-        soon recovers. Where nothing is left, each pauses for a gap of its new rate: otherwise all return
-        within a cooldown and keep the limit exhausted for seconds. The pause harms a sender that uses little
-        of it."""
+        """Reduce the rate, at most once in a cooldown; it stays at least `cold_share` of the recent delivery
+        rate. Where refused calls count against the limit too, all senders together must come well under it
+        before any call gets through, so each slows down a lot and soon recovers. Where nothing is left, each
+        pauses for a gap of its new rate: otherwise all return within a cooldown and keep the limit exhausted
+        for seconds. The pause slows down even a sender that uses little of the limit."""
         if now_us - self.last_cut_us < self._cooldown_us:
             return
         self.last_cut_us = self._last_growth_us = now_us
@@ -109,11 +113,12 @@
             self._start_rate, self.rate = max(rate, MIN_START_PER_S), min(rate, self.rate)
 
     def hold_until(self, until_us: float) -> None:
-        """Start no call before `until_us`, unless one is delivered first."""
+        """Start no call before `until_us`; a delivery shortens this hold, but not `wait_until_us`."""
         self._next_us = max(self._next_us, until_us)
 
     def record_delivery(self, now_us: int) -> None:
-        """Record a delivery: raise the rate, and shorten a longer pause to one gap of it."""
+        """Raise the rate after a delivery, and shorten a longer pause to one gap of it. The caller counts the
+        delivery in `delivered`."""
         if not self.limit_reported:
             step = min(self._start_rate / self.rate, self.rate / (1.01 - self._mean_left))
             self.rate = min(self._limit, self.rate + 2 * INCREASE_PER_S * self._mean_left * step)
--- a/wheelstep/policy/sender_state.py
+++ b/wheelstep/policy/sender_state.py
@@ -203,7 +203,7 @@
         return now_worth - message.worth_at(at_us + self._horizon_us, self._settings.decay) + now_worth / 100
 
     def _heads(self, destination: Destination) -> list[Message]:
-        """Return the first message of each queue and stage, the most urgent first."""
+        """Return the first message of each queue and stage, the one with the highest gain first."""
         tau_us = destination.retry_controller.tau_us
         heads = [m for queue in destination.queues.values() for m in queue.heads(self._now + tau_us)]
         return sorted(heads, key=lambda m: -self._gain(m, tau_us))
