--- a/benchmarks/measure/destinations.py
+++ b/benchmarks/measure/destinations.py
@@ -17,7 +17,7 @@
 from wheelstep import Sender, Settings
 from wheelstep import interface as api
 from wheelstep.courier.config import Names
-from wheelstep.courier.listing import Listing, entries
+from wheelstep.courier.listing import ListParser, entries
 
 S = 1_000_000
 CLASSES = (api.MessageClass(2 * S, 60 * S, api.Effect.KEYED, 1.0, 0.5, 15 * S),)
@@ -37,7 +37,7 @@
 
 def read_list(path: Path) -> tuple[int, float]:
     """Entries read, and seconds of processor time for it."""
-    listing, began, found = Listing(), time.process_time(), 0
+    listing, began, found = ListParser(), time.process_time(), 0
     with path.open("rb") as file:
         while data := file.read(READ):
             for whole in listing.feed(data):
--- a/tests/crossings_endpoints.py
+++ b/tests/crossings_endpoints.py
@@ -21,7 +21,7 @@
                           "resets idle")
 
 
-class Link(wire.Server):
+class EndpointConnection(wire.Server):
     """One connection to an endpoint."""
 
     def __init__(self, play: Play, endpoint: str) -> None:
@@ -86,7 +86,7 @@
             call.closed_at = call.closed_at or time.monotonic()
 
 
-class Desk(Platform):
+class RecordingPlatform(Platform):
     """A platform that records every notification."""
 
     def __init__(self, seen: Seen) -> None:
--- a/tests/crossings_world.py
+++ b/tests/crossings_world.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from crossings_clients import Clients, ClientSocket
-from crossings_endpoints import Desk, Link
+from crossings_endpoints import EndpointConnection, RecordingPlatform
 from crossings_judge import HandIn, Seen
 from crossings_plan import ENDPOINTS, Step, plan
 from loopback import SETTINGS, Courier, host
@@ -42,12 +42,12 @@
     def __init__(self, seed: int, folder: Path, *program: str, ends_s: float = ENDS_S) -> None:
         self._ends_s = ends_s
         self.seed, self.seen, self.tries = seed, Seen(), Counter[str]()
-        self._platform = Desk(self.seen)
+        self._platform = RecordingPlatform(self.seen)
         self._courier = Courier(folder, self._platform, GIVEN, console=True)
         self._before: list[Courier] = []  # processes that have handed over
         self._dismissals: list[asyncio.Task[None]] = []
         self._courier.program = program or Courier.program
-        self._ports = {name: wire.Port(lambda name=name: Link(self, name)) for name in ENDPOINTS}  # type: ignore[misc]
+        self._ports = {name: wire.Port(lambda name=name: EndpointConnection(self, name)) for name in ENDPOINTS}  # type: ignore[misc]
         self._tasks: set[asyncio.Task[None]] = set()
         self._life: asyncio.Task[None] | None = None
         self._up = True  # its handlers of signals are set
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -25,8 +25,8 @@
     return load({"RELAY_CONFIG": str(folder / "config.json"), "RELAY_STATE": str(folder / "state")})
 
 
-class FakePolicy(list[api.Event]):
-    """Stands in for the policy module: records events and returns the actions that a test sets."""
+class FakeDecisionModule(list[api.Event]):
+    """Stands in for the decision module: records events and returns the actions that a test sets."""
 
     def __init__(self) -> None:
         self.actions: list[api.Action] = []
@@ -44,16 +44,16 @@
     because no outcome is reported."""
     async def scenario() -> None:
         config = configured(tmp_path)
-        core, policy = Core(config, Journal(config.state, config.disk_bytes)), FakePolicy()
-        core.turns.sender = policy  # type: ignore[assignment]
-        policy.actions = [api.SetTimer(0, 50_000), api.SetTimer(0, 1000), api.StartAttempt("unknown", "e0", 5)]
+        core, module = Core(config, Journal(config.state, config.disk_bytes)), FakeDecisionModule()
+        core.decision_loop.sender = module  # type: ignore[assignment]
+        module.actions = [api.SetTimer(0, 50_000), api.SetTimer(0, 1000), api.StartAttempt("unknown", "e0", 5)]
         core.probed("e0", Result(Outcome.OK))
         done = asyncio.get_running_loop().time() + 0.2
         async with asyncio.timeout(LIMIT_S):
             while asyncio.get_running_loop().time() < done:
                 await asyncio.sleep(0.01)
-        assert [event for event in policy if isinstance(event, api.TimerFired)] == [api.TimerFired(0)]
-        (ended,) = (event for event in policy if isinstance(event, api.AttemptEnded))
+        assert [event for event in module if isinstance(event, api.TimerFired)] == [api.TimerFired(0)]
+        (ended,) = (event for event in module if isinstance(event, api.AttemptEnded))
         assert (ended.message, ended.outcome) == ("unknown", Outcome.NOT_SENT)
     run(scenario())
 
@@ -66,7 +66,7 @@
         for number in range(50):
             row = host(f"e{number}", "127.0.0.1:1", block=number)
             core.listed(api.ListKind.CHANGES, entries({"hosts": [row]}, config.names))
-            core.told_to_wait(f"e{number}", 1)
+            core.apply_wait(f"e{number}", 1)
             await asyncio.sleep(0.001)
         assert len(core.endpoints.wait_until) < 50
     run(scenario())
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -6,7 +6,7 @@
 
 import pytest
 from loopback import run
-from test_outlet import RawServer, item
+from test_endpoint_client import RawServer, item
 
 from wheelstep.courier.answer import MAX_BODY, MAX_HEAD, AnswerReader, MalformedError
 from wheelstep.interface import Outcome
--- a/tests/test_crossings_calls.py
+++ b/tests/test_crossings_calls.py
@@ -12,10 +12,10 @@
 
 import pytest
 from loopback import LIMIT_S, run
-from test_outlet import FakeOwner, item
+from test_endpoint_client import FakeOwner, item
 
 from wheelstep.courier.config import Address
-from wheelstep.courier.outlet import EndpointClient
+from wheelstep.courier.endpoint_client import EndpointClient
 from wheelstep.interface import Outcome
 
 S = 1_000_000
--- a/tests/test_crossings_connections.py
+++ b/tests/test_crossings_connections.py
@@ -14,7 +14,7 @@
 import pytest
 from loopback import LIMIT_S, run
 from test_crossings_calls import REPLY, ManualPeer, loop_turns
-from test_outlet import item
+from test_endpoint_client import item
 
 from wheelstep.courier.connection import Connection
 from wheelstep.courier.pool import Host
--- a/tests/test_crossings_listing.py
+++ b/tests/test_crossings_listing.py
@@ -12,8 +12,8 @@
 
 from wheelstep import Settings
 from wheelstep.courier.hedge import Hedge
-from wheelstep.courier.listing import Listing
-from wheelstep.courier.spread import ANSWER_S, HEARTBEAT_S, MOVE_LIMIT_S, NEWS_LIMIT_S, SILENCE_S, longest_s, wait_s
+from wheelstep.courier.listing import ListParser
+from wheelstep.courier.spread import ANSWER_S, HEARTBEAT_S, MOVE_LIMIT_S, NEWS_LIMIT_S, SILENCE_S, max_retry_s, wait_s
 
 
 @pytest.mark.parametrize("indent", [None, 1])
@@ -24,17 +24,17 @@
     texts = [json.dumps(one, indent=indent).encode().replace(b"\n", end) for one in lists]
     text = end + texts[0] + end + end + texts[1] + texts[2] + end
     for step in (1, len(text), *range(1, len(text), 7)):
-        listing = Listing()
+        listing = ListParser()
         found = [one for at in range(0, len(text), step) for one in listing.feed(text[at:at + step])]
         assert [one for one in found if one] == lists and found.count(None) >= 3
-        listing, cut = Listing(), step
+        listing, cut = ListParser(), step
         assert [one for part in (text[:cut], text[cut:]) for one in listing.feed(part) if one] == lists
 
 
 def test_oversized_list_is_skipped_with_one_log_line_and_junk_is_rejected(caplog: pytest.LogCaptureFixture) -> None:
     """Guards against a list that fills memory or the log, and against invalid data that is waited on instead of
     rejected."""
-    listing = Listing(max_bytes=1000)
+    listing = ListParser(max_bytes=1000)
     long = json.dumps({"seq": 1, "hosts": ["x" * 50] * 1000}).encode()
     found = []
     for at in range(0, len(long), 100):
@@ -45,8 +45,8 @@
         "discovery: passed over a list of more than 1000 bytes, 1 on this watch") == 1
     for junk in (b"no json\n", b"[1]\n", b"}\n", b'{"a" 1}', b'{"n":' + b"9" * 5000 + b"}"):
         with pytest.raises(ValueError):
-            list(Listing().feed(junk))
-    assert list(Listing().feed(b'{"seq":3}\n{"seq":4,"ho')) == [{"seq": 3}, None]
+            list(ListParser().feed(junk))
+    assert list(ListParser().feed(b'{"seq":3}\n{"seq":4,"ho')) == [{"seq": 3}, None]
 
 
 def test_200_watches_silent_at_once_spread_their_calls_in_time_and_back_off() -> None:
@@ -70,7 +70,7 @@
             hedge.ended(number, at + 0.1)
             assert hedge.next_open_s - at >= 19.9
     asking = Settings(classes=(SAFE,), slots=4, senders=200, ask_for_list=True, ask_within_us=10_000_000)
-    assert max(wait_s(200, 9, random.Random(seed), most_s=longest_s(asking)) for seed in range(99)) <= 40.0
+    assert max(wait_s(200, 9, random.Random(seed), max_s=max_retry_s(asking)) for seed in range(99)) <= 40.0
     lost = Hedge(200, random.Random(1), 0.0)
     lost.received(number := lost.open_next(0.0)[0], 50.0)
     lost.ended(number, 50.0)
--- a/tests/test_crossings_window.py
+++ b/tests/test_crossings_window.py
@@ -17,9 +17,9 @@
 import pytest
 from helpers import KEYED, MS, SAFE, UNSAFE, S, SenderDriver, final_answers, sent_messages
 from loopback import LIMIT_S, host, run
-from test_core import FakePolicy, configured
+from test_core import FakeDecisionModule, configured
 from test_crossings_calls import ManualPeer, loop_turns
-from test_outlet import item
+from test_endpoint_client import item
 
 from wheelstep import interface as api
 from wheelstep.courier.call import Item
@@ -178,22 +178,22 @@
     """Guards against a call that is sent too late because the event loop was blocked between the decision and the
     call's first step: nothing is journalled or written then."""
     async def work() -> None:
-        config, peer, policy = configured(tmp_path), ManualPeer(), FakePolicy()
+        config, peer, module = configured(tmp_path), ManualPeer(), FakeDecisionModule()
         core = Core(config, Journal(config.state, config.disk_bytes))
-        core.turns.sender = policy  # type: ignore[assignment]
+        core.decision_loop.sender = module  # type: ignore[assignment]
         row = host("e0", f"127.0.0.1:{peer.listener.getsockname()[1]}")
         core.listed(api.ListKind.CHANGES, entries({"hosts": [row]}, config.names))
         for name, latest_us in (("late", 50 * MS), ("unbound", 0)):
             core.take(StoredMessage(name, "ordered", 7, int(time.time() * 1000) + 9000, body=b"x"))
             core.begin(name)
-            policy.actions = [api.StartAttempt(name, "e0", 10 * S, latest_us)]
-            core.turns._run_turn()
+            module.actions = [api.StartAttempt(name, "e0", 10 * S, latest_us)]
+            core.decision_loop._run_turn()
             time.sleep(0.06)
         await peer.accept()
         await peer.accept()
         assert b"X-Request-Id: unbound" in await peer.read_until()
         async with asyncio.timeout(LIMIT_S):
-            while not (ended := [event for event in policy if isinstance(event, api.AttemptEnded)]):
+            while not (ended := [event for event in module if isinstance(event, api.AttemptEnded)]):
                 await asyncio.sleep(0.01)
         assert [(event.message, event.outcome) for event in ended] == [("late", Outcome.NOT_SENT)]
         assert [core._journal.messages[name].attempts for name in ("late", "unbound")] == [0, 1]
--- a/tests/test_outlet.py
+++ b/tests/test_endpoint_client.py
@@ -11,7 +11,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.call import Item, Result
 from wheelstep.courier.config import Address
-from wheelstep.courier.outlet import EndpointClient
+from wheelstep.courier.endpoint_client import EndpointClient
 from wheelstep.interface import Outcome
 
 S = 1_000_000
@@ -49,7 +49,7 @@
     def attempts_starting(self, endpoint: str, items: Sequence[Item]) -> None:
         self.started += [item.message for item in items]
 
-    def told_to_wait(self, endpoint: str, wait_us: int) -> None:
+    def apply_wait(self, endpoint: str, wait_us: int) -> None:
         self.waits.append(wait_us)
 
     def ended(self, endpoint: str, results: Sequence[tuple[Item, Result]]) -> None:
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -129,7 +129,7 @@
 
 def test_send_guard_stops_and_counts_attempts_that_break_an_invariant(
         order: KeyOrder, caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against wrong decisions of the policy module: an attempt out of order or a forbidden repeat must not
+    """Guards against wrong decisions of the decision module: an attempt out of order or a forbidden repeat must not
     be sent, and the log must show the events before it."""
     recorder = FlightRecorder()
     recorder.note(0.5, EventKind.ACCEPTED, "first", "k")
@@ -155,8 +155,8 @@
     assert caplog.text.count("invariant violated") == MAX_LOGGED
 
 
-def test_policy_waits_for_the_settle_periods_of_the_previous_process() -> None:
-    """Guards against a policy module that starts a message which the send guard would stop, as its key still
+def test_decision_module_waits_for_the_settle_periods_of_the_previous_process() -> None:
+    """Guards against a decision module that starts a message which the send guard would stop, as its key still
     settles from the previous process."""
     drive = SenderDriver(order_settle_us=300 * MS)
     drive.at(0, api.KeysSettling((("k", 200 * MS),)))
@@ -165,8 +165,8 @@
     assert sent_messages(drive.tick(201 * MS, MS)) == ["a"]
 
 
-def test_policy_lets_all_keys_settle_after_a_restart_except_for_what_was_tried() -> None:
-    """Guards against a policy module that starts messages which the send guard would stop after a restart, or that
+def test_decision_module_lets_all_keys_settle_after_a_restart_except_for_what_was_tried() -> None:
+    """Guards against a decision module that starts messages which the send guard would stop after a restart, or that
     delays tried or unordered messages needlessly."""
     drive = SenderDriver(order_settle_us=300 * MS)
     tried = api.MessageAccepted("tried", 3, 7, 20 * S, "o")
@@ -180,7 +180,7 @@
     assert set(sent_messages(drive.tick(102 * MS, MS))) == {"untried", "new"}
 
 
-def test_policy_forgets_a_key_that_only_settles() -> None:
+def test_decision_module_forgets_a_key_that_only_settles() -> None:
     """Guards against a queue that is kept for a key without messages."""
     drive = SenderDriver(order_settle_us=300 * MS)
     drive.at(0, api.KeysSettling((("k", 200 * MS),)))
--- a/tests/test_shard_control.py
+++ b/tests/test_shard_control.py
@@ -15,7 +15,7 @@
 from loopback import LIMIT_S, ROOT, run, started
 
 from wheelstep.courier.config import ROW_ERRORS, Address, Names
-from wheelstep.courier.listing import Listing
+from wheelstep.courier.listing import ListParser
 from wheelstep.rehearsal.history import Figures, History
 from wheelstep.rehearsal.standins.platform import Agent, row
 from wheelstep.shards.control import LIST_BYTES, MOST_WAITING, ControlMachine
@@ -83,7 +83,7 @@
             for n in range(140_000)]
     text = json.dumps({"seq": 3, "whole": True, "hosts": rows}, indent=4).encode()
     begun_s = time.process_time()
-    small, large = Listing(), Listing(LIST_BYTES, read_list)
+    small, large = ListParser(), ListParser(LIST_BYTES, read_list)
     found: list[dict[str, Any]] = []
     for at in range(0, len(text), 1 << 20):
         assert not any(small.feed(text[at:at + (1 << 20)]))
@@ -134,12 +134,12 @@
 async def _too_many_changes() -> None:
     control = machine()
     for seq in range(1, MOST_WAITING + 1):
-        control.watch._take({"seq": seq, "whole": False, "hosts": []})
+        control.watch._apply_list({"seq": seq, "whole": False, "hosts": []})
     assert control.watch.seq == MOST_WAITING == len(control._waiting)
-    control.watch._take({"seq": MOST_WAITING + 1, "whole": False, "hosts": []})
+    control.watch._apply_list({"seq": MOST_WAITING + 1, "whole": False, "hosts": []})
     assert control.watch.seq == 0 and not control._waiting, "the whole list has to be asked for"
-    control.watch._take({"seq": 1, "whole": False, "hosts": []})
-    control.watch._take({"seq": 2, "whole": True, "hosts": []})
+    control.watch._apply_list({"seq": 1, "whole": False, "hosts": []})
+    control.watch._apply_list({"seq": 2, "whole": True, "hosts": []})
     assert len(control._waiting) == 1, "a whole list makes what waits old"
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,7 +14,7 @@
 from wheelstep import interface as api
 from wheelstep.courier import hedge
 from wheelstep.courier.config import Address, Names
-from wheelstep.courier.spread import AGAIN_S, CALL_S, FIRST_MOST_S, STEPS, callers, wait_s
+from wheelstep.courier.spread import MAX_DOUBLINGS, MAX_FIRST_WAIT_S, RETRY_S, SPACING_S, calling_couriers, wait_s
 from wheelstep.courier.watch import Watch
 
 FLEET = 40
@@ -23,7 +23,7 @@
 def test_first_calls_of_forty_couriers_that_start_together_are_spread_over_seconds() -> None:
     for seed in range(20):
         first = [wait_s(FLEET, 0, random.Random(f"{seed} {courier}")) for courier in range(FLEET)]
-        assert max(first) <= FIRST_MOST_S
+        assert max(first) <= MAX_FIRST_WAIT_S
         for second in range(5):
             assert sum(second <= at < second + 1 for at in first) <= FLEET * 0.55
 
@@ -36,15 +36,15 @@
             while at_s < span_s:
                 calls, failures = calls + 1, failures + 1
                 at_s += wait_s(FLEET, failures, rng)
-        assert calls < 0.1 * FLEET * span_s / AGAIN_S
+        assert calls < 0.1 * FLEET * span_s / RETRY_S
         assert calls > FLEET  # and continues to ask
 
 
 def test_a_single_courier_calls_at_once_and_again_within_a_second() -> None:
     rng = random.Random(1)
     assert wait_s(1, 0, rng) == wait_s(0, 0, rng) == 0.0
-    assert all(AGAIN_S <= wait_s(1, failures, rng) <= AGAIN_S * 2 ** STEPS for failures in range(1, 100))
-    assert max(wait_s(3, 0, rng) for _ in range(100)) <= 2 * CALL_S
+    assert all(RETRY_S <= wait_s(1, failures, rng) <= RETRY_S * 2 ** MAX_DOUBLINGS for failures in range(1, 100))
+    assert max(wait_s(3, 0, rng) for _ in range(100)) <= 2 * SPACING_S
 
 
 def test_a_watch_that_is_refused_waits_longer_each_time() -> None:
@@ -61,7 +61,7 @@
         await discovery.wait(4)
         running.cancel()
         gaps = [after - before for before, after in zip(calls, calls[1:], strict=False)]
-        assert gaps[1] >= AGAIN_S and gaps[2] >= 1.9 * AGAIN_S
+        assert gaps[1] >= RETRY_S and gaps[2] >= 1.9 * RETRY_S
     run(scene())
 
 
@@ -69,11 +69,11 @@
     """An agent that sends changes by itself counts a change as known at once, so a watch must not begin late."""
     classes = (api.MessageClass(2_000_000, 20_000_000, api.Effect.SAFE),)
     asking, told = (Settings(classes=classes, slots=4, senders=200, ask_for_list=asks) for asks in (True, False))
-    assert callers(asking) == 200 and callers(told) == 1
+    assert calling_couriers(asking) == 200 and calling_couriers(told) == 1
     rng = random.Random(3)
     assert wait_s(1, 0, rng) == 0.0  # at a start
     assert wait_s(1, 1, rng, lasted_s=30.0) == 0.0  # a watch that broke after a long time
-    assert wait_s(1, 1, rng, lasted_s=0.1) == AGAIN_S - 0.1  # one that ends at once must not become a busy loop
+    assert wait_s(1, 1, rng, lasted_s=0.1) == RETRY_S - 0.1  # one that ends at once must not become a busy loop
 
 
 def test_a_watch_that_moves_begins_as_at_a_start_not_as_after_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -81,7 +81,7 @@
         asked = []
 
         def wait(couriers: int, failures: int, rng: random.Random, lasted_s: float = 0.0,
-                 most_s: float = 0.0) -> float:
+                 max_s: float = 0.0) -> float:
             asked.append(failures)
             return 0.0
         monkeypatch.setattr(hedge, "wait_s", wait)
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -14,13 +14,13 @@
 
 import pytest
 from loopback import run
-from test_outlet import FakeOwner, item
+from test_endpoint_client import FakeOwner, item
 
 from wheelstep.courier import pool
 from wheelstep.courier.call import Result
 from wheelstep.courier.config import Address
 from wheelstep.courier.connection import Connection
-from wheelstep.courier.outlet import EndpointClient
+from wheelstep.courier.endpoint_client import EndpointClient
 from wheelstep.interface import Outcome
 
 S = 1_000_000
--- a/wheelstep/channels/content.py
+++ b/wheelstep/channels/content.py
@@ -92,7 +92,7 @@
         self._book.drop(part)
         for message in self._kept.of(part):
             self._core.set_aside(message.id)
-            if self._kept.live(message.id) or self._core.outlet.carries(message.id):
+            if self._kept.live(message.id) or self._core.endpoint_client.carries(message.id):
                 self._gone[message.id] = part
             self._kept.forget(message.id)
         self._kept.flush()
--- a/wheelstep/channels/front.py
+++ b/wheelstep/channels/front.py
@@ -18,8 +18,8 @@
 from wheelstep.channels.serving import Serving
 from wheelstep.courier.admission import BadRequestError, Connection, RefusedError
 from wheelstep.courier.core import Core
+from wheelstep.courier.endpoint_client import Item
 from wheelstep.courier.message_request import key_of, read_message
-from wheelstep.courier.outlet import Item
 from wheelstep.courier.request import Request
 from wheelstep.journal import NoRoomError, StoredMessage
 
@@ -178,7 +178,7 @@
             if message is not None:
                 self._core.begin(name)
             return  # it was handed over with its part meanwhile: another owes it
-        self._core.heard(name)
+        self._core.client_answered(name)
         self._kept.book.said(self._now_ms(), name)
         self.wake()
 
--- a/wheelstep/channels/kept.py
+++ b/wheelstep/channels/kept.py
@@ -9,14 +9,14 @@
 
 from wheelstep.channels.book import Book
 from wheelstep.channels.contracts import part_of
-from wheelstep.courier.ports import Book as Journal
+from wheelstep.courier.ports import JournalPort as Journal
 from wheelstep.journal import NoRoomError, StoredMessage
 
 _OUTCOMES = {"delivered": "delivered", "handed_back": "refused", "given_up": "failed"}
 
 
 class Kept:
-    """As `courier.ports.Book`. `doubted` hears of a message that may have run and goes on."""
+    """As `courier.ports.JournalPort`. `doubted` hears of a message that may have run and goes on."""
 
     def __init__(self, journal: Journal, book: Book, parts: int, now_ms: Callable[[], int]) -> None:
         self.journal, self.book, self._parts, self._now_ms = journal, book, parts, now_ms
@@ -29,7 +29,7 @@
         for message in journal.messages.values():
             self._index(message)
 
-    # --- courier.ports.Book ---
+    # --- courier.ports.JournalPort ---
 
     @property
     def messages(self) -> dict[str, StoredMessage]:
@@ -147,7 +147,7 @@
             self._live.pop(message, None)
         self.journal.over(message)
 
-    def stray(self, message: str, number: int, may_have_run: bool) -> None:
+    def late_outcome(self, message: str, number: int, may_have_run: bool) -> None:
         """The outcome of a call that the core no longer follows."""
         held = self.messages.get(message)
         if held is not None and number in held.out:
--- a/wheelstep/channels/serving.py
+++ b/wheelstep/channels/serving.py
@@ -11,7 +11,7 @@
 from wheelstep.channels.book import Book, End, Release
 from wheelstep.channels.kept import Kept
 from wheelstep.courier.core import Core
-from wheelstep.courier.outlet import Item, Result
+from wheelstep.courier.endpoint_client import Item, Result
 from wheelstep.interface import NEVER_EXECUTED, Outcome
 from wheelstep.journal import StoredMessage
 
@@ -31,7 +31,7 @@
         self._serving: dict[int, int] = {}
         self._late: dict[int, dict[str, str]] = {}  # part -> outcomes heard while it was shut, for its next owner
         self._gone: dict[str, int] = {}  # with a call under way when their part went
-        core.fence, core.stray = self.may_send, self._stray
+        core.fence, core.late_outcome = self.may_send, self._stray
         kept.doubted = self._doubted
 
     # --- the daemon's side ---
@@ -74,7 +74,7 @@
             self.end_here(name)
 
     def _resume(self, name: str) -> None:
-        if not self._core.outlet.carries(name) and (message := self._kept.messages.get(name)) is not None:
+        if not self._core.endpoint_client.carries(name) and (message := self._kept.messages.get(name)) is not None:
             self._core.resume([message])
 
     def _stray(self, item: Item, result: Result) -> None:
@@ -91,7 +91,7 @@
             if part not in self._serving:
                 self._note_late(part, item.message)
             return
-        self._kept.stray(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
+        self._kept.late_outcome(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
         if part in self._serving and item.message in self._book.out(part):
             self._resume(item.message)
 
--- a/wheelstep/courier/__main__.py
+++ b/wheelstep/courier/__main__.py
@@ -23,7 +23,7 @@
 from wheelstep.courier.notifier import Notifier
 from wheelstep.courier.opening import account, obtain_journal, open_console, open_journal_with_retry, recorder
 from wheelstep.courier.shutdown import SHUTDOWN_S, ignore_signals, leave
-from wheelstep.courier.spread import callers, longest_s
+from wheelstep.courier.spread import calling_couriers, max_retry_s
 from wheelstep.courier.wall_clock import clock
 from wheelstep.courier.watch import Watch
 from wheelstep.journal import Journal
@@ -84,20 +84,20 @@
         if target is not None and target.transferred.rows:
             seq, rows = target.transferred.seq, target.transferred.rows
         watch = Watch(config.discovery, config.names, seq if isinstance(seq, int) else 0, core.listed,
-                      callers(config.settings), config.seed, longest_s(config.settings))
+                      calling_couriers(config.settings), config.seed, max_retry_s(config.settings))
         watches = fleet is None or not fleet.lists  # otherwise the fleet's daemon provides the list
         if watches:
             core.listed(api.ListKind.RESTORED, rows)
         async with asyncio.TaskGroup() as group:  # a task that fails ends the process with its traceback
             tasks = [group.create_task(work) for work in
-                     (core.notices.run(), core.outlet.sweep(), server.sweep(), journal.run_compaction(),
+                     (core.notices.run(), core.endpoint_client.sweep(), server.sweep(), journal.run_compaction(),
                       follow_config(config, reload_requested, watch, core.notices, core=core, on_reload=reload_fleet),
                       *([watch.run()] if watches else []))]
             if core.account is not None:
                 tasks.append(group.create_task(core.account.run(core.gauge)))
                 watch.account = core.account
             if target is None and watches:  # restored messages must not go to an endpoint that has left the list since
-                await watch.told(_FIRST_LIST_S)
+                await watch.wait_first_answer(_FIRST_LIST_S)
             if fleet is not None:
                 fleet.restore()
             else:
--- a/wheelstep/courier/call.py
+++ b/wheelstep/courier/call.py
@@ -1,7 +1,7 @@
 """Data exchanged between the endpoint client and its owner: a call's messages, their results, and the owner's
 interface.
 
-No I/O. `form` encodes and decodes calls, `pool` manages their connections, `outlet` carries them out.
+No I/O. `form` encodes and decodes calls, `pool` manages their connections, `endpoint_client` carries them out.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
     async def wait_durable(self) -> bool:
         """Wait until the recorded attempts are durable; return False if they must not be sent."""
 
-    def told_to_wait(self, endpoint: str, wait_us: int) -> None:
+    def apply_wait(self, endpoint: str, wait_us: int) -> None:
         """Note that an answer asked to wait."""
 
     def ended(self, endpoint: str, results: Sequence[tuple[Item, Result]]) -> None:
--- a/wheelstep/courier/classes.py
+++ b/wheelstep/courier/classes.py
@@ -10,7 +10,7 @@
 
 from wheelstep import interface as api
 from wheelstep.courier.config import Config
-from wheelstep.courier.ports import Book
+from wheelstep.courier.ports import JournalPort
 from wheelstep.journal import StoredMessage
 
 if TYPE_CHECKING:  # imported at run time only where the feature is used
@@ -24,7 +24,7 @@
 class ClassIndex:
     """The classes in force. `ordered` tells by name which ones keep messages of a key in order."""
 
-    def __init__(self, config: Config, journal: Book, post: Callable[[api.Event], None]) -> None:
+    def __init__(self, config: Config, journal: JournalPort, post: Callable[[api.Event], None]) -> None:
         self._config, self._journal, self._post = config, journal, post
         self._places = {name: i for i, name in enumerate(config.names.classes)}
         self._table: ClassTable | None = None  # replaces `_places` once classes have changed
--- a/wheelstep/courier/core.py
+++ b/wheelstep/courier/core.py
@@ -1,7 +1,7 @@
-"""Connects discovery, clients, operators, journal and other processes to the policy module; decides nothing itself.
+"""Connects discovery, clients, operators, journal and other processes to the decision module; decides nothing itself.
 
-Reading order: `ports` (interfaces), `endpoints` (which may be written to), `classes`, `turns` (when the policy
-module runs), `carrier` (outgoing attempts), `operated` (operator commands), this.
+Reading order: `ports` (interfaces), `endpoints` (which may be written to), `classes`, `decision_loop`, `dispatcher`
+(outgoing attempts), `operator_commands`, this.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from wheelstep.courier.config import Address, Config
 from wheelstep.courier.flight_recorder import EventKind
 from wheelstep.courier.handover_state import continue_settling
-from wheelstep.courier.operated import OperatorCommands
-from wheelstep.courier.ports import Book, CallsOut, OutcomeListener
+from wheelstep.courier.operator_commands import OperatorCommands
+from wheelstep.courier.ports import JournalPort, OpenCall, OutcomeListener
 from wheelstep.courier.rows import Row
 from wheelstep.courier.wall_clock import CLOCK_MARK, ago_us, left_us
 from wheelstep.interface import EndpointState
@@ -32,9 +32,9 @@
 
 
 class Core(OperatorCommands):
-    """State of one courier between its sockets, its journal and the policy module."""
+    """State of one courier between its sockets, its journal and the decision module."""
 
-    def __init__(self, config: Config, journal: Book) -> None:
+    def __init__(self, config: Config, journal: JournalPort) -> None:
         super().__init__(config, journal)
         self._unacknowledged: set[str] = set()  # journalled messages, neither begun nor withdrawn yet
         self._created_s = time.monotonic()  # this process holds the state folder, so any earlier one has ended
@@ -53,32 +53,32 @@
                 self._remove_endpoint(info.endpoint)
                 continue
             self.endpoints.add(info)
-            self.outlet.set_address(info.endpoint, address)
+            self.endpoint_client.set_address(info.endpoint, address)
             if info.state is EndpointState.DRAINING:
-                self.outlet.close_idle(info.endpoint)
+                self.endpoint_client.close_idle(info.endpoint)
         self.endpoints.post_membership(kind, [info for info, _ in rows])
 
-    def forget(self, destinations: Iterable[int]) -> None:
+    def drop_destinations(self, destinations: Iterable[int]) -> None:
         """Stop serving these destinations. Their endpoints are already unlisted, and no message for them is owed."""
         self.endpoints.destinations.difference_update(gone := tuple(destinations))
-        self.turns.post(api.DestinationsDropped(gone))
+        self.decision_loop.post(api.DestinationsDropped(gone))
 
     def _remove_endpoint(self, endpoint: str) -> None:
         self.endpoints.remove(endpoint)
-        self.outlet.remove_address(endpoint)
+        self.endpoint_client.remove_address(endpoint)
 
     # --- clients (admission.Admission) ---
 
     def full(self) -> bool:
         """Return whether the hold limit is reached; owed notifications count, since their number needs a bound too.
-        A process that has handed over accepts nothing. The message that fills the last place makes the policy
-        module hand back another; while most are restored, untried and kept, that is one just accepted, and refusing
-        now costs less."""
+        Always True after a handover. True also with one place left while restored, untried messages fill more than half
+        of the limit: a message that took it would make the decision module return one just accepted, and refusing it
+        costs less than that."""
         room = self._settings.hold_limit - len(self._journal.messages)
         return self._report is not None or room <= 0 or room == 1 and 2 * len(self._untried) > self._settings.hold_limit
 
     def serves(self, destination: int) -> bool:
-        """Return whether any list has named the destination, even if it has no endpoint at the moment."""
+        """Return whether any list has named the destination, or no list has been read yet."""
         return self.endpoints.serves(destination)
 
     def take(self, message: StoredMessage) -> None:
@@ -98,17 +98,17 @@
         """Return whether the message is journalled for a client without its answer yet, and may be withdrawn."""
         return message in self._unacknowledged
 
-    def heard(self, name: str) -> None:
+    def client_answered(self, name: str) -> None:
         """Note that the client has been told that its message was accepted."""
         self._unacknowledged.discard(name)
 
     def begin(self, name: str) -> None:
         """Start to process a message whose client has been told that it was accepted."""
-        self.heard(name)
+        self.client_answered(name)
         message = self._journal.messages[name]
         self._hold(message)
         self._record(EventKind.ACCEPTED, name)
-        self.turns.post(self._accepted(message, message.resubmitted))
+        self.decision_loop.post(self._accepted(message, message.resubmitted))
 
     def withdraw(self, name: str) -> None:
         """Discard a message whose client disconnected before the answer."""
@@ -116,7 +116,7 @@
         self._journal.over(name)
 
     def record_answer(self, message: StoredMessage, status: int) -> None:
-        """Count the answer to a client's request, and record the request if the operator wants that."""
+        """Log the answer to a client, count a 503, and record the request if the operator wants that."""
         if status == 202:
             self._account_accepted(message)
         elif self.account is not None:
@@ -136,28 +136,28 @@
 
     @property
     def frozen(self) -> bool:
-        """Whether the policy module is suspended, as another process is about to take over."""
-        return self.turns.frozen
+        """Whether the decision module is suspended, as another process is about to take over."""
+        return self.decision_loop.frozen
 
     def freeze(self) -> None:
         """Start nothing new. Calls under way continue; those that have not written a byte end as not sent."""
-        self.turns.frozen = True
+        self.decision_loop.frozen = True
         self._record(EventKind.STATE, detail="frozen")
 
     def thaw(self) -> None:
         """Resume after `freeze`."""
         self._record(EventKind.STATE, detail="thawed")
-        self.turns.thaw()
+        self.decision_loop.thaw()
 
     def stop(self) -> None:
         """Start nothing any more, and journal what the next process needs to know."""
         self._record(EventKind.STATE, detail="stopping: no new attempt")
-        self.turns.stopping = True
-        self.note_all()
+        self.decision_loop.stopping = True
+        self.journal_endpoint_health()
 
-    def note_all(self) -> None:
+    def journal_endpoint_health(self) -> None:
         """Journal the health of the endpoints for the next process, those with most traffic first."""
-        notes = self.turns.sender.notes(time.monotonic_ns() // 1000)
+        notes = self.decision_loop.sender.notes(time.monotonic_ns() // 1000)
         for note in sorted(notes, key=lambda note: -note.health.carried)[:_MAX_HEALTH_NOTES]:
             self._carry_out(note, {})
 
@@ -168,18 +168,18 @@
     def rows(self) -> list[Row]:
         """Return the current list."""
         return [(info, address) for name, info in self.endpoints.listed.items()
-                if (address := self.outlet.address(name)) is not None]
+                if (address := self.endpoint_client.address(name)) is not None]
 
     def hand_over(self, on_outcomes: OutcomeListener, on_wait: Callable[[str, int], None]) -> None:
         """Give the messages to another process: outcomes and waits go to it, nothing is journalled here now."""
         self._record(EventKind.STATE, detail="handed over")
         self._report, self._report_wait = on_outcomes, on_wait
-        self.turns.end()
+        self.decision_loop.end()
         self._held.clear()
         for endpoint in self.endpoints.listed:
-            self.outlet.close_idle(endpoint)
+            self.endpoint_client.close_idle(endpoint)
 
-    def restore(self, marks: Mapping[str, Any], messages: Iterable[StoredMessage], calls: Sequence[CallsOut] = (),
+    def restore(self, marks: Mapping[str, Any], messages: Iterable[StoredMessage], calls: Sequence[OpenCall] = (),
                 settling: Mapping[str, int] | None = None, owned_since_s: float | None = None) -> None:
         """Restore what a journal holds: endpoint health, and the messages in their order. `calls` are still under
         way in the previous process, which will report their outcomes. `settling` has the keys that settle there and
@@ -189,7 +189,7 @@
         settle_us = 0 if first else self._settings.order_settle_us
         settled_s = (owned_since_s or self._created_s) + settle_us / 1e6
         if (event := continue_settling(self.order, settling, settled_s, time.monotonic())) is not None:
-            self.turns.post(event)
+            self.decision_loop.post(event)
         out = {name: (at, number, call) for at, call in enumerate(calls) for name, number in call.attempts}
         messages = list(messages)
         self.classes.restore(marks, messages)
@@ -197,7 +197,7 @@
         self.resume(messages, out)
 
     def resume(self, messages: Iterable[StoredMessage],
-               out: Mapping[str, tuple[int, int, CallsOut]] | None = None) -> None:
+               out: Mapping[str, tuple[int, int, OpenCall]] | None = None) -> None:
         """Continue with messages that an earlier process or another courier accepted. `out` has those still in a
         call of the previous process: the call's index, the attempt, the call."""
         for message in messages:
@@ -216,25 +216,25 @@
                 if not message.attempts:
                     self._untried.add(message.id)
                 self._account_accepted(message, restored=True)
-                self.turns.post(api.MessageRestored(
+                self.decision_loop.post(api.MessageRestored(
                     self._accepted(message, resubmitted=True), message.attempts,
                     None if ran is None else ago_us(ran[0]), self.endpoints.zone(ran[1]) if ran else 0,
                     None if call is None else api.CallInProgress(at, call.endpoint, ago_us(call.sent_ms))))
 
     def set_aside(self, name: str) -> None:
-        """Remove a message from the policy module while its end is still owed; a call that carries it goes on."""
-        self._withdraw_from_policy(name)
+        """Remove a message from the decision module; its end stays owed, its call goes on, its key is free."""
+        self._withdraw_from_module(name)
         self.order.completed(name, time.monotonic())
 
-    def _withdraw_from_policy(self, name: str) -> None:
+    def _withdraw_from_module(self, name: str) -> None:
         if self._held.pop(name, None) is not None:
             del self._next_attempt[name]
             self._untried.discard(name)
-            self.turns.post(api.MessageWithdrawn(name))
+            self.decision_loop.post(api.MessageWithdrawn(name))
 
     def finish(self, name: str, outcome: str, retry_ms: int = 0) -> None:
-        """End a message with a notification, whether the policy module holds it or not."""
-        self._withdraw_from_policy(name)
+        """End a message, held or not, with a notification; do nothing if it is unknown or has ended."""
+        self._withdraw_from_module(name)
         if (message := self._journal.messages.get(name)) is not None and message.notice is None:
             self._end(message, outcome, retry_ms)
 
--- a/wheelstep/courier/turns.py
+++ b/wheelstep/courier/decision_loop.py
@@ -1,5 +1,5 @@
-"""Runs the policy module in turns: collects events for one tick, passes them on, and has the resulting actions
-carried out in order. Makes no policy decisions.
+"""Runs the decision module in turns: collects events for one tick, passes them on, and has the resulting actions
+carried out in order. Makes no decisions itself.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from wheelstep.courier.call import Item
 from wheelstep.interface import Outcome
 
-_MAX_EVENTS = 2_000  # events passed to the policy module in one turn
+_MAX_EVENTS = 2_000  # events passed to the decision module in one turn
 
-Sends = dict[str, list[tuple[Item, int]]]
+AttemptBatches = dict[str, list[tuple[Item, int]]]
 """Attempts that start in this turn, by endpoint, with their time-outs; those to one endpoint share a call."""
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("wheelstep.courier.turns")
 
 
-class Turns:
-    """Passes events to the policy module. `carry_out` executes one action, collecting attempts in the batches;
+class DecisionLoop:
+    """Passes events to the decision module. `carry_out` executes one action, collecting attempts in the batches;
     `call` starts a call."""
 
-    def __init__(self, sender: Sender, tick_us: int, carry_out: Callable[[api.Action, Sends], None],
+    def __init__(self, sender: Sender, tick_us: int, carry_out: Callable[[api.Action, AttemptBatches], None],
                  call: Callable[[str, Sequence[tuple[Item, int]]], None]) -> None:
         self.sender, self._tick_s, self._carry_out_action, self._call = sender, tick_us / 1e6, carry_out, call
         self._events: list[api.Event] = []
         self._next_turn: asyncio.Handle | None = None
         self._timers: dict[int, asyncio.TimerHandle] = {}
-        self.now_us = 0  # time passed to the policy module last; its actions' times count from here
+        self.now_us = 0  # time passed to the decision module last; its actions' times count from here
         self.stopping = False  # this process starts nothing more
         self.frozen = False  # suspended, as another process is about to take over
         self.closed = False  # another process owns the messages
@@ -69,10 +69,10 @@
             self.now_us = time.monotonic_ns() // 1000
             self._carry_out_all(self.sender.handle(self.now_us, events))
         except Exception:
-            log.exception("a turn failed in the policy module; its events: %r", events)
+            log.exception("a turn failed in the decision module; its events: %r", events)
 
     def _carry_out_all(self, actions: list[api.Action]) -> None:
-        batches: Sends = {}
+        batches: AttemptBatches = {}
         for action in actions:
             try:
                 if isinstance(action, api.SetTimer):
--- a/wheelstep/courier/carrier.py
+++ b/wheelstep/courier/dispatcher.py
@@ -1,6 +1,4 @@
-"""Carries out the policy module's actions: starts calls and reports outcomes. Makes no policy decisions. Base class
-of `core.Core`, which handles what comes in.
-"""
+"""Base class of `core.Core`: carries out the decision module's actions and reports outcomes; makes no decisions."""
 
 from __future__ import annotations
 
@@ -16,15 +14,15 @@
 from wheelstep.courier.call import Item, Result
 from wheelstep.courier.classes import ClassIndex
 from wheelstep.courier.config import Config
+from wheelstep.courier.decision_loop import AttemptBatches, DecisionLoop
+from wheelstep.courier.endpoint_client import EndpointClient
 from wheelstep.courier.endpoints import Endpoints
 from wheelstep.courier.flight_recorder import EventKind, FlightRecorder
 from wheelstep.courier.handover_state import calls_in_progress
 from wheelstep.courier.invariants import Invariant, Invariants
 from wheelstep.courier.key_order import KeyOrder
-from wheelstep.courier.outlet import EndpointClient
-from wheelstep.courier.ports import Book, CallsOut, NotificationSender, OutcomeListener
+from wheelstep.courier.ports import JournalPort, NotificationSender, OpenCall, OutcomeListener
 from wheelstep.courier.send_guard import SendGuard
-from wheelstep.courier.turns import Sends, Turns
 from wheelstep.courier.wall_clock import clock, time_is_up
 from wheelstep.interface import NEVER_EXECUTED, Outcome
 from wheelstep.journal import NoRoomError, StoredMessage
@@ -36,33 +34,35 @@
 _PROBE_TIMEOUT_US = 1_500_000
 _RESERVED_FDS = 32  # file descriptors for the journal, discovery, notifications, and what asyncio and Python keep open
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("wheelstep.courier.carrier")
 
 
-class Carrier:
-    """The messages that the policy module holds, and their calls."""
+class Dispatcher:
+    """The messages that the decision module holds, and their calls."""
 
-    def __init__(self, config: Config, journal: Book) -> None:
+    def __init__(self, config: Config, journal: JournalPort) -> None:
         self._config, self._settings, self._journal = config, config.settings, journal
-        self.turns = Turns(Sender(config.settings, config.seed), config.settings.tick_us, self._carry_out, self._call)
-        self.endpoints = Endpoints(config.settings, journal, self.turns.post)
-        self.classes = ClassIndex(config, journal, self.turns.post)
+        self.decision_loop = DecisionLoop(Sender(config.settings, config.seed), config.settings.tick_us,
+                                          self._carry_out, self._call)
+        self.endpoints = Endpoints(config.settings, journal, self.decision_loop.post)
+        self.classes = ClassIndex(config, journal, self.decision_loop.post)
         self.ordered = self.classes.ordered
-        self._held: dict[str, StoredMessage] = {}  # messages that the policy module holds
+        self._held: dict[str, StoredMessage] = {}  # messages that the decision module holds
         self._next_attempt: dict[str, int] = {}  # number of each message's next attempt
         self._untried: set[str] = set()  # restored messages, neither tried nor ended since
         self.order = KeyOrder(config.settings.order_settle_us / 1e6)
-        self.outlet = EndpointClient(self, config.dial_timeout_us, config.settings.conn_idle_us, config.names.report,
-                                     max(16, config.max_descriptors - config.max_descriptors // 3 - _RESERVED_FDS))
-        self.flight_recorder = self.outlet.recorder = FlightRecorder()
+        self.endpoint_client = EndpointClient(
+            self, config.dial_timeout_us, config.settings.conn_idle_us, config.names.report,
+            max(16, config.max_descriptors - config.max_descriptors // 3 - _RESERVED_FDS))
+        self.flight_recorder = self.endpoint_client.recorder = FlightRecorder()
         self.invariants = Invariants(self.flight_recorder)
         self._send_guard = SendGuard(self.order, self.invariants)
         self.notices: NotificationSender | None = None
-        self.tells_deliveries = False  # whether deliveries are notified as well
+        self.notifies_deliveries = False  # whether deliveries are notified as well
         self.counters: Counters | None = None
         self.account: AccountWriter | None = None
         self.fence: Callable[[str], bool] | None = None  # further permission for a message's first byte
-        self.stray: Callable[[Item, Result], None] | None = None  # receives outcomes of messages no longer held
+        self.late_outcome: Callable[[Item, Result], None] | None = None  # receives outcomes of messages no longer held
         self._report: OutcomeListener | None = None  # set once another process owns the messages
         self._report_wait: Callable[[str, int], None] | None = None
 
@@ -100,7 +100,7 @@
 
     def may_probe(self, endpoint: str) -> bool:
         """Return whether anything new may be written to the endpoint."""
-        return not self.turns.frozen and self.endpoints.may_write(endpoint, time.monotonic())
+        return not self.decision_loop.frozen and self.endpoints.may_write(endpoint, time.monotonic())
 
     def messages_written(self, messages: int) -> None:
         """Count messages whose call was written whole."""
@@ -120,9 +120,9 @@
             if self.account is not None:
                 self.account.starting(item.message, item.attempt, endpoint)
 
-    def told_to_wait(self, endpoint: str, wait_us: int) -> None:
+    def apply_wait(self, endpoint: str, wait_us: int) -> None:
         """Send nothing more to the endpoint for this long, not even on connections that are being opened."""
-        self.endpoints.told_to_wait(endpoint, time.monotonic(), wait_us / 1e6)
+        self.endpoints.apply_wait(endpoint, time.monotonic(), wait_us / 1e6)
         if self._report_wait is not None:
             self._report_wait(endpoint, wait_us)
 
@@ -135,7 +135,7 @@
         for item, result in results:
             self.order.attempt_ended(item.message, item.attempt, result.may_still_run, now_s)
             held = self._held.get(item.message)
-            if held is not None and result.outcome is Outcome.OK and not self.tells_deliveries and (
+            if held is not None and result.outcome is Outcome.OK and not self.notifies_deliveries and (
                     time_is_up(held, max(self._settings.answer_slack_us, 2 * self._settings.tick_us))):
                 result = replace(result, outcome=Outcome.TIMEOUT)
             if result.outcome is not Outcome.OK:
@@ -151,18 +151,18 @@
                     self.counters.passed[held.message_class] += 1
                 del self._held[item.message], self._next_attempt[item.message]
                 self.order.completed(item.message, now_s)
-                if self.tells_deliveries:
+                if self.notifies_deliveries:
                     self._journal.end(item.message, "delivered", 0)
                     self._notify_end(held)
                 else:
                     self._journal.over(item.message)
             elif held is not None and item.attempt in held.out:
                 self._journal.outcome(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
-            self.turns.post(api.AttemptEnded(
+            self.decision_loop.post(api.AttemptEnded(
                 item.message, item.attempt, endpoint, result.outcome, result.spent_us, complete,
                 result.wait_us, result.limit, result.exhausted, result.may_still_run))
-            if held is None and self.stray is not None:
-                self.stray(item, result)
+            if held is None and self.late_outcome is not None:
+                self.late_outcome(item, result)
 
     def probed(self, endpoint: str, result: Result) -> None:
         """Process the outcome of a probe."""
@@ -170,7 +170,7 @@
             return
         if self.account is not None:
             self.account.probed(endpoint, result.outcome.value)
-        self.turns.post(api.ProbeEnded(endpoint, result.outcome, result.spent_us, result.limit))
+        self.decision_loop.post(api.ProbeEnded(endpoint, result.outcome, result.spent_us, result.limit))
 
     def answered(self, messages: list[str]) -> None:
         """Forget messages whose notification the platform has answered."""
@@ -181,25 +181,25 @@
                 self._journal.over(name)
         self.order.notifications_answered()
 
-    def calls_out(self) -> list[CallsOut]:
+    def calls_out(self) -> list[OpenCall]:
         """Return the calls that have begun and have no outcome yet."""
-        return calls_in_progress(self.outlet.calls(), self._journal.messages)
+        return calls_in_progress(self.endpoint_client.calls(), self._journal.messages)
 
-    # --- actions of the policy module ---
-    def _carry_out(self, action: api.Action, batches: Sends) -> None:
+    # --- actions of the decision module ---
+    def _carry_out(self, action: api.Action, batches: AttemptBatches) -> None:
         match action:
             case api.StartAttempt():
                 self._start_attempt(action, batches)
             case api.Refuse(name, retry_after_us, reason):
-                self._end_by_policy(name, "handed_back", retry_after_us // 1000, reason)
+                self._end_by_module(name, "handed_back", retry_after_us // 1000, reason)
             case api.Fail(name, reason):
-                self._end_by_policy(name, "given_up", 0, reason)
+                self._end_by_module(name, "given_up", 0, reason)
             case api.CancelAttempt(name, attempt):
-                self.outlet.cancel(name, attempt)
+                self.endpoint_client.cancel(name, attempt)
             case api.Probe(endpoint):
-                self.outlet.probe(endpoint, _PROBE_TIMEOUT_US)
+                self.endpoint_client.probe(endpoint, _PROBE_TIMEOUT_US)
             case api.CloseIdle(endpoint, idle_us):
-                self.outlet.close_idle(endpoint, idle_us)
+                self.endpoint_client.close_idle(endpoint, idle_us)
             case api.Subscribe():
                 pass  # the watch always runs
             case api.WriteLog(text):
@@ -207,21 +207,21 @@
             case api.NoteHealth(endpoint, health) if endpoint in self.endpoints.listed:
                 self._journal.mark(endpoint, [clock.now_ms(), *astuple(health)])
 
-    def _start_attempt(self, action: api.StartAttempt, batches: Sends) -> None:
+    def _start_attempt(self, action: api.StartAttempt, batches: AttemptBatches) -> None:
         name, endpoint = action.message, action.endpoint
         message = self._held[name]
         number = self._next_attempt[name]
         self._next_attempt[name] = number + 1
         batch = batches.setdefault(endpoint, [])
-        write_until_s = (self.turns.now_us + action.latest_us) / 1e6 if action.latest_us else math.inf
+        write_until_s = (self.decision_loop.now_us + action.latest_us) / 1e6 if action.latest_us else math.inf
         batch.append((Item(name, number, message.token, message.body, write_until_s, action.once), action.timeout_us))
         if len(batch) >= self.endpoints.per_call(endpoint):
             self._call(endpoint, batches.pop(endpoint))
 
     def _call(self, endpoint: str, batch: Sequence[tuple[Item, int]]) -> None:
-        self.outlet.call(endpoint, [item for item, _ in batch], min(timeout_us for _, timeout_us in batch))
+        self.endpoint_client.call(endpoint, [item for item, _ in batch], min(timeout_us for _, timeout_us in batch))
 
-    def _end_by_policy(self, name: str, outcome: str, retry_ms: int, reason: api.EndReason) -> None:
+    def _end_by_module(self, name: str, outcome: str, retry_ms: int, reason: api.EndReason) -> None:
         self._record(EventKind.COMPLETED, name, f"{outcome}: {reason.value}")
         message = self._held.pop(name)
         del self._next_attempt[name]
--- a/wheelstep/courier/outlet.py
+++ b/wheelstep/courier/endpoint_client.py
@@ -26,7 +26,7 @@
 
 _ABANDON_S = 0.2  # time for cancelled calls to close their connections; nothing else delays them
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("wheelstep.courier.outlet")
 
 
 class EndpointClient(ConnectionPool):
@@ -219,5 +219,5 @@
         """Return the wait and the load report, which any answer may carry, and report a wait to the owner at once."""
         wait_us, limit = form.wait_and_limit(answer, self._load_fields)
         if wait_us:
-            self._owner.told_to_wait(endpoint, wait_us)
+            self._owner.apply_wait(endpoint, wait_us)
         return wait_us, limit
--- a/wheelstep/courier/endpoints.py
+++ b/wheelstep/courier/endpoints.py
@@ -1,4 +1,4 @@
-"""What is known of endpoints outside the policy module: the list, excluded endpoints, and requested waits. Decides
+"""What is known of endpoints outside the decision module: the list, excluded endpoints, and requested waits. Decides
 whether an endpoint may be written to; no sockets.
 """
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 from wheelstep import interface as api
-from wheelstep.courier.ports import Book
+from wheelstep.courier.ports import JournalPort
 from wheelstep.courier.wall_clock import ago_us
 from wheelstep.interface import EndpointState, Settings
 
@@ -23,7 +23,7 @@
 class Endpoints:
     """The listed endpoints and their restrictions. Times are monotonic seconds, passed in by the caller."""
 
-    def __init__(self, settings: Settings, journal: Book, post: Callable[[api.Event], None]) -> None:
+    def __init__(self, settings: Settings, journal: JournalPort, post: Callable[[api.Event], None]) -> None:
         self._settings, self._journal, self._post = settings, journal, post
         self.listed: dict[str, api.EndpointInfo] = {}
         self.destinations: set[int] = set()  # destinations that any list has named
@@ -47,13 +47,13 @@
             self._journal.mark(endpoint, None)
 
     def with_exclusions(self, info: api.EndpointInfo) -> api.EndpointInfo:
-        """Return the entry as the policy module gets it: an excluded endpoint drains, whatever the list says."""
+        """Return the entry as the decision module gets it: an excluded endpoint drains, whatever the list says."""
         if info.endpoint in self.excluded and info.state is EndpointState.UP:
             return replace(info, state=EndpointState.DRAINING)
         return info
 
     def post_membership(self, kind: api.ListKind, infos: Iterable[api.EndpointInfo]) -> None:
-        """Pass these entries to the policy module."""
+        """Pass these entries to the decision module."""
         self._post(api.MembershipReceived(kind, tuple(map(self.with_exclusions, infos))))
 
     def exclude(self, endpoint: str) -> bool:
@@ -82,7 +82,7 @@
 
     def restore(self, marks: Mapping[str, Any]) -> None:
         """Restore excluded endpoints from the journal's marks, and pass the noted health of listed endpoints to the
-        policy module."""
+        decision module."""
         self.excluded.update(name.removeprefix(_EXCLUDED_MARK) for name in marks if name.startswith(_EXCLUDED_MARK))
         for endpoint in self.excluded & self.listed.keys():
             self.post_membership(api.ListKind.CHANGES, [self.listed[endpoint]])
@@ -96,8 +96,8 @@
                 self._journal.mark(endpoint, None)
 
     def serves(self, destination: int) -> bool:
-        """Return whether any list has named the destination, even if it has no endpoint at the moment. Prevents
-        accepting messages that could never be delivered."""
+        """Return whether any list has named the destination, or no list has been read yet. Its endpoints may all be
+        gone. Prevents accepting messages that could never be delivered."""
         return destination in self.destinations or not (self.destinations or self.knows_list)
 
     def may_write(self, endpoint: str, now_s: float) -> bool:
@@ -107,8 +107,9 @@
             return False
         return now_s >= self.wait_until.get(self.route(info), 0.0)
 
-    def told_to_wait(self, endpoint: str, now_s: float, wait_s: float) -> None:
-        """Send nothing more there for `wait_s`, not even on connections that are being opened."""
+    def apply_wait(self, endpoint: str, now_s: float, wait_s: float) -> None:
+        """Block the endpoint's route for `wait_s`, if that is longer than its present wait, also for connections being
+        opened. Ignored if the endpoint is not listed."""
         if info := self.listed.get(endpoint):
             route = self.route(info)
             self.wait_until = {other: until for other, until in self.wait_until.items() if until > now_s}
@@ -120,7 +121,7 @@
         return {name: int(left_s * 1e6) for name, left_s in left.items() if left_s > 0}
 
     def kind(self, info: api.EndpointInfo) -> api.DestinationKind:
-        """Return the settings of the endpoint's kind; the last kind serves for unknown ones."""
+        """Return the settings of the endpoint's kind; an index past the last kind means the last."""
         return self._settings.kinds[min(info.kind, len(self._settings.kinds) - 1)]
 
     def per_call(self, endpoint: str) -> int:
--- a/wheelstep/courier/handover_state.py
+++ b/wheelstep/courier/handover_state.py
@@ -6,12 +6,12 @@
 
 from wheelstep import interface as api
 from wheelstep.courier.key_order import KeyOrder
-from wheelstep.courier.ports import CallsOut
+from wheelstep.courier.ports import OpenCall
 from wheelstep.journal import StoredMessage
 
 
 def calls_in_progress(calls: Sequence[Sequence[tuple[str, int]]],
-                      messages: Mapping[str, StoredMessage]) -> list[CallsOut]:
+                      messages: Mapping[str, StoredMessage]) -> list[OpenCall]:
     """Return the calls of which an attempt is in the journal without an outcome. `calls` has the messages and attempt
     numbers of each."""
     found = []
@@ -19,7 +19,7 @@
         rows = [(name, number, held.out[number]) for name, number in attempts
                 if (held := messages.get(name)) is not None and number in held.out]
         if rows:
-            found.append(CallsOut(rows[0][2][1], rows[0][2][0], [(name, number) for name, number, _ in rows]))
+            found.append(OpenCall(rows[0][2][1], rows[0][2][0], [(name, number) for name, number, _ in rows]))
     return found
 
 
--- a/wheelstep/courier/hedge.py
+++ b/wheelstep/courier/hedge.py
@@ -25,8 +25,8 @@
     """The watches of one courier, numbered in the order of their opening. `next_open_s` is when the next one is
     opened."""
 
-    def __init__(self, couriers: int, rng: random.Random, now_s: float, most_s: float = math.inf) -> None:
-        self._couriers, self._rng, self._most_s = couriers, rng, most_s
+    def __init__(self, couriers: int, rng: random.Random, now_s: float, max_s: float = math.inf) -> None:
+        self._couriers, self._rng, self._most_s = couriers, rng, max_s
         self._open: dict[int, _OpenWatch] = {}
         self._count = self._failures = 0  # all calls; consecutive calls that received nothing
         self.next_open_s = now_s + wait_s(couriers, 0, rng)
@@ -76,7 +76,7 @@
         ended = list(self._open)
         self._open.clear()
         self._failures = 0
-        self.next_open_s = now_s + wait_s(self._couriers, 0, self._rng, most_s=MOVE_LIMIT_S - ANSWER_S)
+        self.next_open_s = now_s + wait_s(self._couriers, 0, self._rng, max_s=MOVE_LIMIT_S - ANSWER_S)
         return ended
 
     def _silence_limit_s(self, prompt: bool = False) -> float:
--- a/wheelstep/courier/key_order.py
+++ b/wheelstep/courier/key_order.py
@@ -1,4 +1,4 @@
-"""Order of keys as observed by the calls, independent of the policy module's decisions. No I/O, except for waiting
+"""Order of keys as observed by the calls, independent of the decision module's decisions. No I/O, except for waiting
 tasks.
 
 Messages of one key run one at a time, in the order of their acceptance (rule 6 of the wire's page). A message is
--- a/wheelstep/courier/listing.py
+++ b/wheelstep/courier/listing.py
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 
-class Listing:
+class ListParser:
     """Splits the bytes of one watch into objects, however they are laid out over lines and reads. Objects longer
     than `max_bytes` are skipped and not buffered. `loads` parses one object's bytes and may raise `ValueError`."""
 
--- a/wheelstep/courier/operated.py
+++ b/wheelstep/courier/operator_commands.py
@@ -5,11 +5,11 @@
 import time
 
 from wheelstep import interface as api
-from wheelstep.courier.carrier import Carrier
 from wheelstep.courier.config import Config
+from wheelstep.courier.dispatcher import Dispatcher
 
 
-class OperatorCommands(Carrier):
+class OperatorCommands(Dispatcher):
     """Implements `console.commands.ConsoleBackend`, except for readiness."""
 
     def exclude(self, endpoint: str) -> bool:
@@ -17,7 +17,7 @@
         known."""
         known = self.endpoints.exclude(endpoint)
         if known:
-            self.outlet.close_idle(endpoint)
+            self.endpoint_client.close_idle(endpoint)
         return known
 
     def include(self, endpoint: str) -> bool:
@@ -34,8 +34,9 @@
     def gauge(self) -> tuple[int, int, int, list[tuple[int, api.WaitReason, int]]]:
         """Return the calls under way, the open connections, the connections opened since the start, and what holds
         messages up."""
-        held = self.turns.sender.wait_reasons(time.monotonic_ns() // 1000)
-        return len(self.outlet.calls()), self.outlet.connection_count(), self.outlet.dials, held
+        held = self.decision_loop.sender.wait_reasons(time.monotonic_ns() // 1000)
+        return (len(self.endpoint_client.calls()), self.endpoint_client.connection_count(),
+                self.endpoint_client.dials, held)
 
     def renew(self, config: Config) -> None:
         """Apply new settings (SIGHUP): classes and the number of attempts change now, all else at the next start."""
--- a/wheelstep/courier/pool.py
+++ b/wheelstep/courier/pool.py
@@ -1,6 +1,6 @@
 """Connections to endpoints: addresses, idle connections, and opening new ones within a limit.
 
-Base class of `outlet.EndpointClient`, which makes the calls.
+Base class of `endpoint_client.EndpointClient`, which makes the calls.
 """
 
 from __future__ import annotations
--- a/wheelstep/courier/ports.py
+++ b/wheelstep/courier/ports.py
@@ -12,7 +12,7 @@
 OutcomeListener = Callable[[str, Sequence[tuple[Item, Result]]], None]
 
 
-class Book(Protocol):
+class JournalPort(Protocol):
     """The part of a journal that the core uses: see `wheelstep.journal.Journal`."""
 
     @property
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallsOut:
+class OpenCall:
     """A call under way: its endpoint, its start (Unix time), and its messages with their attempts."""
 
     endpoint: str
--- a/wheelstep/courier/send_guard.py
+++ b/wheelstep/courier/send_guard.py
@@ -9,7 +9,7 @@
 
 
 class SendGuard:
-    """Checks the policy module's decisions against what the calls have observed."""
+    """Checks the decision module's decisions against what the calls have observed."""
 
     def __init__(self, order: KeyOrder, invariants: Invariants) -> None:
         self._order, self._invariants = order, invariants
--- a/wheelstep/courier/shutdown.py
+++ b/wheelstep/courier/shutdown.py
@@ -36,14 +36,14 @@
     core.stop()
     log.info("no new attempt from now on")
     refusal = asyncio.get_running_loop().call_at(began + _MESSAGES_UNTIL_S, server.refuse_messages)
-    await core.outlet.finish(_CONNECTIONS_UNTIL_S - _ATTEMPTS_UNTIL_S)
+    await core.endpoint_client.finish(_CONNECTIONS_UNTIL_S - _ATTEMPTS_UNTIL_S)
     server.closing = True
     await until(_CONNECTIONS_UNTIL_S)
     refusal.cancel()
     log.info("ending clients' connections")
     await server.stop()
-    await core.outlet.finish(max(0.0, began + SHUTDOWN_S - asyncio.get_running_loop().time()))
-    await core.outlet.abandon()  # before the folder is unlocked: the next process takes these calls for ended
+    await core.endpoint_client.finish(max(0.0, began + SHUTDOWN_S - asyncio.get_running_loop().time()))
+    await core.endpoint_client.abandon()  # before the folder is unlocked: the next process takes these calls for ended
     log.info("stopped; invariants violated: %s", core.invariants.summary())
 
 
--- a/wheelstep/courier/watch.py
+++ b/wheelstep/courier/watch.py
@@ -17,7 +17,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import Address, Names
 from wheelstep.courier.hedge import Hedge
-from wheelstep.courier.listing import MAX_BYTES, Listing, entries
+from wheelstep.courier.listing import MAX_BYTES, ListParser, entries
 
 if TYPE_CHECKING:  # optional features are imported only when enabled
     from wheelstep.account.writer import AccountWriter
@@ -29,11 +29,11 @@
 
 EntryReader = Callable[[Mapping[str, Any], Names], list[Any]]
 OnList = Callable[[api.ListKind, list[Any]], None]
-"""Receives a list's rows as `Reading.entries` returns them: a courier's rows by default."""
+"""Receives a list's rows as `ListFormat.entries` returns them: a courier's rows by default."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class ListFormat:
     """How lists are parsed: the size limit of one, and functions from its bytes to an object and from that to rows.
     Both functions raise `ValueError`."""
 
@@ -42,21 +42,21 @@
     entries: EntryReader = entries
 
 
-_DEFAULT_READING = Reading()
+_DEFAULT_READING = ListFormat()
 
 
 class Watch:
     """Follows discovery indefinitely, through silence, invalid data and broken connections.
 
-    The seed spreads the calls of `couriers` couriers (see `spread.callers`) that lost discovery at the same moment;
-    `most_s`: see `spread.longest_s`.
+    The seed spreads the calls of `couriers` couriers (see `spread.calling_couriers`) that lost discovery at the same
+    moment; `max_s`: see `spread.max_retry_s`.
     """
 
     def __init__(self, discovery: Address, names: Names, seq: int, on_list: OnList, couriers: int = 1, seed: int = 0,
-                 most_s: float = math.inf, reading: Reading = _DEFAULT_READING) -> None:
+                 max_s: float = math.inf, list_format: ListFormat = _DEFAULT_READING) -> None:
         self._discovery, self._names, self._on_list, self._seq = discovery, names, on_list, seq
-        self._couriers, self._rng, self._most_s = couriers, random.Random(f"watch {seed}"), most_s
-        self._reading = reading
+        self._couriers, self._rng, self._most_s = couriers, random.Random(f"watch {seed}"), max_s
+        self._reading = list_format
         self._hedge: Hedge | None = None
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._first_answer, self._rescheduled = asyncio.Event(), asyncio.Event()
@@ -75,7 +75,7 @@
             self._cancel(self._hedge.move(asyncio.get_running_loop().time()))
             self._rescheduled.set()
 
-    async def told(self, within_s: float) -> None:
+    async def wait_first_answer(self, within_s: float) -> None:
         """Wait for the first answer, for `within_s` at most. Returns at once where calls are spread."""
         if self._couriers <= 1:
             with suppress(TimeoutError):
@@ -112,12 +112,12 @@
             async with http.get(url, params=params, timeout=_NO_LIMIT) as answer:
                 if answer.status != 200:
                     raise ValueError(f"expected status 200, found {answer.status}")
-                listing = Listing(self._reading.max_bytes, self._reading.loads)
+                listing = ListParser(self._reading.max_bytes, self._reading.loads)
                 async for data in answer.content.iter_any():
                     for found in listing.feed(data):
                         self._cancel(hedge.received(number, loop.time()))
                         if found is not None:
-                            self._take(found)
+                            self._apply_list(found)
                         self._first_answer.set()
                         if number not in hedge:  # the list itself has moved discovery
                             return
@@ -128,7 +128,7 @@
         hedge.ended(number, loop.time())
         self._rescheduled.set()
 
-    def _take(self, data: Mapping[str, Any]) -> None:
+    def _apply_list(self, data: Mapping[str, Any]) -> None:
         if not isinstance(data.get("seq"), int):
             raise ValueError(f"a list without an integer seq: {str(data)[:80]!r}")
         whole = bool(data.get("whole"))
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -84,7 +84,7 @@
         self.peers = Peers(self._fleet.keys, part.name, config.name, self._log.boot, now_us, self._heard, self._asked)
         self.desk = ChannelDesk(core, self.kept, self.content, now_ms, lambda: int(time.time() * 1000))
         front = ChannelFront(core.ordered, self.book, self.content, part.parts, now_ms, self._owner)
-        core.outlet.sign = signed(self.kept, self.content)
+        core.endpoint_client.sign = signed(self.kept, self.content)
         return self.desk, front, None
 
     def restore(self) -> None:
--- a/wheelstep/rehearsal/broken/order.py
+++ b/wheelstep/rehearsal/broken/order.py
@@ -9,7 +9,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.call import Item
 from wheelstep.courier.core import Core
-from wheelstep.courier.ports import CallsOut
+from wheelstep.courier.ports import OpenCall
 from wheelstep.courier.send_guard import SendGuard
 from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.broken.patch import change_settings
@@ -26,7 +26,7 @@
     restore = Core.restore
 
     def note(self: Core, marks: Mapping[str, Any], messages: Iterable[StoredMessage],
-             calls: Sequence[CallsOut] = (), settling: Mapping[str, int] | None = None,
+             calls: Sequence[OpenCall] = (), settling: Mapping[str, int] | None = None,
              owned_since_s: float | None = None) -> None:
         restoring.append(self)
         restore(self, marks, messages, calls, settling, owned_since_s)
--- a/wheelstep/rehearsal/broken/twice.py
+++ b/wheelstep/rehearsal/broken/twice.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 from wheelstep.courier.call import Progress
-from wheelstep.courier.carrier import Carrier
+from wheelstep.courier.dispatcher import Dispatcher
 from wheelstep.interface import EndReason, Outcome
 from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.broken.patch import change_settings
@@ -37,10 +37,10 @@
 
 def hands_back_what_ran() -> None:
     """Every end is told as a refusal that is safe to repeat."""
-    end = Carrier._end
+    end = Dispatcher._end
 
-    def handed_back(self: Carrier, message: StoredMessage, outcome: str, retry_ms: int,
+    def handed_back(self: Dispatcher, message: StoredMessage, outcome: str, retry_ms: int,
                     reason: EndReason = EndReason.UNKNOWN) -> None:
         end(self, message, "handed_back", retry_ms, reason)
 
-    Carrier._end = handed_back  # type: ignore[method-assign]
+    Dispatcher._end = handed_back  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/broken/waits.py
+++ b/wheelstep/rehearsal/broken/waits.py
@@ -21,7 +21,7 @@
         judge(self, call, destination, dataclasses.replace(event, wait_us=0), retried)
 
     Sender._judge = deaf  # type: ignore[method-assign,assignment]
-    Core.told_to_wait = lambda self, endpoint, wait_us: None  # type: ignore[method-assign]
+    Core.apply_wait = lambda self, endpoint, wait_us: None  # type: ignore[method-assign]
 
 
 def halves_waits() -> None:
--- a/wheelstep/rehearsal/fleet/points.py
+++ b/wheelstep/rehearsal/fleet/points.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from wheelstep.courier.carrier import Carrier
-from wheelstep.courier.outlet import Item
+from wheelstep.courier.dispatcher import Dispatcher
+from wheelstep.courier.endpoint_client import Item
 from wheelstep.fleet.errands import Errands
 from wheelstep.fleet.node import Node
 from wheelstep.fleet.tenure import Tenure
@@ -52,7 +52,7 @@
             os.kill(os.getpid(), signal.Signals[sent])
 
     call, asked, gained, answered = Errands.call, Node.asked, Tenure._gained, Giver.answered
-    may_start = Carrier.may_start
+    may_start = Dispatcher.may_start
 
     def sends(self: Errands, member: str, ask: Ask, *more: Any) -> Action:
         reached(f"sent {type(ask).__name__}")
@@ -76,11 +76,11 @@
             reached(f"answered {type(ask).__name__}")
         return answered(self, now_us, ask, moved)
 
-    def may_still(self: Carrier, endpoint: str, item: Item) -> bool:
+    def may_still(self: Dispatcher, endpoint: str, item: Item) -> bool:
         reached("first byte")
         return may_start(self, endpoint, item)
 
-    Carrier.may_start = may_still  # type: ignore[method-assign]
+    Dispatcher.may_start = may_still  # type: ignore[method-assign]
     Errands.call = sends  # type: ignore[method-assign, assignment]
     Node.asked = hears  # type: ignore[method-assign]
     Tenure._gained = gains  # type: ignore[method-assign, assignment]
--- a/wheelstep/rehearsal/scale/desk.py
+++ b/wheelstep/rehearsal/scale/desk.py
@@ -10,7 +10,7 @@
 from wheelstep import Sender
 from wheelstep import interface as api
 from wheelstep.courier.call import Item
-from wheelstep.courier.turns import Sends, Turns
+from wheelstep.courier.decision_loop import AttemptBatches, DecisionLoop
 from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.scale.partners import Counts, Partners
 from wheelstep.rehearsal.scale.settings import CLASSES, ORDERED
@@ -28,7 +28,7 @@
     def __init__(self, settings: api.Settings, seed: int, shards: int, partners: Partners, counts: Counts,
                  epoch_s: float) -> None:
         self._s, self._shards, self._partners, self._counts, self._epoch_s = settings, shards, partners, counts, epoch_s
-        self.turns = Turns(Sender(settings, seed), settings.tick_us, self._carry_out, self._call)
+        self.decision_loop = DecisionLoop(Sender(settings, seed), settings.tick_us, self._carry_out, self._call)
         self.listed_endpoints: dict[str, api.EndpointInfo] = {}
         self.destinations: Counter[int] = Counter()  # endpoints of each
         self.held: dict[str, StoredMessage] = {}  # taken on; the end is owed
@@ -73,9 +73,9 @@
         if (message := self.held.get(name)) is not None:
             self._numbers[name] = 0
             left_us = max(0, message.deadline_ms * 1000 - time.time_ns() // 1000)
-            self.turns.post(api.MessageAccepted(name, CLASSES.index(message.message_class), message.destination,
-                                                left_us, message.key if ORDERED[message.message_class] else None,
-                                                message.resubmitted))
+            self.decision_loop.post(api.MessageAccepted(
+                name, CLASSES.index(message.message_class), message.destination, left_us,
+                message.key if ORDERED[message.message_class] else None, message.resubmitted))
 
     def withdraw(self, name: str) -> None:
         self._settling.discard(name)
@@ -96,7 +96,7 @@
             if info.state is not api.EndpointState.REMOVED:
                 self.listed_endpoints[info.endpoint] = info
                 self.destinations[info.destination] += 1
-        self.turns.post(api.MembershipReceived(kind, tuple(info for info, _ in rows)))
+        self.decision_loop.post(api.MembershipReceived(kind, tuple(info for info, _ in rows)))
 
     def _unlist(self, endpoint: str) -> None:
         known = self.listed_endpoints.pop(endpoint, None)
@@ -107,7 +107,7 @@
 
     # --- what the module wants ---
 
-    def _carry_out(self, action: api.Action, calls: Sends) -> None:
+    def _carry_out(self, action: api.Action, calls: AttemptBatches) -> None:
         match action:
             case api.StartAttempt(message, endpoint, timeout_us):
                 number = self._numbers[message]
@@ -133,7 +133,7 @@
         info = self.listed_endpoints.get(endpoint)
         for item, timeout_us in sends:
             if info is None:
-                self.turns.post(api.AttemptEnded(item.message, item.attempt, endpoint, api.Outcome.NOT_SENT, 0))
+                self.decision_loop.post(api.AttemptEnded(item.message, item.attempt, endpoint, api.Outcome.NOT_SENT, 0))
                 continue
             outcome, spent_s = self._partners.call(self._now_s(), endpoint, info.destination, timeout_us / 1e6)
             handle = asyncio.get_running_loop().call_later(spent_s, self._ended, item, endpoint, outcome, spent_s)
@@ -149,18 +149,19 @@
                 self._forget(item.message)
             else:
                 self._counts.repeats += 1
-        self.turns.post(api.AttemptEnded(item.message, item.attempt, endpoint, outcome, int(spent_s * 1e6), complete))
+        self.decision_loop.post(
+            api.AttemptEnded(item.message, item.attempt, endpoint, outcome, int(spent_s * 1e6), complete))
 
     def _probe(self, endpoint: str) -> None:
         info = self.listed_endpoints.get(endpoint)
         if info is None:
-            self.turns.post(api.ProbeEnded(endpoint, api.Outcome.NOT_SENT, 0))
+            self.decision_loop.post(api.ProbeEnded(endpoint, api.Outcome.NOT_SENT, 0))
             return
         outcome, spent_s = self._partners.probe(self._now_s(), endpoint, info.destination, _PROBE_S)
 
         def ended() -> None:
             self._probes.discard(handle)
-            self.turns.post(api.ProbeEnded(endpoint, outcome, int(spent_s * 1e6)))
+            self.decision_loop.post(api.ProbeEnded(endpoint, outcome, int(spent_s * 1e6)))
         handle = asyncio.get_running_loop().call_later(spent_s, ended)
         self._probes.add(handle)
 
@@ -179,7 +180,7 @@
         for name in self._settling & self.held.keys():
             del self.held[name]
             self._counts.unsettled += 1
-        self.turns.end()
+        self.decision_loop.end()
         for handle in [*self._probes, *(handle for handle, _, _ in self._calls.values())]:
             handle.cancel()
         self._calls.clear()
--- a/wheelstep/rehearsal/scale/shelf.py
+++ b/wheelstep/rehearsal/scale/shelf.py
@@ -43,8 +43,8 @@
         for info in infos:
             self._unlist(info.endpoint)
             self._partners.close_idle(self._now_s(), info.endpoint)
-        self.turns.post(api.MembershipReceived(api.ListKind.CHANGES, tuple(removed)))
-        self.turns.post(api.DestinationsDropped(tuple(gone)))
+        self.decision_loop.post(api.MembershipReceived(api.ListKind.CHANGES, tuple(removed)))
+        self.decision_loop.post(api.DestinationsDropped(tuple(gone)))
 
     def owed(self) -> Mapping[int, int]:
         """How many messages are held, by shard."""
@@ -71,7 +71,7 @@
         now_s = time.monotonic()
         if now_s - self._noted_s >= _FRESH_S:
             self._noted_s, self._notes = now_s, {}
-            for note in self.turns.sender.notes(int(now_s * 1e6)):
+            for note in self.decision_loop.sender.notes(int(now_s * 1e6)):
                 if (info := self.listed_endpoints.get(note.endpoint)) is not None:
                     of = shard_of(info.destination, self._shards)
                     self._notes.setdefault(of, []).append(EndpointHealth(note.endpoint, 0, astuple(note.health)))
@@ -82,4 +82,4 @@
         for told in healths:
             if told.endpoint in self.listed_endpoints:
                 health = api.Health(*told.fields)  # type: ignore[arg-type]
-                self.turns.post(api.HealthRestored(told.endpoint, health, told.ago_us))
+                self.decision_loop.post(api.HealthRestored(told.endpoint, health, told.ago_us))
--- a/wheelstep/rehearsal/scale/undivided.py
+++ b/wheelstep/rehearsal/scale/undivided.py
@@ -50,7 +50,7 @@
         self._datagrams = Datagrams(seal, self._now_us, lambda data, to: self.net.send(to, data), self._packet,
                                     self._elder)
         self._watch = Watch(Address.parse(plan.discovery), NAMES, 0, self._listed, couriers=plan.hollow,
-                            seed=rng.randrange(1 << 30), most_s=3.0)
+                            seed=rng.randrange(1 << 30), max_s=3.0)
         self.traffic = Traffic(site.name, self._desk, lambda: self.ready, Draw(plan.destinations, rng), rng,
                                shared.answers, shared.took, shared.waited)
         self.marked: frozenset[int] = frozenset()
--- a/wheelstep/shards/book.py
+++ b/wheelstep/shards/book.py
@@ -1,11 +1,11 @@
-"""The courier's journal with an index of owed messages by shard (`courier.ports.Book`)."""
+"""The courier's journal with an index of owed messages by shard (`courier.ports.JournalPort`)."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-from wheelstep.courier.ports import Book
+from wheelstep.courier.ports import JournalPort
 from wheelstep.journal import StoredMessage
 from wheelstep.shards.types import shard_of
 
@@ -13,7 +13,7 @@
 class ShardBook:
     """Passes everything on to the journal. A message is owed until its end is written."""
 
-    def __init__(self, journal: Book, shards: int) -> None:
+    def __init__(self, journal: JournalPort, shards: int) -> None:
         self._journal, self._shards = journal, shards
         self._owed: dict[int, dict[str, StoredMessage]] = {}
         for message in journal.messages.values():
@@ -40,7 +40,7 @@
             if not owed:
                 del self._owed[shard]
 
-    # --- courier.ports.Book ---
+    # --- courier.ports.JournalPort ---
 
     @property
     def messages(self) -> dict[str, StoredMessage]:
--- a/wheelstep/shards/control.py
+++ b/wheelstep/shards/control.py
@@ -17,7 +17,7 @@
 
 from wheelstep import interface as api
 from wheelstep.courier.config import Address, Names
-from wheelstep.courier.watch import Reading, Watch
+from wheelstep.courier.watch import ListFormat, Watch
 from wheelstep.shards.list_rows import read_entry, read_list
 from wheelstep.shards.list_server import ListServer, Tells
 from wheelstep.shards.net import Sockets
@@ -46,7 +46,7 @@
         self.server = ListServer(shards)
         self.streams = Streams(net, keys, fleet, name, boot, self._heard, self._lost, now_us)
         self.watch = Watch(discovery, Names((), (), (), ()), 0, self._listed,
-                           reading=Reading(LIST_BYTES, read_list, _raw_rows))
+                           list_format=ListFormat(LIST_BYTES, read_list, _raw_rows))
         self._links: dict[str, StreamLink] = {}  # by peer; the newest link is used
         self._waiting: deque[tuple[int, bool, list[msgspec.Raw]]] = deque()
         self._list_arrived = asyncio.Event()
--- a/wheelstep/shards/shelf.py
+++ b/wheelstep/shards/shelf.py
@@ -43,7 +43,7 @@
 
     def drop(self, destinations: Iterable[int]) -> None:
         """Makes the core forget these destinations."""
-        self._core.forget(destinations)
+        self._core.drop_destinations(destinations)
 
     # --- what is owed ---
 
@@ -83,7 +83,7 @@
         if now_s - self._notes_read_s < _NOTES_MAX_AGE_S:
             return
         self._notes_read_s, self._notes = now_s, {}
-        for note in self._core.turns.sender.notes(int(now_s * 1e6)):
+        for note in self._core.decision_loop.sender.notes(int(now_s * 1e6)):
             if (info := self._core.endpoints.listed.get(note.endpoint)) is not None:
                 self._notes.setdefault(shard_of(info.destination, self._shards), []).append(note)
 
@@ -94,10 +94,10 @@
             if told.endpoint in self._core.endpoints.listed:
                 self._restore_health(told.endpoint, api.Health(*told.fields), told.ago_us)  # type: ignore[arg-type]
         for endpoint, left_us in waits:
-            self._core.endpoints.told_to_wait(endpoint, now_s, left_us / 1e6)
+            self._core.endpoints.apply_wait(endpoint, now_s, left_us / 1e6)
 
     def _restore_health(self, endpoint: str, health: api.Health, ago_us: int) -> None:
-        self._core.turns.post(api.HealthRestored(endpoint, health, ago_us))
+        self._core.decision_loop.post(api.HealthRestored(endpoint, health, ago_us))
 
     # --- from one process to the next ---
 
--- a/wheelstep/standalone/serve.py
+++ b/wheelstep/standalone/serve.py
@@ -98,7 +98,7 @@
             ends = front.ends = told.ends = Ends(config.state, self._found.limits.kept_ends, told.settled)
         except OSError as error:
             raise ConfigError(f"{config.state / Ends.FILE}: {error}") from error
-        core.notices, core.tells_deliveries = told, True
+        core.notices, core.notifies_deliveries = told, True
         self._sign()
         for name in journal.messages:
             if not mirrored(name):
@@ -121,7 +121,7 @@
             core.restore(journal.marks, journal.messages.values())
             gc.freeze()  # what was restored lives long: a collection that walked it all would stop the loop
             tasks = [group.create_task(work) for work in (
-                core.outlet.sweep(), server.sweep(), journal.run_compaction(), self._follow(renewed))]
+                core.endpoint_client.sweep(), server.sweep(), journal.run_compaction(), self._follow(renewed))]
             try:
                 port = await server.start(config.listen)
             except OSError as error:
@@ -190,7 +190,7 @@
 
     def _sign(self) -> None:
         """Calls are signed from now on, if any destination's are."""
-        self._core.outlet.sign = self._headers if self._signers else None
+        self._core.endpoint_client.sign = self._headers if self._signers else None
 
     def _headers(self, endpoint: str, item: Item) -> Sequence[tuple[str, str]]:
         signer = self._signers.get(endpoint.partition("/")[0])
--- a/wheelstep/upgrade/source.py
+++ b/wheelstep/upgrade/source.py
@@ -16,7 +16,7 @@
 from wheelstep.courier.call import Item, Result
 from wheelstep.courier.client_server import ClientServer
 from wheelstep.courier.core import Core
-from wheelstep.courier.ports import CallsOut
+from wheelstep.courier.ports import OpenCall
 from wheelstep.courier.rows import write_rows
 from wheelstep.upgrade import channel as channels
 from wheelstep.upgrade.channel import Channel, ConnectionLostError
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, folder: Path, core: Core, server: ClientServer, seq: Callable[[], int],
-                 close: Callable[[], None], inherited_calls: Callable[[], list[CallsOut]] = list) -> None:
+                 close: Callable[[], None], inherited_calls: Callable[[], list[OpenCall]] = list) -> None:
         """Prepare; `inherited_calls` returns the calls that the previous process still has in flight."""
         self._inherited_calls = inherited_calls
         self._folder, self._core, self._server, self._seq, self._close = folder, core, server, seq, close
@@ -87,7 +87,7 @@
         """Process the end of a successor's connection."""
         if channel is self._channel and self._handover.state is State.DONE:
             log.warning("the successor has ended: abandoning the calls that are still in flight")
-            self._spawn(self._core.outlet.abandon())
+            self._spawn(self._core.endpoint_client.abandon())
         self._perform(self._handover.lost(channel), channel)
 
     def _perform(self, action: Action, channel: Channel) -> None:
@@ -153,7 +153,7 @@
 
     async def _hand_over(self, channel: Channel) -> None:
         """Close the journal, then send the calls in flight, waits and settling keys."""
-        self._core.note_all()
+        self._core.journal_endpoint_health()
         calls = [[call.endpoint, call.sent_ms, call.attempts]
                  for call in [*self._core.calls_out(), *self._inherited_calls()]]
         settling = list(self._core.order.settling(time.monotonic()).items())
@@ -174,7 +174,7 @@
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener.fileno())
             self._listener.close()
-        log.info("handed over, %d calls still in flight", len(self._core.outlet.calls()))
+        log.info("handed over, %d calls still in flight", len(self._core.endpoint_client.calls()))
 
     def _send_outcomes(self, endpoint: str, results: Sequence[tuple[Item, Result]]) -> None:
         """Send the outcomes of calls that were in flight here at the handover."""
@@ -204,8 +204,8 @@
 
         Calls still in flight after that are closed before the successor is told that they have ended.
         """
-        await self._core.outlet.finish(timeout_s)
-        await self._core.outlet.abandon()
+        await self._core.endpoint_client.finish(timeout_s)
+        await self._core.endpoint_client.abandon()
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=_OUTCOMES_TIMEOUT_S)
 
--- a/wheelstep/upgrade/target.py
+++ b/wheelstep/upgrade/target.py
@@ -16,7 +16,7 @@
 from wheelstep.courier.call import Item, Result
 from wheelstep.courier.client_server import ClientServer
 from wheelstep.courier.core import Core
-from wheelstep.courier.ports import CallsOut
+from wheelstep.courier.ports import OpenCall
 from wheelstep.courier.rows import Row, read_rows
 from wheelstep.interface import Outcome
 from wheelstep.upgrade import channel as channels
@@ -36,7 +36,7 @@
     clients: list[tuple[socket.socket, bool, bytes]] = field(default_factory=list)
     rows: list[Row] = field(default_factory=list)
     seq: int = 0
-    calls: list[CallsOut] = field(default_factory=list)
+    calls: list[OpenCall] = field(default_factory=list)
     waits: dict[str, int] = field(default_factory=dict)
     settling: dict[str, int] | None = None  # keys, and for how many microseconds each settles; None if not sent
 
@@ -73,7 +73,7 @@
                 transferred.seq = int(head["seq"])
             case "calls":
                 transferred.calls += [
-                    CallsOut(str(endpoint), int(sent_ms), [(str(name), int(n)) for name, n in attempts])
+                    OpenCall(str(endpoint), int(sent_ms), [(str(name), int(n)) for name, n in attempts])
                     for endpoint, sent_ms, attempts in head["rows"]]
             case "waits":
                 self._add_waits({str(endpoint): int(left_us) for endpoint, left_us in head["rows"]})
@@ -96,7 +96,7 @@
                 self.transferred.waits[endpoint] = max(self.transferred.waits.get(endpoint, 0), left_us)
             return
         for endpoint, left_us in waits.items():
-            self._core.told_to_wait(endpoint, left_us)
+            self._core.apply_wait(endpoint, left_us)
 
     def _on_lost(self) -> None:
         """Process the end of the connection: attempts whose outcome can no longer arrive may have run."""
@@ -135,7 +135,7 @@
         """
         self._in_flight = {attempt: call.endpoint for call in self.transferred.calls for attempt in call.attempts}
         for endpoint, left_us in self.transferred.waits.items():
-            core.told_to_wait(endpoint, left_us)
+            core.apply_wait(endpoint, left_us)
         for connection, idle, raw in self.transferred.clients:
             with contextlib.suppress(OSError):  # its client has disconnected meanwhile
                 await server.adopt(connection, idle, raw)
@@ -149,7 +149,7 @@
         else:
             self._on_lost()
 
-    def calls_in_flight(self) -> list[CallsOut]:
+    def calls_in_flight(self) -> list[OpenCall]:
         """Return the calls of the previous process that have no outcome yet."""
         calls = [replace(call, attempts=[attempt for attempt in call.attempts if attempt in self._in_flight])
                  for call in self.transferred.calls]
@@ -163,7 +163,7 @@
             if self._in_flight.pop((name, number), None) is None:
                 continue
             if wait_us:
-                self._core.told_to_wait(endpoint, wait_us)
+                self._core.apply_wait(endpoint, wait_us)
             results.append((Item(name, number, None, b""), Result(
                 Outcome(outcome), spent_us, wait_us, api.LimitReport(*limit) if limit else None, over, exhausted,
                 unfinished=[name, number] in head.get("unfinished", ()))))
--- a/wheelstep/workers/supervisor.py
+++ b/wheelstep/workers/supervisor.py
@@ -18,7 +18,7 @@
 from wheelstep.courier.listing import entries
 from wheelstep.courier.rows import Row, write_rows
 from wheelstep.courier.shutdown import ignore_signals
-from wheelstep.courier.spread import callers, longest_s
+from wheelstep.courier.spread import calling_couriers, max_retry_s
 from wheelstep.courier.watch import Watch
 from wheelstep.workers import ownership
 from wheelstep.workers.frames import Frames
@@ -64,8 +64,8 @@
         seq = self._config.known.get("seq", 0)
         async with asyncio.TaskGroup() as self._group:
             watch = Watch(self._config.discovery, self._config.names, seq if isinstance(seq, int) else 0,
-                          self._listed, callers(self._config.settings), self._config.seed,
-                          longest_s(self._config.settings))
+                          self._listed, calling_couriers(self._config.settings), self._config.seed,
+                          max_retry_s(self._config.settings))
             tasks = [self._group.create_task(work) for work in (
                 self._tick(), watch.run(),
                 follow_config(self._config, renewed, watch, self, on_applied=self._reload))]
--- a/wheelstep/workers/worker.py
+++ b/wheelstep/workers/worker.py
@@ -172,7 +172,7 @@
             self._notices = self._core.notices = Notifier(http, self._config.discovery, self._core.answered)
             counters = await loop.create_unix_server(lambda: OwnerSide(self._ours).frames, self._path)
             self._tasks = [self._group.create_task(work) for work in (
-                self._beat(), server.sweep(), self._notices.run(), self._core.outlet.sweep())]
+                self._beat(), server.sweep(), self._notices.run(), self._core.endpoint_client.sweep())]
             if self._core.account is not None:
                 self._tasks.append(self._group.create_task(self._core.account.run(self._core.gauge)))
             await loop.create_unix_connection(lambda: self._control, sock=control)
