--- a/wheelstep/courier/endpoints.py
+++ b/wheelstep/courier/endpoints.py
@@ -82,7 +82,7 @@
 
     def restore(self, marks: Mapping[str, Any]) -> None:
         """Restore excluded endpoints from the journal's marks, and pass the noted health of listed endpoints to the
-        decision module."""
+        decision module; that of unlisted ones is removed from the journal."""
         self.excluded.update(name.removeprefix(_EXCLUDED_MARK) for name in marks if name.startswith(_EXCLUDED_MARK))
         for endpoint in self.excluded & self.listed.keys():
             self.post_membership(api.ListKind.CHANGES, [self.listed[endpoint]])
--- a/wheelstep/courier/spread.py
+++ b/wheelstep/courier/spread.py
@@ -29,7 +29,7 @@
 
 def max_retry_s(settings: Settings) -> float:
     """Return the longest wait after failures: a courier whose call failed and that has not asked for four times
-    `ask_within_us` counts as informed (WIRE, 'Settings')."""
+    `ask_within_us` counts as informed (WIRE, 'Settings'). Infinite if `ask_within_us` is 0."""
     return settings.ask_within_us * 4 / 1e6 or math.inf
 
 
@@ -37,11 +37,11 @@
     """Return the seconds to wait before the next call, after `failures` consecutive failed calls (0: the first
     since a start, a move of discovery, or a lost watch). The call before lasted for `lasted_s`.
 
-    Jitter over a span that grows with the number of couriers and doubles with each failure, up to `max_s`. It
-    protects a service that takes only so many calls a second from all couriers, rejected ones included, against all
-    calling at once, as at a release, and against staying overloaded by their repeated calls. The cost: a courier
-    whose call alone failed hears of changes some seconds later. A single courier begins at once, and its first two
-    calls begin `RETRY_S` apart; see `calling_couriers`.
+    Jitter over a span that grows with the number of couriers and doubles with each failure, up to `max_s`, but at
+    least `RETRY_S`. It protects a service that takes only so many calls a second from all couriers, rejected ones
+    included, against all calling at once, as at a release, and against staying overloaded by their repeated calls.
+    The cost: a courier whose call alone failed hears of changes some seconds later. A single courier begins at
+    once, and its first two calls begin `RETRY_S` apart; see `calling_couriers`.
     """
     if couriers <= 1 and failures == 1:
         return max(0.0, RETRY_S - lasted_s)
--- a/wheelstep/courier/watch.py
+++ b/wheelstep/courier/watch.py
@@ -76,7 +76,8 @@
             self._rescheduled.set()
 
     async def wait_first_answer(self, within_s: float) -> None:
-        """Wait for the first answer, for `within_s` at most. Returns at once where calls are spread."""
+        """Wait for the first answer, for `within_s` at most; a time-out raises nothing. Returns at once where calls are
+        spread, or any answer came before."""
         if self._couriers <= 1:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self._first_answer.wait(), within_s)
