--- a/tests/crossings_judge.py
+++ b/tests/crossings_judge.py
@@ -77,11 +77,11 @@
                 - {name for _, name, _ in self.notices})
 
     def gone_near(self, at: float) -> bool:
-        """Was the process away, or about to be?"""
+        """Return whether the process was away then, or within `SURE_S` before or after."""
         return any(begin - SURE_S <= at <= end + SURE_S for begin, end in self.away)
 
     def killed_near(self, one: HandIn) -> bool:
-        """Nobody answers for the dead."""
+        """Return whether the process was killed during the hand-in or within `SURE_S` of it: its answer may be lost."""
         return any(one.begun_at - SURE_S <= at <= one.over_at + SURE_S for at in self.killed)
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -34,7 +34,7 @@
     debt: bool = False
 
     def call(self, now_us: int) -> bool:
-        """Is this one served?"""
+        """Return whether this call is served."""
         size = self.per_s * self.depth_s
         self.left = min(1.0, self.left + (now_us - self.at_us) / 1e6 * self.per_s / size)
         self.at_us = now_us
@@ -54,7 +54,7 @@
     busy: int = 0
 
     def take(self, number: int, now_us: int, idle_us: int) -> bool:
-        """May this sender's call go?"""
+        """Take a connection for the sender's call. False if none is idle and no place is free."""
         self.idle = {whose: since for whose, since in self.idle.items() if now_us - since < idle_us}
         if self.idle.pop(number, None) is None and self.busy + len(self.idle) >= self.places:
             return False
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -134,7 +134,7 @@
 
 
 def full(config: pytest.Config) -> bool:
-    """Is every test of the project asked for?"""
+    """Return whether the run covers every test of the project."""
     given = config.option
     return config.args_source is not pytest.Config.ArgsSource.ARGS and not any(
         getattr(given, name, None) for name in ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf",
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -212,7 +212,7 @@
 
 
 def test_many_silent_connections_do_not_keep_other_clients_out() -> None:
-    """Without a limit on connections, silent ones used up the descriptors."""
+    """Without a limit on connections, silent ones used up the descriptors, and no other client could connect."""
     async def work() -> None:
         async with Scene(max_connections=48) as s:
             connections = [await s.connect() for _ in range(200)]
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -223,7 +223,7 @@
 
 
 def test_the_health_of_a_failing_endpoint_is_kept_over_sigkill(tmp_path: Path) -> None:
-    """Guards a destination that has just come back against a restarted courier that sends it all messages at once."""
+    """Guards a destination that comes back cold against a restarted courier that sends it all messages at once."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
             s.platform.list(host("e0", "127.0.0.1:1"))  # nobody listens there
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -105,7 +105,7 @@
                 while True:  # blocks while nothing is read; reset at the time limit
                     await asyncio.wait_for(loop.sock_sendall(client, request("late", b"x" * 60_000)), 10)
             assert loop.time() - began < LINGER_S + 2
-            assert MAX_DISCARDED_BYTES <= connection._discarded_bytes < MAX_DISCARDED_BYTES + 2**18  # one read more
+            assert MAX_DISCARDED_BYTES <= connection._discarded_bytes < MAX_DISCARDED_BYTES + 2**18  # plus one read
             assert list(s.admission.taken) == ["m"] and not s.connections.all()
             s.connections.report()
             sweep.cancel()
@@ -120,7 +120,7 @@
             clients = [s.client(request(f"m{n}", headers=CLOSE)) for n in range(70)]
             for client in clients:
                 assert b" 202 " in await read_all(client)
-            assert len(s.connections.all()) <= 20  # a fifth, though none of the 70 clients has closed
+            assert len(s.connections.all()) <= 20  # a fifth of the limit, though none of the 70 clients has closed
             s.connections.sweep()
             s.age(Phase.ENDING)
             s.connections.sweep()
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -51,7 +51,7 @@
 
 
 def test_change_during_any_silence_is_known_within_the_news_limit() -> None:
-    """Guards against silence that lasts too long: without hedging 9.5 s, and for ever with a slow drip."""
+    """Without hedging: 9.5 s if the next watch is silent too, and a watch that drips slowly is never given up."""
     words = ("mute", "head", "dribble", "half", "spaces")
     run_together(*(known_in_time(SilentAgent("well", word, "well")) for word in (*words, "full", "break")),
                  *(known_in_time(SilentAgent("well", word, "well"), 200, seed) for seed, word in enumerate(words)),
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -93,7 +93,7 @@
                 journal.take(StoredMessage(f"{round_}-{number}", "cls", 7, 1000, body=b"x" * 65536))
                 taken.append(f"{round_}-{number}")
                 most = max(most, used())
-        assert len(journal.messages) >= 30  # more than half of the disk
+        assert len(journal.messages) >= 30  # more than half of the disk; compaction by copying all of it left half
         for attempt in range(12):
             for name in taken:
                 journal.attempt(name, attempt, 5, "e0")
--- a/tests/test_outlet.py
+++ b/tests/test_outlet.py
@@ -212,7 +212,7 @@
 
 
 def test_malformed_answer_counts_as_may_have_run_and_closes_its_connection() -> None:
-    """Guards against a torn 503 read as not run, a bad 200 as a reset, and a slot held by an endless head."""
+    """Guards against a torn 503 read as not run, a bad 200 as a reset, and an endless head held until the time-out."""
     async def work() -> None:
         async def check(name: str, status: int, count: int) -> None:
             pieces = [piece.replace(b"%d", str(status).encode()) for piece in MALFORMED[name]]
--- a/tests/test_shard_router.py
+++ b/tests/test_shard_router.py
@@ -1,4 +1,4 @@
-"""The router's decisions: each row of the decision table, and the difficult cases."""
+"""The router's decisions: each row of the design note's decision table, and the difficult cases."""
 
 from __future__ import annotations
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -66,7 +66,8 @@
 
 
 def test_only_where_each_courier_asks_for_the_list_are_the_calls_of_all_spread() -> None:
-    """An agent that sends changes by itself counts a change as known at once, so a watch must not begin late."""
+    """An agent that sends changes by itself counts a change as known at once: a watch that begins 5 s late breaks the
+    rule."""
     classes = (api.MessageClass(2_000_000, 20_000_000, api.Effect.SAFE),)
     asking, told = (Settings(classes=classes, slots=4, senders=200, ask_for_list=asks) for asks in (True, False))
     assert callers(asking) == 200 and callers(told) == 1
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -373,7 +373,7 @@
             assert await s.post("m3", "/nowhere") == 404
             async with aiohttp.ClientSession() as http, http.post(s.url + "/a/1", headers=[
                     ("Authorization", f"Bearer {TOKEN}"), ("X-Request-Id", "m4"), ("X-Request-Id", "m5")]) as answer:
-                assert answer.status == 400  # which of the two would be owed an end?
+                assert answer.status == 400  # with two ids it is unclear which is owed an end
             assert await s.post("m4", "/a/1", "none") == 400 and await s.post("m~4", "/a/1") == 400
             assert not any(TOKEN in line for line in s.log)
             await s.stop(signal.SIGKILL)
--- a/wheelstep/console/front.py
+++ b/wheelstep/console/front.py
@@ -11,7 +11,7 @@
 from wheelstep.courier.listener import BACKLOG, open_listener
 
 MAX_CONNECTIONS = 20  # concurrent connections; one more closes the oldest one whose command is incomplete
-_TIME_LIMIT_S = 5.0  # time limit of a connection
+_TIME_LIMIT_S = 5.0  # time limit of a connection, from its opening until it is closed
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +92,7 @@
         """Add a connection.
 
         Bounds the file descriptors: beyond `MAX_CONNECTIONS`, the oldest one that has sent no complete command is
-        closed.
+        closed. So clients that never finish their command do not displace those that have.
         """
         self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
--- a/wheelstep/journal/recovery.py
+++ b/wheelstep/journal/recovery.py
@@ -1,7 +1,7 @@
 """Reading a journal's folder: replay, torn tails, damage, segments no longer in use, and an old-format file.
 
 `read` changes nothing; `clean_up` then removes torn and unused data. Both can be interrupted at any point and run
-again.
+again; for `clean_up` the order of its steps ensures that.
 """
 
 from __future__ import annotations
--- a/wheelstep/recording/writer.py
+++ b/wheelstep/recording/writer.py
@@ -1,4 +1,6 @@
-"""The daemon's side of a recording: a size-limited file. A failure to write ends the recording and affects no message.
+"""The daemon's side of a recording: a size-limited file, for which no message waits.
+
+A failure to write ends the recording and affects no message.
 """
 
 from __future__ import annotations
--- a/wheelstep/shards/hosting.py
+++ b/wheelstep/shards/hosting.py
@@ -16,7 +16,7 @@
 
     OPENING = "opening"  # home by this courier's view, but rows or learned state have not arrived
     HOME = "home"
-    LEAVING = "leaving"  # another is home: accepts only messages of ordered keys owed here
+    LEAVING = "leaving"  # another is home: finishes what it owes, and accepts only ordered keys owed here
     GUEST = "guest"  # not home; serves messages for which the home could not be asked
 
 
--- a/wheelstep/shards/list_server.py
+++ b/wheelstep/shards/list_server.py
@@ -241,5 +241,5 @@
         return self._refusals.counts
 
     def notes(self, now_us: int) -> list[str]:
-        """Lines for operators about refused input, rate-limited (see `Refusals.lines`)."""
+        """Lines for operators about refused input: one per reason in 10 seconds at most."""
         return self._refusals.lines(now_us)
--- a/wheelstep/shards/node.py
+++ b/wheelstep/shards/node.py
@@ -86,7 +86,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tells whether clients may connect: once its shards were open, or after some seconds without."""
+        """Tells whether clients may connect: once no shard is opening, or after some seconds (`READY_TIMEOUT_US`)."""
         if not self._was_ready and self.formed:
             late_us = self._started_us + self.settings.forms_within_us + READY_TIMEOUT_US
             self._was_ready = self.now_us() > late_us or not self.hosting.of(Life.OPENING)
@@ -148,7 +148,7 @@
         rests_us = 0 if key is None else self.handoff.rests_us(self.now_us(), destination, message_class, key)
         home = self.homes.home(shard) if self.formed else None
         if home and (known := self.membership.member(home)) and known.state is State.SUSPECT:
-            home = None  # a guest takes over: asking a dead courier leaves messages in doubt
+            home = None  # a guest takes over until this is settled: a dead home would not answer, which leaves doubt
         room, rows = self.formed and self.hosting.guest_room(), self.hosting.has_rows(shard)
         return View(life, home, owes, rests_us, room, rows)
 
--- a/wheelstep/shards/router.py
+++ b/wheelstep/shards/router.py
@@ -20,7 +20,7 @@
 _RETRY_AFTER_US = 1_000_000
 _KEY_RELEASED_RETRY_US = 50_000  # the former home owes nothing of the key: the new home can be asked at once
 _ASK_TIMEOUT_US = 5_000_000  # an ask whose result is not reported by then counts as silent
-_LOCAL_WAIT_US = 1_000_000  # how long an id that waits for its shard here is not asked of others
+_LOCAL_WAIT_US = 1_000_000  # a shard's rows are waited for within this; meanwhile no courier is asked for the id
 
 
 @dataclass(slots=True)
--- a/wheelstep/shards/routing.py
+++ b/wheelstep/shards/routing.py
@@ -1,4 +1,7 @@
-"""Carries out the router's decisions: takes messages here, passes them on, waits for shards, or turns messages away."""
+"""Carries out the router's decisions: takes messages here, passes them on, waits for shards, or turns messages away.
+
+Decides nothing itself.
+"""
 
 from __future__ import annotations
 
@@ -119,6 +122,7 @@
 
     def _resume(self, answer: asyncio.Future[None], desk: RoutedDesk, message: StoredMessage, request: Request,
                 changed: bool) -> None:
+        """Decides again after a wait: the shard has changed (`changed`), or the time limit of the wait has passed."""
         if not answer.done():
             decision = self._router.decide(self._places.now_us(), request, self._view(request))
             if isinstance(decision, Ask):  # the wait has outlasted the router's record of it
