--- a/tests/test_shard_links.py
+++ b/tests/test_shard_links.py
@@ -11,7 +11,7 @@
 from wheelstep.fleet.packets import STREAM_BYTES
 from wheelstep.shards.net import Sockets
 from wheelstep.shards.ports import Lost, Pipe, Received
-from wheelstep.shards.stream_link import BATCH_BYTES, BEHIND_BYTES
+from wheelstep.shards.stream_link import MAX_BATCH_BYTES, MAX_BEHIND_BYTES
 from wheelstep.shards.types import Batch, Current, Forwarded
 
 
@@ -98,9 +98,9 @@
         assert dialler.seal.open(packet, PAYLOAD).payload == Batch(tuple(Current(number) for number in range(5)))
         dialler.wire.written.clear()
         sent = [Forwarded({"n": number}, bytes((number,)) * size) for number, size in enumerate(
-            (1_500_000, 1_500_000, 1_500_000, 10, BATCH_BYTES - 100, BATCH_BYTES - 50))]
+            (1_500_000, 1_500_000, 1_500_000, 10, MAX_BATCH_BYTES - 100, MAX_BATCH_BYTES - 50))]
         assert all(link.send(frame) for frame in sent)
-        assert not link.send(Forwarded({}, b"x" * BATCH_BYTES)) and link.open
+        assert not link.send(Forwarded({}, b"x" * MAX_BATCH_BYTES)) and link.open
         assert node.streams.refused == {"frame-size": 1}
         await asyncio.sleep(0)
         found = packets(bytes(dialler.wire.written))
@@ -116,7 +116,7 @@
         dialler = Dialler(node)
         dialler.say(Current(0))
         link = node.heard[0][0]
-        dialler.wire.behind = BEHIND_BYTES
+        dialler.wire.behind = MAX_BEHIND_BYTES
         assert link.send(Current(1)) and not link.send(Current(2)) and not link.open
         refusal(node, dialler, "behind", 1)
         await asyncio.sleep(0)
--- a/tests/test_shard_list_server.py
+++ b/tests/test_shard_list_server.py
@@ -7,7 +7,7 @@
 from shard_lists import SHARDS, row
 
 from wheelstep.shards.list_rows import digest_of
-from wheelstep.shards.list_server import ANSWER_BYTES, ListServer
+from wheelstep.shards.list_server import MAX_ANSWER_BYTES, ListServer
 from wheelstep.shards.types import Behind, Current, Follow, Frame, KeysReleased, ListRow, ShardRows, Unfollow, shard_of
 
 
@@ -68,7 +68,7 @@
     long = [ListRow(f"h{number}", f"{'x' * 800}:1", "a", "web", number, "SERVING") for number in range(1_000)]
     server.listed(0, 1, True, long)
     told = [frame for _, frame in server.heard(0, "c", Follow(0, tuple((shard, 0) for shard in range(shards))))]
-    assert ANSWER_BYTES <= len(msgspec.msgpack.encode(told)) < 2 * ANSWER_BYTES
+    assert MAX_ANSWER_BYTES <= len(msgspec.msgpack.encode(told)) < 2 * MAX_ANSWER_BYTES
     change = row(0)
     assert shard_of(0, shards) not in {frame.shard for frame in told}
     assert server.listed(1, 2, False, [change]) == [], "a difference to what was not told yet"
--- a/tests/test_shard_streams.py
+++ b/tests/test_shard_streams.py
@@ -11,7 +11,7 @@
 from shard_streams import NONCE, PAYLOAD, Dialler, Node, Wire, framed, packets, refusal, seal_for
 
 from wheelstep.fleet.packets import STREAM_BYTES, Elder
-from wheelstep.shards.stream_link import FIRST_BYTES
+from wheelstep.shards.stream_link import MAX_FIRST_BYTES
 from wheelstep.shards.types import Batch, Current
 
 
@@ -71,7 +71,7 @@
             refusal(node, Dialler(node, hello), "hello")
         node = Node()
         dialler = Dialler(node)
-        dialler.raw(struct.pack(">I", FIRST_BYTES + 1))
+        dialler.raw(struct.pack(">I", MAX_FIRST_BYTES + 1))
         refusal(node, dialler, "length")
         node = Node()
         dialler = Dialler(node)
--- a/wheelstep/shards/handoff.py
+++ b/wheelstep/shards/handoff.py
@@ -93,9 +93,9 @@
         if pushed is None or pushed.to != to or not pushed.acknowledged:
             pushed = self._pushed[shard] = PushState(to)
         frame, released = pushed.changes(now_us, shard, self._next_number(), healths, waits, keys)
-        acts: list[HandoffAction] = [SendTo(to, each) for each in (frame, released) if each is not None]
-        self.counts["pushed" if acts else "nothing_new"] += 1
-        return acts
+        actions: list[HandoffAction] = [SendTo(to, each) for each in (frame, released) if each is not None]
+        self.counts["pushed" if actions else "nothing_new"] += 1
+        return actions
 
     def release_keys(self, now_us: int, shard: int, keys: Iterable[KeyName]) -> list[HandoffAction]:
         """This courier owes nothing of these keys any more: tells the courier that the shard was handed to."""
@@ -110,10 +110,10 @@
         handover = self._handovers.get(shard)
         if handover is None:
             return []
-        acts = _release_actions(handover, handover.release(list(handover.own_keys)))
+        actions = _release_actions(handover, handover.release(list(handover.own_keys)))
         handover.dropped = True
         self._forget_handover(shard, handover)
-        return acts
+        return actions
 
     def lost(self, courier: str) -> None:
         """The link to the courier has ended; as it may have restarted, the next push is complete."""
@@ -149,7 +149,7 @@
 
     def tick(self, now_us: int) -> list[HandoffAction]:
         """Repeats handovers that were not acknowledged; to be called at `next_us` or later."""
-        acts: list[HandoffAction] = []
+        actions: list[HandoffAction] = []
         for shard, _ in self._retries.pop_expired(now_us):
             handover = self._handovers[shard]
             if handover.tries >= self._max_tries:
@@ -160,8 +160,8 @@
             handover.tries += 1
             self._retries.put(shard, None, now_us + self._retry_us)
             self.counts["given_again"] += 1
-            acts.append(SendTo(handover.to, handover.frame(now_us)))
-        return acts
+            actions.append(SendTo(handover.to, handover.frame(now_us)))
+        return actions
 
     def rests_us(self, now_us: int, destination: int, message_class: str, key: str) -> int:
         """How long a former home may still owe this ordered key; 0 if none does."""
--- a/wheelstep/shards/homes.py
+++ b/wheelstep/shards/homes.py
@@ -20,7 +20,7 @@
         self.ring = HashRing(shards, load)
         self._unseen_self: Member | None = me
         self._zones: dict[str, str] = {}  # zone of each courier on the ring
-        self._in_zone: Counter[str] = Counter()
+        self._zone_counts: Counter[str] = Counter()
 
     def saw(self, now_us: int, members: Iterable[Member]) -> set[int]:
         """Takes each change of a member's state, zone or weight and returns the shards whose home changed. Members that
@@ -32,11 +32,11 @@
         changed = self.ring.update({name: self._weight(member) for name, member in changes.items()})
         for name, member in changes.items():
             if (before := self._zones.pop(name, None)) is not None:
-                self._in_zone[before] -= 1
+                self._zone_counts[before] -= 1
             if self.ring.weight_of(name):
                 self._zones[name] = member.zone
-                self._in_zone[member.zone] += 1
-        self._in_zone += Counter()  # drops the zones that have no courier left
+                self._zone_counts[member.zone] += 1
+        self._zone_counts += Counter()  # drops the zones that have no courier left
         return changed
 
     def _weight(self, member: Member) -> float:
@@ -58,7 +58,7 @@
         for name in self.ring.walk(shard):
             if name == home:
                 continue
-            if self._zones[name] != zone or len(self._in_zone) == 1:
+            if self._zones[name] != zone or len(self._zone_counts) == 1:
                 return name
         return None
 
--- a/wheelstep/shards/hosting.py
+++ b/wheelstep/shards/hosting.py
@@ -139,29 +139,29 @@
     def owed(self, now_us: int, owed: Mapping[int, int]) -> list[HostingAction]:
         """Takes the number of messages owed by shard; shards not named owe none. A shard with messages owed that is not
         served, as after a restart from the journal, is served until they have ended."""
-        acts: list[HostingAction] = []
+        actions: list[HostingAction] = []
         for shard, count in owed.items():
             if count > 0 and shard not in self._shards:
                 self._shards[shard] = _Shard(Life.LEAVING, now_us, now_us)
                 self._set_phase(shard, Life.LEAVING)
-                acts.append(FollowShard(shard))
+                actions.append(FollowShard(shard))
         for shard in sorted(self._by_phase[Life.LEAVING] | self._by_phase[Life.GUEST]):
             state = self._shards[shard]
             state.owed = owed.get(shard, 0) > 0
-            acts += self._look(now_us, shard, state)
-        return acts
+            actions += self._look(now_us, shard, state)
+        return actions
 
     def tick(self, now_us: int) -> list[HostingAction]:
         """Handles timeouts; to be called at `next_us` or later."""
-        acts: list[HostingAction] = []
+        actions: list[HostingAction] = []
         for shard, _ in self._timeouts.pop_expired(now_us):
             state = self._shards[shard]
             idle_until_us = state.last_used_us + self._guest_idle_us
             if state.life is Life.GUEST and idle_until_us > now_us:
                 self._timeouts.put(shard, None, idle_until_us)
             else:  # a guest that may owe messages is checked again by `owed`
-                acts += self._look(now_us, shard, state)
-        return acts
+                actions += self._look(now_us, shard, state)
+        return actions
 
     # --- queries ---
 
--- a/wheelstep/shards/list_client.py
+++ b/wheelstep/shards/list_client.py
@@ -76,12 +76,12 @@
         """Stops following these shards and forgets their rows."""
         old = {shard: known for shard in shards if (known := self._followed.pop(shard, None)) is not None}
         left = {host: self._hosts.remove(host, shard) for shard, known in old.items() for host in known.rows}
-        acts: list[ListAct] = [Changed(shard, (self._followed[shard].rows[host],), False)
-                               for host, shard in left.items() if shard in self._followed]
+        actions: list[ListAct] = [Changed(shard, (self._followed[shard].rows[host],), False)
+                                  for host, shard in left.items() if shard in self._followed]
         if old and self._in_use:
             self._recently_unfollowed.update(old)
-            acts.append(Tell(self.control, Unfollow(tuple(old))))
-        return acts
+            actions.append(Tell(self.control, Unfollow(tuple(old))))
+        return actions
 
     def _subscribe(self, shards: Iterable[int]) -> list[ListAct]:
         if not self._in_use:
--- a/wheelstep/shards/list_rows.py
+++ b/wheelstep/shards/list_rows.py
@@ -16,8 +16,8 @@
 
 DELETED = "DELETED"
 HEALTHS = ("SERVING", "DRAINING", DELETED)
-ROW_BYTES = 1_024  # maximum size of a packed row
-SHARD_ROWS = 65_536  # maximum number of rows of one shard
+MAX_ROW_BYTES = 1_024  # maximum size of a packed row
+MAX_SHARD_ROWS = 65_536  # maximum number of rows of one shard
 _NULL = msgspec.Raw(b"null")
 _MASK = (1 << 64) - 1
 
@@ -115,7 +115,7 @@
         size = len(_encode(row))
     except (ValueError, OverflowError) as error:
         return f"row that cannot be encoded: {error}"[:200] + "; expected UTF-8 and 64-bit numbers"
-    return f"row of {size} bytes; expected {ROW_BYTES} at most" if size > ROW_BYTES else ""
+    return f"row of {size} bytes; expected {MAX_ROW_BYTES} at most" if size > MAX_ROW_BYTES else ""
 
 
 def deleted(row: ListRow) -> ListRow:
--- a/wheelstep/shards/list_server.py
+++ b/wheelstep/shards/list_server.py
@@ -14,8 +14,8 @@
 
 SLICE_ROWS = 1_000  # rows handled in one step of a whole list
 SLICE_CHANGES = 200  # rows handled in one step of changes
-ANSWER_BYTES = 256 << 10  # of rows to one peer at a time; the rest follows later
-ANSWER_US = 50_000  # the pause before the rest
+MAX_ANSWER_BYTES = 256 << 10  # of rows to one peer at a time; the rest follows later
+ANSWER_PAUSE_US = 50_000  # the pause before the rest
 NEVER_US = 1 << 62
 
 Tells = list[tuple[str, Frame]]
@@ -176,14 +176,14 @@
     def _answer(self, now_us: int, name: str, peer: _Peer) -> Tells:
         """The shards owed to the peer, up to the limit for one turn."""
         tells: Tells = []
-        room = ANSWER_BYTES
+        room = MAX_ANSWER_BYTES
         while peer.owed and room > 0:
             shard = next(iter(peer.owed))
             del peer.owed[shard]
             room -= self._table.bytes_of(shard) + 32
             tells.append((name, ShardRows(self.seq, shard, self._table.digest(shard), True, self._table.rows(shard))))
         if peer.owed:
-            self._owed_due_us = min(self._owed_due_us, now_us + ANSWER_US)
+            self._owed_due_us = min(self._owed_due_us, now_us + ANSWER_PAUSE_US)
         else:
             tells.append((name, Current(self.seq)))
         return tells
--- a/wheelstep/shards/list_shard.py
+++ b/wheelstep/shards/list_shard.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from wheelstep.shards.list_rows import DELETED, SHARD_ROWS, deleted, digest_of_sum, hash_of, packed, row_error
+from wheelstep.shards.list_rows import DELETED, MAX_SHARD_ROWS, deleted, digest_of_sum, hash_of, packed, row_error
 from wheelstep.shards.types import ListRow, ShardRows, shard_of
 
-FRAME_BYTES = 4 << 20  # maximum size of a frame's rows
+MAX_FRAME_BYTES = 4 << 20  # maximum size of a frame's rows
 
 
 class RefusedError(Exception):
@@ -21,8 +21,8 @@
 
 def validate(frame: ShardRows, shards: int) -> None:
     """Raises `RefusedError` if the rows are too many or too large, invalid, or of another shard."""
-    if len(frame.rows) > SHARD_ROWS:
-        raise RefusedError("size", f"{len(frame.rows)} rows; expected {SHARD_ROWS} at most")
+    if len(frame.rows) > MAX_SHARD_ROWS:
+        raise RefusedError("size", f"{len(frame.rows)} rows; expected {MAX_SHARD_ROWS} at most")
     size = 0
     for row in frame.rows:
         if error := row_error(row):
@@ -32,8 +32,8 @@
         if frame.whole and row.health == DELETED:
             raise RefusedError("row", "DELETED row in a whole set; expected listed rows only")
         size += len(packed(row))
-    if size > FRAME_BYTES:
-        raise RefusedError("size", f"{size} bytes of rows; expected {FRAME_BYTES} at most")
+    if size > MAX_FRAME_BYTES:
+        raise RefusedError("size", f"{size} bytes of rows; expected {MAX_FRAME_BYTES} at most")
 
 
 @dataclass(slots=True)
@@ -62,8 +62,8 @@
             if row.health != DELETED:
                 rows[row.host] = row
                 total += hash_of(packed(row))
-        if len(rows) > SHARD_ROWS:
-            raise RefusedError("size", f"shard of {len(rows)} rows; expected {SHARD_ROWS} at most")
+        if len(rows) > MAX_SHARD_ROWS:
+            raise RefusedError("size", f"shard of {len(rows)} rows; expected {MAX_SHARD_ROWS} at most")
         if digest_of_sum(total) != frame.digest:
             return None
         changes = [row for host, row in rows.items() if self.rows.get(host) != row]
--- a/wheelstep/shards/list_table.py
+++ b/wheelstep/shards/list_table.py
@@ -7,7 +7,7 @@
 import msgspec
 import xxhash
 
-from wheelstep.shards.list_rows import DELETED, SHARD_ROWS, digest_of_sum, hash_of, packed
+from wheelstep.shards.list_rows import DELETED, MAX_SHARD_ROWS, digest_of_sum, hash_of, packed
 from wheelstep.shards.types import ListRow, shard_of
 
 _ROWS = msgspec.msgpack.Decoder(tuple[ListRow, ...])
@@ -55,7 +55,7 @@
         before = self._shard_by_host.get(key)
         if row.health == DELETED:
             return set() if before is None else self._remove(key, before, row.host)
-        if before != shard and self._counts[shard] >= SHARD_ROWS:
+        if before != shard and self._counts[shard] >= MAX_SHARD_ROWS:
             return None
         data = packed(row)
         if before is not None:
--- a/wheelstep/shards/lives.py
+++ b/wheelstep/shards/lives.py
@@ -70,9 +70,9 @@
 
     def serve_as_guest(self, shard: int) -> bool:
         """Starts serving the shard as guest; False if there is no room."""
-        acts = self.hosting.serve_as_guest(self._now_us(), shard)
-        self.run_hosting_actions(acts or ())
-        return acts is not None
+        actions = self.hosting.serve_as_guest(self._now_us(), shard)
+        self.run_hosting_actions(actions or ())
+        return actions is not None
 
     def taken_for_other_home(self, message: StoredMessage) -> None:
         """A message was taken for a shard whose home is another courier."""
@@ -87,11 +87,11 @@
 
     # --- actions to carry out ---
 
-    def run_hosting_actions(self, acts: Iterable[hosting.HostingAction]) -> None:
+    def run_hosting_actions(self, actions: Iterable[hosting.HostingAction]) -> None:
         """Carries out actions of `Hosting`."""
         follow = []
-        for act in acts:
-            match act:
+        for action in actions:
+            match action:
                 case hosting.FollowShard(shard):
                     follow.append(shard)
                 case hosting.Opened(shard):
@@ -120,10 +120,10 @@
                 self.counts["unreadable_rows"] += 1
         return found
 
-    def run_list_actions(self, acts: Iterable[list_client.ListAct]) -> None:
+    def run_list_actions(self, actions: Iterable[list_client.ListAct]) -> None:
         """Carries out actions of `ListClient`."""
-        for act in acts:
-            match act:
+        for action in actions:
+            match action:
                 case list_client.Dial(control):
                     self.links.spawn(self._dial_control(control))
                 case list_client.HangUp(control):
@@ -149,10 +149,10 @@
         self.run_list_actions(self.list_client.dialled(self._now_us(), control, link is not None))
         self._arm()
 
-    def run_handoff_actions(self, acts: Iterable[handoff.HandoffAction]) -> None:
+    def run_handoff_actions(self, actions: Iterable[handoff.HandoffAction]) -> None:
         """Carries out actions of `Handoff`."""
-        for act in acts:
-            match act:
+        for action in actions:
+            match action:
                 case handoff.SendTo(courier, frame):
                     self.links.send(courier, frame)
                 case handoff.Adopt(_, healths, waits):
@@ -170,10 +170,10 @@
                 self.run_list_actions(self.list_client.heard(now_us, link.peer, frame))
             case LearnedState() | LearnedStateAck() | KeysReleased() if link.peer not in self._control:
                 here = self.hosting.life(frame.shard) in (Life.OPENING, Life.HOME)
-                if acts := self.handoff.heard(now_us, link.peer, frame, here):
+                if actions := self.handoff.heard(now_us, link.peer, frame, here):
                     if here and isinstance(frame, LearnedState) and frame.handover:
                         self._router.handed_over(now_us, frame.shard, link.peer)
-                    self.run_handoff_actions(acts)
+                    self.run_handoff_actions(actions)
             case _:
                 self.counts["unexpected_frames"] += 1
         self._arm()
--- a/wheelstep/shards/stream_link.py
+++ b/wheelstep/shards/stream_link.py
@@ -25,9 +25,9 @@
 from wheelstep.shards.types import Batch, Frame
 
 NONCE_BYTES = 16
-FIRST_BYTES = 1_024  # size limit of a packet from a peer without a valid packet so far
-BEHIND_BYTES = 4 << 20  # limit of bytes that wait to be written
-BATCH_BYTES = STREAM_BYTES - 1_024  # the rest is for the seal and names
+MAX_FIRST_BYTES = 1_024  # size limit of a packet from a peer without a valid packet so far
+MAX_BEHIND_BYTES = 4 << 20  # limit of bytes that wait to be written
+MAX_BATCH_BYTES = STREAM_BYTES - 1_024  # the rest is for the seal and names
 _ELDER_GRACE_S = 0.2  # delay before the link ends, so that the peer can read the `Elder`
 _LENGTH = struct.Struct(">I")
 _PAYLOAD: Decoder[Batch | Elder] = msgspec.msgpack.Decoder(Batch | Elder)
@@ -46,7 +46,7 @@
     def seal(self, lane: str) -> Seal:
         """The seal for one link."""
 
-    def current(self, sender: str, boot: int) -> int:
+    def highest_boot(self, sender: str, boot: int) -> int:
         """The highest known boot number of a sender, including this one."""
 
     def elder(self, elder: Elder) -> None:
@@ -99,15 +99,15 @@
         was sent."""
         if not self.open:
             return False
-        if self.behind > BEHIND_BYTES:
-            self._refuse("behind", f"a peer that reads: at most {BEHIND_BYTES} bytes that wait")
+        if self.behind > MAX_BEHIND_BYTES:
+            self._refuse("behind", f"a peer that reads: at most {MAX_BEHIND_BYTES} bytes that wait")
             return False
         raw = msgspec.Raw(_encode(frame))
         size = len(raw) + 5
-        if size > BATCH_BYTES:
-            self._owner.refuse(self, "frame-size", f"{BATCH_BYTES} bytes of a frame at most")
+        if size > MAX_BATCH_BYTES:
+            self._owner.refuse(self, "frame-size", f"{MAX_BATCH_BYTES} bytes of a frame at most")
             return False
-        if self._out_size + size > BATCH_BYTES:
+        if self._out_size + size > MAX_BATCH_BYTES:
             self._write_batch()
         if not self._out:
             asyncio.get_running_loop().call_soon(self._flush)
@@ -144,8 +144,8 @@
             size, = _LENGTH.unpack_from(self._buffer, at)
             if self._seal is None and size != NONCE_BYTES:
                 self._refuse("hello", f"{NONCE_BYTES} bytes first")
-            elif size > (STREAM_BYTES if self._authenticated or self.dialled else FIRST_BYTES):
-                self._refuse("length", f"{STREAM_BYTES} bytes at most, {FIRST_BYTES} of the first packet")
+            elif size > (STREAM_BYTES if self._authenticated or self.dialled else MAX_FIRST_BYTES):
+                self._refuse("length", f"{STREAM_BYTES} bytes at most, {MAX_FIRST_BYTES} of the first packet")
             elif len(self._buffer) - at - _LENGTH.size < size:
                 break
             else:
@@ -188,7 +188,7 @@
         if opened.sender != (self.peer or opened.sender):
             self._refuse("sender", f"{self.peer}, whose link it is", opened.sender)
             return
-        boot = self._owner.current(opened.sender, opened.boot)
+        boot = self._owner.highest_boot(opened.sender, opened.boot)
         if boot > opened.boot:
             self._refuse_old_boot(opened.sender, boot)
             return
--- a/wheelstep/shards/streams.py
+++ b/wheelstep/shards/streams.py
@@ -19,7 +19,7 @@
 __all__ = ["StreamLink", "Streams"]
 
 MAX_LINKS = 4_096
-SENDERS = 4_096  # number of senders whose boot numbers are kept
+MAX_SENDERS = 4_096  # number of senders whose boot numbers are kept
 FIRST_PACKET_S = 5.0  # time limit for the first valid packet on an accepted link
 
 log = logging.getLogger(__name__)
@@ -113,11 +113,11 @@
         """The seal for one link."""
         return Seal(self._keys, self._fleet, self._me, self.boot, lane=lane, most_bytes=STREAM_BYTES)
 
-    def current(self, sender: str, boot: int) -> int:
+    def highest_boot(self, sender: str, boot: int) -> int:
         """The highest known boot number of a sender, including this one."""
         highest = self._boots[sender] = max(boot, self._boots.get(sender, boot))
         self._boots.move_to_end(sender)
-        if len(self._boots) > SENDERS:
+        if len(self._boots) > MAX_SENDERS:
             self._boots.popitem(last=False)
         return highest
 
--- a/wheelstep/shards/teaching.py
+++ b/wheelstep/shards/teaching.py
@@ -44,11 +44,11 @@
         """Releases keys that have ended and pushes the next part of the home shards `mine`; to be called at `next_us`.
         """
         self.next_us = now_us + INTERVAL_US
-        acts: list[HandoffAction] = []
+        actions: list[HandoffAction] = []
         for shard, owed in list(self._owed.items()):
             left = _names(self._courier.owed_keys(shard))
             if ended := owed - left:
-                acts += self._handoff.release_keys(now_us, shard, sorted(ended))
+                actions += self._handoff.release_keys(now_us, shard, sorted(ended))
                 self._owed[shard] = owed & left
             if not self._owed[shard]:
                 del self._owed[shard]
@@ -61,8 +61,8 @@
             if to is not None:
                 healths, waits = self._courier.learned(shard)
                 if healths or waits:
-                    acts += self._handoff.push(now_us, shard, to, healths, waits, ())
-        return acts
+                    actions += self._handoff.push(now_us, shard, to, healths, waits, ())
+        return actions
 
 
 def _names(keys: Sequence[OwedKey]) -> set[tuple[int, str, str]]:
