--- a/benchmarks/measure/zones.py
+++ b/benchmarks/measure/zones.py
@@ -25,17 +25,17 @@
     """Milliseconds, moves, load after the loss."""
     me = member(0, zones)
     homes = Homes(me, SHARDS)
-    homes.saw(0, [member(number, zones) for number in range(COURIERS)])
-    mine = sorted(homes.mine())
+    homes.update_members(0, [member(number, zones) for number in range(COURIERS)])
+    mine = sorted(homes.own_shards())
     began = time.process_time()
     for _ in range(20):
         for shard in mine:
-            homes.next(shard)
+            homes.successor(shard)
     next_us = (time.process_time() - began) / 20 / len(mine) * 1e6
     lost = [number for number in range(COURIERS) if number % zones == 1]
     least = sum(len(homes.ring.shards_of(f"c{number:04d}")) for number in lost)
     began = time.process_time()
-    moved = homes.saw(1, [member(number, zones, State.GONE) for number in lost])
+    moved = homes.update_members(1, [member(number, zones, State.GONE) for number in lost])
     gone_s = time.process_time() - began
     loads = homes.ring.loads().values()
     return {"next_us": next_us, "zone_gone_ms": gone_s * 1e3, "moves": len(moved), "least": least,
--- a/tests/handoffs.py
+++ b/tests/handoffs.py
@@ -42,4 +42,4 @@
 
 def rests(where: Handoff, now_us: int, key: str = "k", destination: int = HERE) -> int:
     """How long the key counts as owed by a former home."""
-    return where.rests_us(now_us, destination, "x", key)
+    return where.owed_elsewhere_us(now_us, destination, "x", key)
--- a/tests/list_courier.py
+++ b/tests/list_courier.py
@@ -8,7 +8,7 @@
 
 from loopback import LIMIT_S
 
-from wheelstep.shards.list_client import Changed, Dial, HangUp, ListAct, ListClient, Tell
+from wheelstep.shards.list_client import Dial, Disconnect, ListAction, ListClient, RowsChanged, Send
 from wheelstep.shards.net import Sockets
 from wheelstep.shards.streams import StreamLink, Streams
 from wheelstep.shards.types import Frame, ListRow
@@ -39,16 +39,16 @@
             self.act(self.client.tick(self.now_us()))
             await asyncio.sleep(max(0.001, min(0.05, (self.client.next_us() - self.now_us()) / 1e6)))
 
-    def act(self, acts: list[ListAct]) -> None:
+    def act(self, acts: list[ListAction]) -> None:
         for act in acts:
             match act:
                 case Dial(control):
                     self.tasks.add(asyncio.create_task(self._dial(control)))
-                case HangUp(control) if control in self.links:
+                case Disconnect(control) if control in self.links:
                     self.links.pop(control).close()
-                case Tell(control, frame) if control in self.links:
+                case Send(control, frame) if control in self.links:
                     self.links[control].send(frame)
-                case Changed(_, rows, _):
+                case RowsChanged(_, rows, _):
                     for one in rows:
                         self.seen.pop(one.host, None)
                         if one.health != "DELETED":
--- a/tests/router_world.py
+++ b/tests/router_world.py
@@ -8,7 +8,7 @@
 import random
 from dataclasses import dataclass, field
 
-from wheelstep.shards.hosting import Life
+from wheelstep.shards.hosting import ShardPhase
 from wheelstep.shards.router import (
     Answer,
     Ask,
@@ -83,12 +83,12 @@
         courier = self.couriers[name]
         owes = any(other.key == message.key is not None for other in courier.held.values())
         if courier.home == name:
-            life: Life | None = Life.OPENING if courier.opening else Life.HOME
+            phase: ShardPhase | None = ShardPhase.OPENING if courier.opening else ShardPhase.HOME
         elif courier.guest:
-            life = Life.GUEST
+            phase = ShardPhase.GUEST
         else:
-            life = Life.LEAVING if courier.held else None
-        return View(life, courier.home, owes, 0, self.rng.random() < 0.9, courier.guest and self.rng.random() < 0.8)
+            phase = ShardPhase.LEAVING if courier.held else None
+        return View(phase, courier.home, owes, 0, self.rng.random() < 0.9, courier.guest and self.rng.random() < 0.8)
 
     def take(self, name: str, message: Request) -> None:
         """The courier takes the message; checks that it is the only one, and the key is open nowhere else."""
--- a/tests/shard_lists.py
+++ b/tests/shard_lists.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wheelstep.shards.list_acts import Changed, Dial, HangUp, ListAct, Note, Tell
+from wheelstep.shards.list_acts import Dial, Disconnect, ListAction, Note, RowsChanged, Send
 from wheelstep.shards.list_client import ListClient
 from wheelstep.shards.list_rows import digest_of
 from wheelstep.shards.list_server import ListServer
@@ -36,12 +36,12 @@
         self.down: set[str] = set()
         self.client = ListClient("courier", names, shards, random.Random(1), self.now_us)
         self.line = ""  # the control machine connected to
-        self.seen: dict[str, ListRow] = {}  # the courier's list, built from its `Changed` actions
+        self.seen: dict[str, ListRow] = {}  # the courier's list, built from its `RowsChanged` actions
         self.sent: Counter[str] = Counter()  # frames sent to the courier by type name, and "bytes"
         self.notes: list[str] = []
-        self.acts: list[ListAct] = []
+        self.acts: list[ListAction] = []
 
-    def act(self, acts: list[ListAct]) -> None:
+    def act(self, acts: list[ListAction]) -> None:
         """Carries out the courier's actions."""
         self.acts += acts
         for act in acts:
@@ -50,13 +50,13 @@
                     ok = control not in self.down
                     self.line = control if ok else self.line
                     self.act(self.client.dialled(self.now_us, control, ok))
-                case HangUp(control) if control == self.line:
+                case Disconnect(control) if control == self.line:
                     self.line = ""
                     self.servers[control].gone("courier")
-                case Tell(control, frame):
+                case Send(control, frame):
                     assert control == self.line
                     self.tell(self.servers[control].heard(self.now_us, "courier", frame))
-                case Changed(_, rows, _):
+                case RowsChanged(_, rows, _):
                     for one in rows:
                         self.seen.pop(one.host, None)
                         if one.health != "DELETED":
--- a/tests/shard_nodes.py
+++ b/tests/shard_nodes.py
@@ -39,7 +39,7 @@
 
 
 class MemoryCourier:
-    """Implements ports.Shelf, and its own desk: messages stay until the test ends them."""
+    """Implements ports.CourierPort, and its own desk: messages stay until the test ends them."""
 
     ready, syncs = True, False
 
--- a/tests/test_shard_bounds.py
+++ b/tests/test_shard_bounds.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wheelstep.shards.hosting import DropShard, Hosting, Life
+from wheelstep.shards.hosting import DropShard, Hosting, ShardPhase
 from wheelstep.shards.router import Answer, Ask, Request, Router, View
 
 ELSEWHERE = View(None, "b", False, 0, True)
@@ -25,7 +25,7 @@
     hosting.rows_received(0, 7)
     assert hosting.owed(1, {}) == []  # nothing is owed, and it was not idle for long
     hosting.became_home(2, 7, learned_received=True)
-    assert hosting.life(7) is Life.HOME
+    assert hosting.phase(7) is ShardPhase.HOME
     hosting.left_home(3, 7)  # what was taken meanwhile has not been counted
-    assert hosting.learned_received(4, 7) == [] and hosting.life(7) is Life.LEAVING
+    assert hosting.learned_received(4, 7) == [] and hosting.phase(7) is ShardPhase.LEAVING
     assert hosting.owed(5, {}) == [DropShard(7)]
--- a/tests/test_shard_control.py
+++ b/tests/test_shard_control.py
@@ -18,7 +18,7 @@
 from wheelstep.courier.listing import ListParser
 from wheelstep.rehearsal.history import Figures, History
 from wheelstep.rehearsal.standins.platform import Agent, row
-from wheelstep.shards.control import LIST_BYTES, MOST_WAITING, ControlMachine
+from wheelstep.shards.control import LIST_BYTES, MAX_QUEUED_LISTS, ControlMachine
 from wheelstep.shards.control_settings import ControlError, read
 from wheelstep.shards.list_rows import courier_row, digest_of, read_entry, read_list
 from wheelstep.shards.list_server import ListServer
@@ -133,14 +133,14 @@
 
 async def _too_many_changes() -> None:
     control = machine()
-    for seq in range(1, MOST_WAITING + 1):
+    for seq in range(1, MAX_QUEUED_LISTS + 1):
         control.watch._apply_list({"seq": seq, "whole": False, "hosts": []})
-    assert control.watch.seq == MOST_WAITING == len(control._waiting)
-    control.watch._apply_list({"seq": MOST_WAITING + 1, "whole": False, "hosts": []})
-    assert control.watch.seq == 0 and not control._waiting, "the whole list has to be asked for"
+    assert control.watch.seq == MAX_QUEUED_LISTS == len(control._queued_lists)
+    control.watch._apply_list({"seq": MAX_QUEUED_LISTS + 1, "whole": False, "hosts": []})
+    assert control.watch.seq == 0 and not control._queued_lists, "the whole list has to be asked for"
     control.watch._apply_list({"seq": 1, "whole": False, "hosts": []})
     control.watch._apply_list({"seq": 2, "whole": True, "hosts": []})
-    assert len(control._waiting) == 1, "a whole list makes what waits old"
+    assert len(control._queued_lists) == 1, "a whole list makes what waits old"
 
 
 def test_changes_that_wait_are_bounded() -> None:
--- a/tests/test_shard_handoff.py
+++ b/tests/test_shard_handoff.py
@@ -8,9 +8,9 @@
 import pytest
 from handoffs import FIELDS, HERE, SHARDS, S, handoff, health, learned, owed, rests, sent
 
+from wheelstep.shards.expiring_table import NEVER_US
 from wheelstep.shards.handoff import Adopt, HandedOver, SendTo
-from wheelstep.shards.learned import MAX_US, differs
-from wheelstep.shards.timed import NEVER_US
+from wheelstep.shards.learned_state import MAX_US, differs
 from wheelstep.shards.types import (
     Batch,
     Current,
--- a/tests/test_shard_handoff_keys.py
+++ b/tests/test_shard_handoff_keys.py
@@ -6,7 +6,7 @@
 from handoffs import DESTINATIONS, HERE, S, handoff, health, learned, owed, rests, sent
 
 from wheelstep.shards.handoff import SendTo
-from wheelstep.shards.learned import MAX_KEYS, WHOLE_SHARD
+from wheelstep.shards.learned_state import MAX_KEYS, WHOLE_SHARD
 from wheelstep.shards.types import KeysReleased, LearnedState
 
 
--- a/tests/test_shard_homes.py
+++ b/tests/test_shard_homes.py
@@ -25,40 +25,41 @@
 def test_this_courier_is_a_member_from_the_first_update_on() -> None:
     """Before the first update no shard has a home; an empty update makes this courier home of all."""
     homes = Homes(ME, SHARDS)
-    assert couriers(homes) == {None} and homes.mine() == set() and homes.next(0) is None
-    assert homes.saw(0, []) == set(range(SHARDS)) == homes.mine()
-    assert couriers(homes) == {"me"} and homes.next(0) is None
-    changed = homes.saw(1, [member("a")])
+    assert couriers(homes) == {None} and homes.own_shards() == set() and homes.successor(0) is None
+    assert homes.update_members(0, []) == set(range(SHARDS)) == homes.own_shards()
+    assert couriers(homes) == {"me"} and homes.successor(0) is None
+    changed = homes.update_members(1, [member("a")])
     assert changed == {shard for shard in range(SHARDS) if homes.home(shard) == "a"} != set()
-    assert homes.mine() == set(range(SHARDS)) - changed and homes.saw(2, [member("a")]) == set()
-    assert all({homes.home(shard), homes.next(shard)} == {"a", "me"} for shard in range(SHARDS))
-    assert homes.home(SHARDS) is None and homes.next(SHARDS) is None and homes.next(-1) is None
+    assert homes.own_shards() == set(range(SHARDS)) - changed and homes.update_members(2, [member("a")]) == set()
+    assert all({homes.home(shard), homes.successor(shard)} == {"a", "me"} for shard in range(SHARDS))
+    assert homes.home(SHARDS) is None and homes.successor(SHARDS) is None and homes.successor(-1) is None
 
 
 def test_this_courier_is_excluded_by_its_own_state() -> None:
     """A courier that leaves must not stay home of shards in its own view."""
     homes = Homes(ME, SHARDS)
-    homes.saw(0, [member("a"), member("me", state=State.LEAVING)])
-    assert homes.mine() == set() and couriers(homes) == {"a"}
-    homes.saw(1, [member("me")])
-    assert homes.mine()
-    homes.saw(2, [member("me", state=State.GONE), member("a", state=State.GONE)])
-    assert couriers(homes) == {None} and homes.next(0) is None
+    homes.update_members(0, [member("a"), member("me", state=State.LEAVING)])
+    assert homes.own_shards() == set() and couriers(homes) == {"a"}
+    homes.update_members(1, [member("me")])
+    assert homes.own_shards()
+    homes.update_members(2, [member("me", state=State.GONE), member("a", state=State.GONE)])
+    assert couriers(homes) == {None} and homes.successor(0) is None
 
 
 def test_only_live_weighted_members_of_the_region_are_homes() -> None:
     """Suspected members stay; members that are leaving, gone, of weight 0 or of another region are excluded."""
     homes = Homes(ME, SHARDS)
-    assert homes.saw(0, [member("a"), member("west", "west/1"), member("plain", "east"), member("none", weight=0.0),
-                         member("old", state=State.GONE), member("going", state=State.LEAVING)])
+    assert homes.update_members(0, [member("a"), member("west", "west/1"), member("plain", "east"),
+                                    member("none", weight=0.0),
+                                    member("old", state=State.GONE), member("going", state=State.LEAVING)])
     assert couriers(homes) == {"me", "a", "plain"}
-    assert homes.saw(1, [member("a", state=State.SUSPECT)]) == set() and "a" in couriers(homes)
+    assert homes.update_members(1, [member("a", state=State.SUSPECT)]) == set() and "a" in couriers(homes)
     had = {shard for shard in range(SHARDS) if homes.home(shard) == "a"}
-    assert had <= homes.saw(2, [member("a", state=State.LEAVING)]) and couriers(homes) == {"me", "plain"}
-    homes.saw(3, [member("a")])
+    assert had <= homes.update_members(2, [member("a", state=State.LEAVING)]) and couriers(homes) == {"me", "plain"}
+    homes.update_members(3, [member("a")])
     assert had == {shard for shard in range(SHARDS) if homes.home(shard) == "a"}
-    assert had <= homes.saw(4, [member("a", "west/1")]) and couriers(homes) == {"me", "plain"}
-    assert homes.saw(5, [member("west", "east/2")]) and couriers(homes) == {"me", "plain", "west"}
+    assert had <= homes.update_members(4, [member("a", "west/1")]) and couriers(homes) == {"me", "plain"}
+    assert homes.update_members(5, [member("west", "east/2")]) and couriers(homes) == {"me", "plain", "west"}
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -70,7 +71,7 @@
     homes = Homes(ME, SHARDS)
     zones = {"me": "east/1"}
     for at, each in enumerate(news):
-        homes.saw(at, [member(name, zone, state) for name, (zone, state) in each.items()])
+        homes.update_members(at, [member(name, zone, state) for name, (zone, state) in each.items()])
         for name, (zone, state) in each.items():
             zones.pop(name, None)
             if zone != "west/1" and state is not State.GONE:
@@ -80,4 +81,4 @@
             assert home is not None and sorted(walk) == sorted(zones)
             others = [name for name in walk if name != home]
             away = [name for name in others if zones[name] != zones[home]]
-            assert homes.next(shard) == next(iter(away or others), None)
+            assert homes.successor(shard) == next(iter(away or others), None)
--- a/tests/test_shard_list_client.py
+++ b/tests/test_shard_list_client.py
@@ -9,7 +9,7 @@
 import pytest
 from shard_lists import SHARDS, World, at_work, mine, row, told
 
-from wheelstep.shards.list_acts import Changed, Dial, HangUp, Tell
+from wheelstep.shards.list_acts import Dial, Disconnect, RowsChanged, Send
 from wheelstep.shards.list_client import MAX_BACKOFF_US, ListClient
 from wheelstep.shards.list_server import ListServer
 from wheelstep.shards.types import Current, Follow, Frame, KeysReleased, ListRow, ShardRows, shard_of
@@ -36,7 +36,7 @@
     world.acts.clear()
     world.tell([("courier", frame)])
     assert world.client.refused == {why: 1} and world.seen == before and not world.client.rows_of(0)
-    assert world.acts[0] == HangUp(control) and world.client.control not in ("", control)
+    assert world.acts[0] == Disconnect(control) and world.client.control not in ("", control)
     assert len(world.notes) == 1 and control in world.notes[0] and "expected" in world.notes[0]
     world.tell([("courier", frame)])
     assert world.client.refused == {why: 2} and len(world.notes) == 1, "a second line within ten seconds"
@@ -49,7 +49,7 @@
     lie = ShardRows(11, 0, 77, False, (row(mine(0).block, "DRAINING"),))
     world.acts.clear()
     world.tell([("courier", lie)])
-    assert world.acts[0] == Tell(control, Follow(10, ((0, 0),))) and world.client.control == control
+    assert world.acts[0] == Send(control, Follow(10, ((0, 0),))) and world.client.control == control
     assert world.client.rows_of(0) == (mine(0),) and world.client.seq == 10
     world.tell([("courier", told(1, row(mine(1).block, "DRAINING")))])  # another shard's rows are applied as usual
     assert world.client.rows_of(1)[0].health == "DRAINING"
@@ -75,10 +75,10 @@
     """Changes applied to an empty shard would not match the digest."""
     client = ListClient("courier", ["a"], SHARDS, random.Random(1), 0)
     client.follow(0, [0])
-    assert client.tick(0) == [Dial("a")] and client.dialled(0, "a", True) == [Tell("a", Follow(0, ((0, 0),)))]
+    assert client.tick(0) == [Dial("a")] and client.dialled(0, "a", True) == [Send("a", Follow(0, ((0, 0),)))]
     assert client.heard(0, "a", told(0, row(mine(0).block, "DRAINING"), known=(mine(1),))) == []
     assert not client.refused and client.control == "a" and not client.knows(0)
-    assert client.heard(0, "a", told(0, whole=True)) == [Changed(0, (), True)] and client.knows(0)
+    assert client.heard(0, "a", told(0, whole=True)) == [RowsChanged(0, (), True)] and client.knows(0)
 
 
 @pytest.mark.parametrize("block", range(1, 12))
--- a/tests/test_shard_node.py
+++ b/tests/test_shard_node.py
@@ -12,7 +12,7 @@
 from wheelstep.courier.admission import UnansweredError
 from wheelstep.fleet.types import State
 from wheelstep.journal import NoRoomError
-from wheelstep.shards.hosting import Life
+from wheelstep.shards.hosting import ShardPhase
 from wheelstep.shards.types import EndpointHealth, shard_of
 
 
@@ -63,7 +63,7 @@
             there = away(fleet, "n0")
             dead = fleet.home(there)
             mine = [number for number in range(fleet.destinations) if fleet.home(number) == dead]
-            nexts = {number: fleet.nodes[dead].homes.next(shard_of(number, SHARDS)) for number in mine}
+            nexts = {number: fleet.nodes[dead].homes.successor(shard_of(number, SHARDS)) for number in mine}
             for number in mine:
                 fleet.couriers[dead].health[f"e{number}"] = EndpointHealth(
                     f"e{number}", 0, (True, False, 0.0, 3.5, 0, 1.0, 20_000, 100, 2.0, 30_000))
@@ -72,8 +72,9 @@
             await fleet.vanish(dead)
             await until(lambda: fleet.agreed() and all(fleet.home(number) != dead for number in mine))
             homes = {number: fleet.home(number) for number in mine}
-            await until(lambda: all(fleet.nodes[homes[number]].hosting.life(shard_of(number, SHARDS)) is Life.HOME
-                                    for number in mine))
+            await until(lambda: all(
+                fleet.nodes[homes[number]].hosting.phase(shard_of(number, SHARDS)) is ShardPhase.HOME
+                for number in mine))
             assert await fleet.hand_in("n0", message("after", there)) is None
             assert "after" in fleet.couriers[homes[there]].held
             followed = [number for number in mine if homes[number] == nexts[number]]
@@ -97,10 +98,10 @@
             await until(lambda: fleet.home(there) != former and all(
                 node.homes.home(shard) not in (former, None) for node in fleet.nodes.values()))
             home = fleet.home(there)
-            await until(lambda: fleet.nodes[home].hosting.life(shard) is Life.HOME)
+            await until(lambda: fleet.nodes[home].hosting.phase(shard) is ShardPhase.HOME)
             await until(lambda: endpoint in fleet.couriers[home].adopted)
             assert fleet.couriers[home].adopted[endpoint].fields[3] == 7.5
-            assert fleet.nodes[former].hosting.life(shard) is Life.LEAVING
+            assert fleet.nodes[former].hosting.phase(shard) is ShardPhase.LEAVING
             assert await fleet.hand_in("n0", message("other", there)) is None  # without a key: taken at the new home
             assert "other" in fleet.couriers[home].held
             # A key that the former home owes is not taken at the new one, whichever courier asks.
@@ -109,10 +110,11 @@
             assert await fleet.hand_in("n0", message("third", there, "key")) is None
             assert "third" in fleet.couriers[former].held
             fleet.couriers[former].held.clear()  # its messages have ended
-            await until(lambda: not fleet.nodes[home].handoff.rests_us(fleet.nodes[home].now_us(), there, "c", "key"))
+            await until(lambda: not fleet.nodes[home].handoff.owed_elsewhere_us(
+                fleet.nodes[home].now_us(), there, "c", "key"))
             assert await fleet.hand_in(home, message("fourth", there, "key")) is None
             assert "fourth" in fleet.couriers[home].held
-            await until(lambda: fleet.nodes[former].hosting.life(shard) is None)
+            await until(lambda: fleet.nodes[former].hosting.phase(shard) is None)
             assert there in fleet.couriers[former].dropped and endpoint not in fleet.couriers[former].rows
     run(play())
 
@@ -130,12 +132,12 @@
             real, client._dial_link = client._dial_link, nothing  # cuts the link between these two only
             assert await fleet.hand_in("n0", message("m1", there)) is None
             assert "m1" in fleet.couriers["n0"].held and "m1" not in fleet.couriers[home].held
-            assert fleet.nodes["n0"].hosting.life(shard) is Life.GUEST
+            assert fleet.nodes["n0"].hosting.phase(shard) is ShardPhase.GUEST
             client._dial_link = real
             assert await fleet.hand_in("n0", message("m2", there)) is None
             assert "m2" in fleet.couriers[home].held
             fleet.couriers["n0"].held.clear()
-            await until(lambda: fleet.nodes["n0"].hosting.life(shard) is None)
+            await until(lambda: fleet.nodes["n0"].hosting.phase(shard) is None)
             assert f"e{there}" not in fleet.couriers["n0"].rows
     run(play())
 
@@ -166,7 +168,7 @@
             began_s = loop.time()
             await until(lambda: node.formed)
             assert loop.time() - began_s >= QUICK.forms_alone_us / 1e6 - 0.1
-            assert len(node.homes.mine()) == SHARDS
+            assert len(node.homes.own_shards()) == SHARDS
     run(play())
 
 
@@ -181,7 +183,7 @@
             await until(lambda: fleet.agreed() and fleet.home(there) != dead)
             home = fleet.home(there)
             asker = next(name for name in fleet.nodes if name != home)
-            assert fleet.nodes[home].hosting.life(shard) is Life.OPENING
+            assert fleet.nodes[home].hosting.phase(shard) is ShardPhase.OPENING
             for number in range(3):
                 error = await fleet.hand_in(asker, message(f"m{number}", there))
                 assert isinstance(error, NoRoomError), repr(error)  # 503, not silence: nothing was taken
--- a/tests/test_shard_router.py
+++ b/tests/test_shard_router.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from wheelstep.shards.hosting import Life
+from wheelstep.shards.hosting import ShardPhase
 from wheelstep.shards.router import (
     Answer,
     Ask,
@@ -23,7 +23,7 @@
 )
 
 S = 1_000_000
-ELSEWHERE = {"life": None, "home": "b", "owes_key": False, "rests_us": 0, "guest_room": True}
+ELSEWHERE = {"phase": None, "home": "b", "owes_key": False, "owed_elsewhere_us": 0, "guest_room": True}
 
 
 def view(**changes: Any) -> View:
@@ -41,27 +41,27 @@
     return Router("a", S, **settings)
 
 
-HOME = view(life=Life.HOME, home="a")
+HOME = view(phase=ShardPhase.HOME, home="a")
 LATER = Retry(S, "key passed on may be open")
 
 
 @pytest.mark.parametrize(("seen", "key", "decision"), [
     (HOME, None, Take(False)),
     (HOME, "k", Take(False)),
-    (view(life=Life.HOME, home="a", rests_us=300), "k", Retry(300, "key owed by its former home")),
-    (view(life=Life.HOME, home="a", rests_us=9 * S), "k", Retry(S, "key owed by its former home")),
-    (view(life=Life.OPENING, home="a"), None, Wait()),
-    (view(home="a"), None, Wait()),  # the view is ahead of the shard's life
-    (view(life=Life.LEAVING, owes_key=True), "k", Take(True)),
-    (view(life=Life.GUEST, owes_key=True), "k", Take(True)),
-    (view(life=Life.LEAVING), "k", Ask("b")),
-    (view(life=Life.GUEST, has_rows=True), None, Ask("b")),  # the home is back
+    (view(phase=ShardPhase.HOME, home="a", owed_elsewhere_us=300), "k", Retry(300, "key owed by its former home")),
+    (view(phase=ShardPhase.HOME, home="a", owed_elsewhere_us=9 * S), "k", Retry(S, "key owed by its former home")),
+    (view(phase=ShardPhase.OPENING, home="a"), None, Wait()),
+    (view(home="a"), None, Wait()),  # the view is ahead of the shard's phase
+    (view(phase=ShardPhase.LEAVING, owes_key=True), "k", Take(True)),
+    (view(phase=ShardPhase.GUEST, owes_key=True), "k", Take(True)),
+    (view(phase=ShardPhase.LEAVING), "k", Ask("b")),
+    (view(phase=ShardPhase.GUEST, has_rows=True), None, Ask("b")),  # the home is back
     (view(), None, Ask("b")),
     (view(home=None), None, BeGuest()),
-    (view(home=None, life=Life.GUEST, has_rows=True), None, Take(True)),
-    (view(home=None, life=Life.GUEST, guest_room=False), None, BeGuest()),
+    (view(home=None, phase=ShardPhase.GUEST, has_rows=True), None, Take(True)),
+    (view(home=None, phase=ShardPhase.GUEST, guest_room=False), None, BeGuest()),
     (view(home=None, guest_room=False), None, Retry(S, "no room for a guest shard")),
-    (view(home=None, rests_us=7), "k", Retry(7, "key owed by its former home")),
+    (view(home=None, owed_elsewhere_us=7), "k", Retry(7, "key owed by its former home")),
 ])
 def test_decision_about_a_message_no_courier_was_asked_to_take(seen: View, key: str | None, decision: Decision) -> None:
     """The decision table, row by row."""
@@ -73,7 +73,7 @@
     (Answer.BAD, view(), None), (Answer.SILENT, view(), NoAnswer("no answer in time")),
     (Answer.NOT_ASKED, view(), BeGuest()), (Answer.AWAY, view(), BeGuest()),
     (Answer.AWAY, view(home="c"), BeGuest()),  # neither believes it is home: not asked of a second one
-    (Answer.AWAY, HOME, Take(False)), (Answer.AWAY, view(life=Life.OPENING, home="a"), Wait()),
+    (Answer.AWAY, HOME, Take(False)), (Answer.AWAY, view(phase=ShardPhase.OPENING, home="a"), Wait()),
     (Answer.AWAY, view(guest_room=False), Retry(S, "no room for a guest shard")),
 ])
 def test_decision_after_the_result_of_an_ask(answer: Answer, seen: View, decision: Decision | None) -> None:
@@ -84,30 +84,30 @@
     assert mine.counts["asked"] == mine.counts[f"answer:{answer.value}"] == 1
 
 
-@pytest.mark.parametrize("lives", list(itertools.product([*Life, None], repeat=2)))
-def test_no_sequence_of_results_and_views_leads_to_a_second_ask(lives: tuple[Life | None, Life | None]) -> None:
+@pytest.mark.parametrize("phases", list(itertools.product([*ShardPhase, None], repeat=2)))
+def test_no_sequence_of_results_and_views_asks_twice(phases: tuple[ShardPhase | None, ShardPhase | None]) -> None:
     """Two asks for one hand-in could be taken at two couriers."""
     two_homes = list(itertools.product(["a", "b", "c", None], repeat=2))
     for answer, homes, key in itertools.product(Answer, two_homes, ["k", None]):
         mine = router()
         assert mine.decide(0, message(key=key), view()) == Ask("b")
-        decision = mine.answered(1, message(key=key), "b", answer, view(life=lives[0], home=homes[0]))
+        decision = mine.answered(1, message(key=key), "b", answer, view(phase=phases[0], home=homes[0]))
         assert not isinstance(decision, Ask)
         if isinstance(decision, Wait | BeGuest):  # the client still waits: and its next way is none either
-            assert not isinstance(mine.decide(2, message(key=key), view(life=lives[1], home=homes[1])), Ask)
+            assert not isinstance(mine.decide(2, message(key=key), view(phase=phases[1], home=homes[1])), Ask)
 
 
-@pytest.mark.parametrize("life", [*Life, None])
-def test_an_asked_courier_never_passes_a_message_on(life: Life | None) -> None:
+@pytest.mark.parametrize("phase", [*ShardPhase, None])
+def test_an_asked_courier_never_passes_a_message_on(phase: ShardPhase | None) -> None:
     """Two couriers with different views would send it in circles."""
     for home, key, owes in itertools.product(["a", "b", "c", None], ["k", None], [True, False]):
-        decision = router().asked(0, message(key=key), view(life=life, home=home, owes_key=owes))
-        match life:
-            case Life.HOME:
+        decision = router().asked(0, message(key=key), view(phase=phase, home=home, owes_key=owes))
+        match phase:
+            case ShardPhase.HOME:
                 assert decision == Take(False)
-            case Life.OPENING:
+            case ShardPhase.OPENING:
                 assert decision == Retry(S, "not open yet")
-            case Life.LEAVING | Life.GUEST:
+            case ShardPhase.LEAVING | ShardPhase.GUEST:
                 assert decision == (Take(True) if owes else None)
             case None:  # as a courier without a list
                 assert decision is None
@@ -117,8 +117,8 @@
     """Otherwise they would pass a message to and fro while views differ."""
     for name in "ab":
         mine = Router(name, S)
-        assert mine.decide(0, message(), view(life=Life.HOME, home=name)) == Take(False)
-        assert mine.asked(0, message("other"), view(life=Life.HOME, home=name)) == Take(False)
+        assert mine.decide(0, message(), view(phase=ShardPhase.HOME, home=name)) == Take(False)
+        assert mine.asked(0, message("other"), view(phase=ShardPhase.HOME, home=name)) == Take(False)
 
 
 def test_an_id_in_doubt_is_asked_of_its_courier_only_until_its_deadline() -> None:
@@ -157,7 +157,7 @@
 def test_an_id_taken_here_is_never_asked_elsewhere_unless_the_desk_refused_it() -> None:
     """A retry after its end would be taken twice."""
     mine = router()
-    assert mine.decide(0, message(), view(home=None, life=Life.GUEST, has_rows=True)) == Take(True)
+    assert mine.decide(0, message(), view(home=None, phase=ShardPhase.GUEST, has_rows=True)) == Take(True)
     assert mine.decide(1, message(), view()) == BeGuest()  # it has ended here, and its client has not heard so
     mine = router()
     assert mine.decide(0, message(), HOME) == Take(False)
--- a/tests/test_shard_timed.py
+++ b/tests/test_shard_timed.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wheelstep.shards.timed import NEVER_US, ExpiringTable
+from wheelstep.shards.expiring_table import NEVER_US, ExpiringTable
 
 
 @pytest.mark.parametrize("seed", range(10))
--- a/wheelstep/rehearsal/scale/courier.py
+++ b/wheelstep/rehearsal/scale/courier.py
@@ -19,7 +19,7 @@
 from wheelstep.rehearsal.scale.settings import NAMES, settings
 from wheelstep.rehearsal.scale.shelf import HollowShelf
 from wheelstep.rehearsal.scale.traffic import Draw, Histogram, Traffic
-from wheelstep.shards.hosting import Life
+from wheelstep.shards.hosting import ShardPhase
 from wheelstep.shards.net import Sockets
 from wheelstep.shards.node import ShardNode
 from wheelstep.shards.settings import NodeSettings
@@ -113,7 +113,8 @@
         others = tuple(one for one in self.shared.members if one.name != self.site.name)
         if others:
             told = Roll(0, others)
-            self.node._members(self.node.membership.heard(self.node.now_us(), others[0].name, others[0].address, told))
+            self.node._run_member_actions(self.node.membership.heard(
+                self.node.now_us(), others[0].name, others[0].address, told))
             settle(self.node.membership, self._rng)
 
     async def start(self) -> None:
@@ -122,11 +123,11 @@
 
     def shards(self) -> frozenset[int]:
         """Those that it is home of, by its own view."""
-        return frozenset(self.node.homes.mine())
+        return frozenset(self.node.homes.own_shards())
 
     def opening(self) -> int:
         """Shards that wait for rows or for what was learned."""
-        return len(self.node.hosting.of(Life.OPENING))
+        return len(self.node.hosting.shards_in(ShardPhase.OPENING))
 
     def sees(self, name: str) -> bool:
         """Does it hold this courier for one that may be home?"""
--- a/wheelstep/rehearsal/scale/shelf.py
+++ b/wheelstep/rehearsal/scale/shelf.py
@@ -1,4 +1,4 @@
-"""A hollow courier's side of a shard node (`shards.ports.Shelf`): its desk, and what it has learned."""
+"""A hollow courier's side of a shard node (`shards.ports.CourierPort`): its desk, and what it has learned."""
 
 from __future__ import annotations
 
--- a/wheelstep/rehearsal/shard_world/broken.py
+++ b/wheelstep/rehearsal/shard_world/broken.py
@@ -11,11 +11,11 @@
 from wheelstep.forwarding.server import ForwardServer, Turned
 from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world import check
-from wheelstep.shards.desks import RoutedDesk
+from wheelstep.shards.forwarded_keys import ForwardedKeys
 from wheelstep.shards.handoff import Handoff
-from wheelstep.shards.hosting import Hosting, Life
+from wheelstep.shards.hosting import Hosting, ShardPhase
 from wheelstep.shards.list_client import ListClient
-from wheelstep.shards.passed import Passed
+from wheelstep.shards.routed_admission import RoutedAdmission
 from wheelstep.shards.router import Answer, Router
 from wheelstep.shards.routing import Routing
 
@@ -29,7 +29,7 @@
     def on(self: Any, message: StoredMessage) -> Any:
         found = asked(self, message)
         away = isinstance(found, Turned) and found.is_ == "away"
-        return RoutedDesk(self._places.desk_here, self._route) if away else found
+        return RoutedAdmission(self._node.own_admission, self._route) if away else found
     return [(Routing, "asked", on)]
 
 
@@ -70,17 +70,17 @@
 
 def _forgets_guests() -> list[Patch]:
     """A guest shard is never dropped."""
-    look = Hosting._look
+    look = Hosting._open_or_drop
 
     def kept(self: Any, now_us: int, shard: int, state: Any) -> Any:
-        return [] if state.life is Life.GUEST else look(self, now_us, shard, state)
-    return [(Hosting, "_look", kept)]
+        return [] if state.phase is ShardPhase.GUEST else look(self, now_us, shard, state)
+    return [(Hosting, "_open_or_drop", kept)]
 
 
 def _loses_keys() -> list[Patch]:
     """Whoever becomes home knows nothing of what former homes owe, and nobody remembers where a key was passed to."""
-    return [(Handoff, "rests_us", lambda self, now_us, destination, message_class, key: 0),
-            (Passed, "holder", lambda self, now_us, message: None)]
+    return [(Handoff, "owed_elsewhere_us", lambda self, now_us, destination, message_class, key: 0),
+            (ForwardedKeys, "holder", lambda self, now_us, message: None)]
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheelstep/rehearsal/shard_world/control.py
+++ b/wheelstep/rehearsal/shard_world/control.py
@@ -37,7 +37,7 @@
             seen.seq = seq
             machine._listed(api.ListKind.WHOLE if whole else api.ListKind.CHANGES, [_raw(row) for row in rows])
         self.discovery.watch(process, told)
-        await machine._take_up()
+        await machine._load_lists()
 
 
 def _raw(row: ListRow) -> msgspec.Raw:
--- a/wheelstep/rehearsal/shard_world/courier.py
+++ b/wheelstep/rehearsal/shard_world/courier.py
@@ -67,7 +67,7 @@
             return
         self.node = None
         for name, number in (*node.router.counts.items(), *((f"list {one}", number) for one, number
-                                                            in node.lives.list_client.refused.items())):
+                                                            in node.lifecycles.list_client.refused.items())):
             self.world.count[name] += number
         self.world.count["healths adopted"] += shelf.adopted
 
--- a/wheelstep/rehearsal/shard_world/final.py
+++ b/wheelstep/rehearsal/shard_world/final.py
@@ -6,7 +6,7 @@
 
 from wheelstep.rehearsal.shard_world.check import AGREED, GUESTS, OWN_ROWS, REACHABLE, Check
 from wheelstep.rehearsal.shard_world.courier import Courier
-from wheelstep.shards.hosting import Life
+from wheelstep.shards.hosting import ShardPhase
 from wheelstep.shards.types import region_of, shard_of
 
 
@@ -37,21 +37,21 @@
             check.fail(AGREED, f"shard {shard} in {region}: {by}")
     for courier in fleet:
         assert courier.node is not None
-        home, life = courier.node.homes.home(shard), courier.node.hosting.life(shard)
-        if (home == courier.name) is not (life is Life.HOME):
-            check.fail(AGREED, f"shard {shard} is {life} at {courier.name}, and {home} is home of it")
+        home, phase = courier.node.homes.home(shard), courier.node.hosting.phase(shard)
+        if (home == courier.name) is not (phase is ShardPhase.HOME):
+            check.fail(AGREED, f"shard {shard} is {phase} at {courier.name}, and {home} is home of it")
 
 
 def _own(check: Check, courier: Courier, shards: int) -> None:
     node, shelf = courier.node, courier.shelf
     assert node is not None and shelf is not None
-    for life in (Life.GUEST, Life.LEAVING, Life.OPENING):
-        if kept := node.hosting.of(life):
-            check.fail(GUESTS, f"{courier.name} still has shards {kept}, {life.value}")
-    mine = set(node.homes.mine())
+    for phase in (ShardPhase.GUEST, ShardPhase.LEAVING, ShardPhase.OPENING):
+        if kept := node.hosting.shards_in(phase):
+            check.fail(GUESTS, f"{courier.name} still has shards {kept}, {phase.value}")
+    mine = set(node.homes.own_shards())
     for endpoint, info in shelf.rows.items():
         if shard_of(info.destination, shards) not in mine:
             check.fail(OWN_ROWS, f"{courier.name} keeps {endpoint} of shard {shard_of(info.destination, shards)}")
     for shard in range(shards):
-        if shard not in mine and node.lives.list_client.knows(shard):
+        if shard not in mine and node.lifecycles.list_client.knows(shard):
             check.fail(OWN_ROWS, f"{courier.name} follows shard {shard}")
--- a/wheelstep/rehearsal/shard_world/shelf.py
+++ b/wheelstep/rehearsal/shard_world/shelf.py
@@ -1,4 +1,4 @@
-"""A simulated courier's own side (ports.Shelf) and its desk: what is taken goes to disk, is acted on, and ends."""
+"""A simulated courier's own side (ports.CourierPort) and its admission: messages go to disk, are delivered, and end."""
 
 from __future__ import annotations
 
@@ -112,7 +112,7 @@
     def record_answer(self, message: StoredMessage, status: int) -> None:
         """Recorded by the door."""
 
-    # --- ports.Shelf ---
+    # --- ports.CourierPort ---
 
     def listed(self, rows: Sequence[Row]) -> None:
         for info, _ in rows:
--- a/wheelstep/shards/control.py
+++ b/wheelstep/shards/control.py
@@ -26,7 +26,7 @@
 from wheelstep.shards.types import Frame, ListRow
 
 LIST_BYTES = 64 << 20  # of one list: 140,000 indented entries take 38 to 42 MB; up to three lists are held at once
-MOST_WAITING = 1_000  # lists of changes in the queue; beyond that the whole list is requested
+MAX_QUEUED_LISTS = 1_000  # lists of changes in the queue; beyond that the whole list is requested
 _NOTES_S = 5.0
 
 log = logging.getLogger("wheelstep.control")
@@ -48,7 +48,7 @@
         self.watch = Watch(discovery, Names((), (), (), ()), 0, self._listed,
                            list_format=ListFormat(LIST_BYTES, read_list, _raw_rows))
         self._links: dict[str, StreamLink] = {}  # by peer; the newest link is used
-        self._waiting: deque[tuple[int, bool, list[msgspec.Raw]]] = deque()
+        self._queued_lists: deque[tuple[int, bool, list[msgspec.Raw]]] = deque()
         self._list_arrived = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
         self._skipped = 0
@@ -62,7 +62,7 @@
         """Follows discovery and serves couriers until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.watch.run())
-            group.create_task(self._take_up())
+            group.create_task(self._load_lists())
             group.create_task(self._log_notes())
 
     async def close(self) -> None:
@@ -77,21 +77,22 @@
     def _listed(self, kind: api.ListKind, rows: list[msgspec.Raw]) -> None:
         whole = kind is api.ListKind.WHOLE
         if whole:
-            self._waiting.clear()
-        elif len(self._waiting) >= MOST_WAITING:
-            log.warning("discovery: %d lists of changes in the queue; requesting the whole list", len(self._waiting))
-            self._waiting.clear()
+            self._queued_lists.clear()
+        elif len(self._queued_lists) >= MAX_QUEUED_LISTS:
+            log.warning("discovery: %d lists of changes in the queue; requesting the whole list",
+                        len(self._queued_lists))
+            self._queued_lists.clear()
             self.watch.move(self._discovery)
             return
-        self._waiting.append((self.watch.seq, whole, rows))
+        self._queued_lists.append((self.watch.seq, whole, rows))
         self._list_arrived.set()
 
-    async def _take_up(self) -> None:
+    async def _load_lists(self) -> None:
         while True:
             await self._list_arrived.wait()
             self._list_arrived.clear()
-            while self._waiting:
-                seq, whole, rows = self._waiting.popleft()
+            while self._queued_lists:
+                seq, whole, rows = self._queued_lists.popleft()
                 begun_us, skipped_before = self._now_us(), self._skipped
                 steps = self.server.steps(begun_us, seq, whole, self._read(rows))
                 del rows
--- a/wheelstep/shards/shelf.py
+++ b/wheelstep/shards/core_adapter.py
@@ -9,14 +9,15 @@
 from wheelstep import interface as api
 from wheelstep.courier.core import Core
 from wheelstep.courier.rows import Row
-from wheelstep.shards.book import ShardBook
+from wheelstep.shards.shard_journal import ShardBook
 from wheelstep.shards.types import EndpointHealth, OwedKey, shard_of
 
-_NOTES_MAX_AGE_S = 0.5  # the module's notes are read at most this often, as one turn reads those of many shards
+_NOTES_MAX_AGE_S = 0.5  # the decision module's notes are read at most this often, as one turn uses those of many
 
 
 class CoreAdapter:
-    """`book` is the core's journal; health that it recorded is restored once the endpoint's row has arrived."""
+    """Implements `ports.CourierPort` with a courier's core. `book` is the core's journal; health that it recorded is
+    restored once the endpoint's row has arrived."""
 
     def __init__(self, core: Core, book: ShardBook, shards: int) -> None:
         self._core, self._book, self._shards = core, book, shards
@@ -26,7 +27,7 @@
 
     @property
     def desk(self) -> Core:
-        """The core itself."""
+        """The core, as the client server uses it."""
         return self._core
 
     # --- the list ---
@@ -78,7 +79,7 @@
         return healths, waits
 
     def _read_notes(self) -> None:
-        """Reads the module's notes if the last reading is too old."""
+        """Reads the decision module's notes if the last reading is too old."""
         now_s = time.monotonic()
         if now_s - self._notes_read_s < _NOTES_MAX_AGE_S:
             return
--- a/wheelstep/shards/daemon.py
+++ b/wheelstep/shards/daemon.py
@@ -23,11 +23,11 @@
 from wheelstep.fleet.types import Member, State
 from wheelstep.journal import Journal
 from wheelstep.journal.disk import Folder
-from wheelstep.shards.book import ShardBook
+from wheelstep.shards.core_adapter import CoreAdapter
 from wheelstep.shards.net import Sockets
 from wheelstep.shards.node import ShardNode
 from wheelstep.shards.settings import NodeSettings
-from wheelstep.shards.shelf import CoreAdapter
+from wheelstep.shards.shard_journal import ShardBook
 from wheelstep.shards.types import ListRow
 
 _FIGURES_S = 10.0
@@ -59,8 +59,8 @@
         self._boot = _boot(Folder(folder), folder)
 
     def join(self, core: Core) -> tuple[Admission, ClientApi | None, Callable[[int], Admission] | None]:
-        """What the client server uses: the desk that tells whether all is ready, no front, and a function from a
-        destination to its desk."""
+        """What the client server uses: the admission that tells whether all is ready, no front, and a function from a
+        destination to its admission."""
         core.endpoints.knows_list = True  # a destination without a row is unknown, even before rows have arrived
         self._core_adapter = CoreAdapter(core, self.kept, self._part.shards.count)
         return core, None, lambda destination: self.node.desk(destination)
--- a/wheelstep/shards/ways.py
+++ b/wheelstep/shards/decisions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from wheelstep.shards.hosting import Life
+from wheelstep.shards.hosting import ShardPhase
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """What this courier knows of the message's shard and key. `rests_us`: how long a former home may still owe the key;
-    `has_rows`: the rows of a shard served as guest have arrived."""
+    """What this courier knows of the message's shard and key. `owed_elsewhere_us`: how long a former home may still owe
+    the key; `has_rows`: the rows of a shard served as guest have arrived."""
 
-    life: Life | None
+    phase: ShardPhase | None
     home: str | None
     owes_key: bool
-    rests_us: int
+    owed_elsewhere_us: int
     guest_room: bool
     has_rows: bool = False
 
--- a/wheelstep/shards/rests.py
+++ b/wheelstep/shards/former_keys.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from wheelstep.shards.learned import WHOLE_SHARD, KeyName
+from wheelstep.shards.learned_state import WHOLE_SHARD, KeyName
 from wheelstep.shards.types import OwedKey, shard_of
 
 _SWEEP_INTERVAL_US = 1_000_000
--- a/wheelstep/shards/passed.py
+++ b/wheelstep/shards/forwarded_keys.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from wheelstep.shards.timed import ExpiringTable
+from wheelstep.shards.expiring_table import ExpiringTable
 
 _CHECK_US = 5_000_000
 _MAX_COURIERS = 4_096
@@ -52,7 +52,7 @@
     silent: bool = False  # an unanswered ask may still arrive there later
 
 
-class Passed:
+class ForwardedKeys:
     """Ordered keys of which messages were passed on, each at one courier, until the messages' deadline plus a settle
     time. Holds `max_keys` keys at most: messages of further keys are passed on as well, and until the last of these has
     ended, `overflowed` reports that any key may be open at another courier."""
--- a/wheelstep/shards/handoff.py
+++ b/wheelstep/shards/handoff.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from wheelstep.shards.given import Handover, PushState
-from wheelstep.shards.kept import LearnedStore
-from wheelstep.shards.learned import KeyName, keys_released_error, learned_state_error
-from wheelstep.shards.rests import FormerHomeKeys
-from wheelstep.shards.timed import ExpiringTable
+from wheelstep.shards.expiring_table import ExpiringTable
+from wheelstep.shards.former_keys import FormerHomeKeys
+from wheelstep.shards.handovers import Handover, PushState
+from wheelstep.shards.learned_state import KeyName, keys_released_error, learned_state_error
+from wheelstep.shards.learned_store import LearnedStore
 from wheelstep.shards.types import EndpointHealth, Frame, KeysReleased, LearnedState, LearnedStateAck, OwedKey
 
 _MAX_NUMBERS = 65_536
@@ -163,7 +163,7 @@
             actions.append(SendTo(handover.to, handover.frame(now_us)))
         return actions
 
-    def rests_us(self, now_us: int, destination: int, message_class: str, key: str) -> int:
+    def owed_elsewhere_us(self, now_us: int, destination: int, message_class: str, key: str) -> int:
         """How long a former home may still owe this ordered key; 0 if none does."""
         return max(0, self._former_keys.until_us(destination, message_class, key) - now_us)
 
--- a/wheelstep/shards/given.py
+++ b/wheelstep/shards/handovers.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from wheelstep.shards.learned import WHOLE_SHARD, KeyName, aged_healths, differs, frame_keys, remaining_waits
+from wheelstep.shards.learned_state import WHOLE_SHARD, KeyName, aged_healths, differs, frame_keys, remaining_waits
 from wheelstep.shards.types import EndpointHealth, KeysReleased, LearnedState, OwedKey
 
 _SLACK_US = 1_000_000  # changes of a wait or a key's time below this are not sent
--- a/wheelstep/shards/homes.py
+++ b/wheelstep/shards/homes.py
@@ -11,8 +11,8 @@
 
 
 class Homes:
-    """Homes by the members seen so far. This courier counts as a member from the first call of `saw` on; until then,
-    and while the region has no members, no shard has a home."""
+    """Homes by the members seen so far. This courier counts as a member from the first call of `update_members` on;
+    until then, and while the region has no members, no shard has a home."""
 
     def __init__(self, me: Member, shards: int, load: float = 1.25) -> None:
         self.me = me.name
@@ -22,7 +22,7 @@
         self._zones: dict[str, str] = {}  # zone of each courier on the ring
         self._zone_counts: Counter[str] = Counter()
 
-    def saw(self, now_us: int, members: Iterable[Member]) -> set[int]:
+    def update_members(self, now_us: int, members: Iterable[Member]) -> set[int]:
         """Takes each change of a member's state, zone or weight and returns the shards whose home changed. Members that
         are LEAVING, GONE or of another region are excluded; a suspected one keeps its shards."""
         changes = {member.name: member for member in members}
@@ -48,7 +48,7 @@
         """The shard's home; None if no courier is there or there is no such shard."""
         return self.ring.home(shard)
 
-    def next(self, shard: int) -> str | None:
+    def successor(self, shard: int) -> str | None:
         """The courier that would follow the home: the next on the ring in another zone, else the next other one. None
         if there is none."""
         home = self.ring.home(shard)
@@ -62,6 +62,6 @@
                 return name
         return None
 
-    def mine(self) -> Set[int]:
+    def own_shards(self) -> Set[int]:
         """The shards that this courier is home of."""
         return self.ring.shards_of(self.me)
--- a/wheelstep/shards/kept.py
+++ b/wheelstep/shards/learned_store.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wheelstep.shards.learned import MAX_US
+from wheelstep.shards.learned_state import MAX_US
 from wheelstep.shards.types import EndpointHealth, LearnedState
 
 _FRESH_US = 10_000_000  # an older handover belongs to an earlier change of home
--- a/wheelstep/shards/lives.py
+++ b/wheelstep/shards/lifecycles.py
@@ -1,5 +1,5 @@
-"""Carries out the decisions about a courier's shards: subscribes to rows and passes them to the module, exchanges
-learned state, opens and drops shards. Decides nothing itself."""
+"""Carries out the decisions about a courier's shards: subscribes to rows and passes them to the decision module,
+exchanges learned state, opens and drops shards. Decides nothing itself."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from wheelstep.shards import handoff, hosting, list_client
 from wheelstep.shards.handoff import Handoff
 from wheelstep.shards.homes import Homes
-from wheelstep.shards.hosting import Hosting, Life
+from wheelstep.shards.hosting import Hosting, ShardPhase
 from wheelstep.shards.links import Links
 from wheelstep.shards.list_client import ListClient
 from wheelstep.shards.ports import CourierPort
 from wheelstep.shards.router import Router
 from wheelstep.shards.settings import NodeSettings
+from wheelstep.shards.state_sender import LearnedStateSender
 from wheelstep.shards.streams import StreamLink
-from wheelstep.shards.teaching import LearnedStateSender
 from wheelstep.shards.types import (
     Behind,
     Current,
@@ -32,7 +32,7 @@
     ShardRows,
     shard_of,
 )
-from wheelstep.shards.waits import ShardWaiters
+from wheelstep.shards.waiters import ShardWaiters
 
 
 class ShardLifecycles:
@@ -78,7 +78,7 @@
         """A message was taken for a shard whose home is another courier."""
         now_us, shard = self._now_us(), shard_of(message.destination, self._shards)
         self.hosting.message_taken(now_us, shard)
-        if message.key is not None and self.hosting.life(shard) is Life.LEAVING:
+        if message.key is not None and self.hosting.phase(shard) is ShardPhase.LEAVING:
             self.run_handoff_actions(self.state_sender.add_owed_keys(now_us, shard))
 
     def owed(self) -> None:
@@ -120,22 +120,22 @@
                 self.counts["unreadable_rows"] += 1
         return found
 
-    def run_list_actions(self, actions: Iterable[list_client.ListAct]) -> None:
+    def run_list_actions(self, actions: Iterable[list_client.ListAction]) -> None:
         """Carries out actions of `ListClient`."""
         for action in actions:
             match action:
                 case list_client.Dial(control):
                     self.links.spawn(self._dial_control(control))
-                case list_client.HangUp(control):
+                case list_client.Disconnect(control):
                     if (link := self._control_links.pop(control, None)) is not None:
                         link.close()
-                case list_client.Tell(control, frame):
+                case list_client.Send(control, frame):
                     if (link := self._control_links.get(control)) is not None:
                         link.send(frame)
-                case list_client.Changed(shard, rows, first):
+                case list_client.RowsChanged(shard, rows, first):
                     self._courier.listed(self._read_rows(rows))
                     if first:
-                        if self.hosting.life(shard) in (Life.OPENING, Life.HOME):
+                        if self.hosting.phase(shard) in (ShardPhase.OPENING, ShardPhase.HOME):
                             self.run_handoff_actions(self.handoff.opening(self._now_us(), shard))
                         self.run_hosting_actions(self.hosting.rows_received(self._now_us(), shard))
                         self._waits.notify(shard)
@@ -169,7 +169,7 @@
             case ShardRows() | Current() | Behind() if self._control_links.get(link.peer) is link:
                 self.run_list_actions(self.list_client.heard(now_us, link.peer, frame))
             case LearnedState() | LearnedStateAck() | KeysReleased() if link.peer not in self._control:
-                here = self.hosting.life(frame.shard) in (Life.OPENING, Life.HOME)
+                here = self.hosting.phase(frame.shard) in (ShardPhase.OPENING, ShardPhase.HOME)
                 if actions := self.handoff.heard(now_us, link.peer, frame, here):
                     if here and isinstance(frame, LearnedState) and frame.handover:
                         self._router.handed_over(now_us, frame.shard, link.peer)
@@ -200,5 +200,5 @@
         self.run_hosting_actions(self.hosting.tick(now_us))
         self.run_handoff_actions(self.handoff.tick(now_us))
         if now_us >= self.state_sender.next_us:
-            self.run_handoff_actions(self.state_sender.tick(now_us, self.hosting.of(Life.HOME)))
+            self.run_handoff_actions(self.state_sender.tick(now_us, self.hosting.shards_in(ShardPhase.HOME)))
             self.owed()
--- a/wheelstep/shards/list_acts.py
+++ b/wheelstep/shards/list_acts.py
@@ -15,14 +15,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class Disconnect:
     """Close the connection, or abort connecting; `lost` need not be called."""
 
     control: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Send:
     """Send the frame to this control machine."""
 
     control: str
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class RowsChanged:
     """Rows of a shard that changed; removed ones are DELETED. `first`: the shard's rows are known from now on."""
 
     shard: int
@@ -45,4 +45,4 @@
     text: str
 
 
-ListAct = Dial | HangUp | Tell | Changed | Note
+ListAction = Dial | Disconnect | Send | RowsChanged | Note
--- a/wheelstep/shards/list_client.py
+++ b/wheelstep/shards/list_client.py
@@ -8,13 +8,13 @@
 
 import xxhash
 
-from wheelstep.shards.list_acts import Changed, Dial, HangUp, ListAct, Note, Tell
+from wheelstep.shards.list_acts import Dial, Disconnect, ListAction, Note, RowsChanged, Send
 from wheelstep.shards.list_rows import DELETED
 from wheelstep.shards.list_shard import FollowedShard, Hosts, RefusedError, validate
 from wheelstep.shards.refusals import Refusals
 from wheelstep.shards.types import Behind, Current, Follow, Frame, ListRow, ShardRows, Unfollow
 
-__all__ = ["Changed", "Dial", "HangUp", "ListAct", "ListClient", "Note", "Tell"]
+__all__ = ["Dial", "Disconnect", "ListAction", "ListClient", "Note", "RowsChanged", "Send"]
 
 FIRST_BACKOFF_US = 250_000  # longest first wait after all control machines failed; doubled with each round
 MAX_BACKOFF_US = 8_000_000
@@ -63,7 +63,7 @@
 
     # --- from the courier ---
 
-    def follow(self, now_us: int, shards: Iterable[int]) -> list[ListAct]:
+    def follow(self, now_us: int, shards: Iterable[int]) -> list[ListAction]:
         """Follows these shards as well. Raises `ValueError` for a shard out of range."""
         new = [shard for shard in dict.fromkeys(shards) if shard not in self._followed]
         if any(not 0 <= shard < self._shards for shard in new):
@@ -72,28 +72,28 @@
             self._followed[shard] = FollowedShard()
         return self._subscribe(new) if new else []
 
-    def unfollow(self, now_us: int, shards: Iterable[int]) -> list[ListAct]:
+    def unfollow(self, now_us: int, shards: Iterable[int]) -> list[ListAction]:
         """Stops following these shards and forgets their rows."""
         old = {shard: known for shard in shards if (known := self._followed.pop(shard, None)) is not None}
         left = {host: self._hosts.remove(host, shard) for shard, known in old.items() for host in known.rows}
-        actions: list[ListAct] = [Changed(shard, (self._followed[shard].rows[host],), False)
-                                  for host, shard in left.items() if shard in self._followed]
+        actions: list[ListAction] = [RowsChanged(shard, (self._followed[shard].rows[host],), False)
+                                     for host, shard in left.items() if shard in self._followed]
         if old and self._in_use:
             self._recently_unfollowed.update(old)
-            actions.append(Tell(self.control, Unfollow(tuple(old))))
+            actions.append(Send(self.control, Unfollow(tuple(old))))
         return actions
 
-    def _subscribe(self, shards: Iterable[int]) -> list[ListAct]:
+    def _subscribe(self, shards: Iterable[int]) -> list[ListAction]:
         if not self._in_use:
             return []
-        return [Tell(self.control, Follow(self.seq, tuple((n, self._followed[n].digest) for n in shards)))]
+        return [Send(self.control, Follow(self.seq, tuple((n, self._followed[n].digest) for n in shards)))]
 
     # --- from the network ---
 
-    def dialled(self, now_us: int, control: str, ok: bool) -> list[ListAct]:
+    def dialled(self, now_us: int, control: str, ok: bool) -> list[ListAction]:
         """A `Dial` has ended; `ok`: the connection is open."""
         if not self._dialling or control != self._order[self._index]:
-            return [HangUp(control)] if ok and control != self.control else []
+            return [Disconnect(control)] if ok and control != self.control else []
         if not ok:
             return self._leave(now_us)
         self._dialling, self._in_use = False, True
@@ -103,11 +103,11 @@
             known.requested_again, known.awaits_whole = False, not known.known
         return self._subscribe(self._followed)
 
-    def lost(self, now_us: int, control: str) -> list[ListAct]:
+    def lost(self, now_us: int, control: str) -> list[ListAction]:
         """A connection has ended."""
         return self._leave(now_us) if control and control == self.control else []
 
-    def heard(self, now_us: int, control: str, frame: Frame) -> list[ListAct]:
+    def heard(self, now_us: int, control: str, frame: Frame) -> list[ListAction]:
         """Handles a frame of a control machine. After an invalid frame it is left for the next one, and nothing of that
         frame is used."""
         if not control or control != self.control:
@@ -119,20 +119,20 @@
                     self._check_version(seq)
                     return []
                 case Behind():
-                    return [HangUp(control), *self._leave(now_us)]
+                    return [Disconnect(control), *self._leave(now_us)]
                 case ShardRows():
                     return self._rows(now_us, frame)
             raise RefusedError("frame", f"{type(frame).__name__}; expected ShardRows, Current or Behind")
         except RefusedError as error:
             self._refusals.add(error.reason, f"control machine {control}: {error}; it is left")
-            return [HangUp(control), *self._notes(now_us), *self._leave(now_us)]
+            return [Disconnect(control), *self._notes(now_us), *self._leave(now_us)]
 
     def _check_version(self, seq: int) -> None:
         if seq < self.seq:
             raise RefusedError("old", f"version {seq}; expected {self.seq} or newer")
         self.seq = seq
 
-    def _rows(self, now_us: int, frame: ShardRows) -> list[ListAct]:
+    def _rows(self, now_us: int, frame: ShardRows) -> list[ListAction]:
         if frame.seq < self.seq:
             raise RefusedError("old", f"rows of version {frame.seq}; expected {self.seq} or newer")
         validate(frame, self._shards)
@@ -149,7 +149,7 @@
             return self._request_whole(now_us, frame.shard, shard)
         self.seq = frame.seq
         changed_rows: list[ListRow] = []
-        relisted: list[ListAct] = []
+        relisted: list[ListAction] = []
         for row in changes:
             if row.health != DELETED:
                 self._hosts.add(row.host, frame.shard)
@@ -157,10 +157,10 @@
             elif (other := self._hosts.remove(row.host, frame.shard)) is None:
                 changed_rows.append(row)
             else:
-                relisted.append(Changed(other, (self._followed[other].rows[row.host],), False))
-        return ([Changed(frame.shard, tuple(changed_rows), first)] if first or changed_rows else []) + relisted
+                relisted.append(RowsChanged(other, (self._followed[other].rows[row.host],), False))
+        return ([RowsChanged(frame.shard, tuple(changed_rows), first)] if first or changed_rows else []) + relisted
 
-    def _request_whole(self, now_us: int, number: int, shard: FollowedShard) -> list[ListAct]:
+    def _request_whole(self, now_us: int, number: int, shard: FollowedShard) -> list[ListAction]:
         """Requests the shard's whole set, once per connection."""
         if shard.requested_again:
             raise RefusedError("digest", f"rows of shard {number} do not fit their digest, again")
@@ -174,19 +174,19 @@
         """When `tick` is due."""
         return self._last_heard_us + self._silent_us if self._dialling or self._in_use else self._dial_us
 
-    def tick(self, now_us: int) -> list[ListAct]:
+    def tick(self, now_us: int) -> list[ListAction]:
         """Does what is due: leaves a silent control machine, or dials the next one."""
         if now_us < self.next_us():
             return []
         if self._dialling or self._in_use:
             control = self._order[self._index]
-            return [HangUp(control), *self._leave(now_us)]
+            return [Disconnect(control), *self._leave(now_us)]
         self._index = (self._index + 1) % len(self._order)
         self._dialling = True
         self._since_us = self._last_heard_us = now_us
         return [Dial(self._order[self._index])]
 
-    def _leave(self, now_us: int) -> list[ListAct]:
+    def _leave(self, now_us: int) -> list[ListAction]:
         """Leaves the control machine in use or being dialled. Dials the next one at once, but after each round of all
         of them only after a random delay."""
         was_good = self._in_use and self._last_heard_us - self._since_us > self._silent_us
@@ -199,5 +199,5 @@
         self._dial_us += self._rng.randrange(min(MAX_BACKOFF_US, FIRST_BACKOFF_US << min(rounds - 1, 16)))
         return []
 
-    def _notes(self, now_us: int) -> list[ListAct]:
+    def _notes(self, now_us: int) -> list[ListAction]:
         return [Note(line) for line in self._refusals.lines(now_us)]
--- a/wheelstep/shards/node.py
+++ b/wheelstep/shards/node.py
@@ -17,16 +17,16 @@
 from wheelstep.forwarding.server import ForwardServer
 from wheelstep.journal import StoredMessage
 from wheelstep.shards.homes import Homes
-from wheelstep.shards.hosting import NEVER_US, Life
+from wheelstep.shards.hosting import NEVER_US, ShardPhase
+from wheelstep.shards.lifecycles import ShardLifecycles
 from wheelstep.shards.links import Links
-from wheelstep.shards.lives import ShardLifecycles
 from wheelstep.shards.ports import CourierPort, Net
 from wheelstep.shards.router import Router, View
 from wheelstep.shards.routing import Routing
 from wheelstep.shards.settings import NodeSettings
 from wheelstep.shards.streams import Streams
 from wheelstep.shards.types import ListRow
-from wheelstep.shards.waits import ShardWaiters
+from wheelstep.shards.waiters import ShardWaiters
 
 READY_TIMEOUT_US = 5_000_000  # after this a courier serves clients by forwarding even if its shards have no rows
 
@@ -48,16 +48,16 @@
         self.homes = Homes(me, settings.shards, settings.load)
         self.waits = ShardWaiters()
         self.router = Router(me.name, settings.settle_us)
-        self.lives = ShardLifecycles(me.name, boot, settings, control, courier, self.homes, self.router, self.waits,
-                                     read, rng, self.now_us, self._arm, note)
-        self.hosting, self.handoff = self.lives.hosting, self.lives.handoff
+        self.lifecycles = ShardLifecycles(me.name, boot, settings, control, courier, self.homes, self.router,
+                                          self.waits, read, rng, self.now_us, self._arm, note)
+        self.hosting, self.handoff = self.lifecycles.hosting, self.lifecycles.handoff
         self.routing = Routing(self, self.router, self.waits, settings.opens_within_us)
         self._seal = Seal(keys, fleet, me.name, boot)
         self._datagrams = Datagrams(
             self._seal, self.now_us, lambda data, to: net.send(to, data), self._packet, self._elder)
-        self.links = self.lives.links = Links(
-            self.membership.address_of, lambda: ForwardServer(self.routing.asked), self.lives.heard, self.lives.lost,
-            settings.dial_us / 1e6)
+        self.links = self.lifecycles.links = Links(
+            self.membership.address_of, lambda: ForwardServer(self.routing.asked), self.lifecycles.heard,
+            self.lifecycles.lost, settings.dial_us / 1e6)
         self.links.streams = self.streams = Streams(net, keys, fleet, me.name, boot, self.links.heard, self.links.lost,
                                                     self.now_us)
         self._clients: dict[str, ForwardClient] = {}
@@ -75,7 +75,7 @@
     async def start(self, listen: str) -> str:
         """Listens for peers, starts membership and returns the address. Raises `OSError`."""
         address = await self._net.listen(listen, self.streams.accept, self._datagrams.received)
-        self.lives.owed()  # messages owed since an earlier process
+        self.lifecycles.owed()  # messages owed since an earlier process
         self._tick()
         return address
 
@@ -89,27 +89,27 @@
         """Tells whether clients may connect: once no shard is opening, or after some seconds (`READY_TIMEOUT_US`)."""
         if not self._was_ready and self.formed:
             late_us = self._started_us + self.settings.forms_within_us + READY_TIMEOUT_US
-            self._was_ready = self.now_us() > late_us or not self.hosting.of(Life.OPENING)
+            self._was_ready = self.now_us() > late_us or not self.hosting.shards_in(ShardPhase.OPENING)
         return self._was_ready and self.formed and not self._leaving
 
     def desk(self, destination: int) -> Admission:
-        """The desk for one client request to the destination."""
+        """The admission for one client request to the destination."""
         return self.routing.find(destination)
 
     def figures(self) -> dict[str, int]:
         """Counts for operators: shards by state, couriers, decisions about messages, and refused input."""
-        refused = self.streams.refused + self.lives.list_client.refused + self.lives.counts
+        refused = self.streams.refused + self.lifecycles.list_client.refused + self.lifecycles.counts
         return {"couriers": len(self.membership.members()),
-                **{life.value: len(self.hosting.of(life)) for life in Life},
+                **{phase.value: len(self.hosting.shards_in(phase)) for phase in ShardPhase},
                 **{f"message {what}": count for what, count in self.router.counts.items()},
                 **{f"refused {why}": count for why, count in refused.items()}}
 
     async def leave(self, within_s: float = 0.5) -> None:
-        """Announces that this courier leaves, and waits up to `within_s` seconds until the new homes have acknowledged
-        what was learned."""
+        """Announces the departure and waits up to `within_s` seconds until new homes acknowledge handovers."""
         self._leaving = True
         # Connected peers are told directly: gossip takes seconds, and an ended courier leaves asks unanswered.
-        self._members(self.membership.leave(self.now_us(), self.membership.members().keys() & set(self.links.peers())))
+        self._run_member_actions(
+            self.membership.leave(self.now_us(), self.membership.members().keys() & set(self.links.peers())))
         self._arm()
         until_us = self.now_us() + int(within_s * 1e6)
         while self.handoff.next_us() < NEVER_US and self.now_us() < until_us:
@@ -117,7 +117,7 @@
 
     async def close(self) -> None:
         """Stops everything; the process ends."""
-        self._members(self.membership.left(self.now_us()))
+        self._run_member_actions(self.membership.left(self.now_us()))
         self._closed = True
         self._arm()
         for client in self._clients.values():
@@ -129,38 +129,38 @@
     # --- routing.RoutingNode ---
 
     @property
-    def desk_here(self) -> Admission:
-        """This courier's own desk."""
+    def own_admission(self) -> Admission:
+        """This courier's own admission."""
         return self._courier.desk
 
     def takes_all(self, shard: int) -> bool:
         """Tells whether the shard is home here and nothing restricts which of its messages may be taken."""
-        if not self.formed or self.hosting.life(shard) is not Life.HOME:
+        if not self.formed or self.hosting.phase(shard) is not ShardPhase.HOME:
             return False  # the most frequent case; the checks below cost more
         sizes = self.router.sizes() | self.handoff.sizes()
         return not (sizes["rests"] or sizes["asks"] or sizes["passed"] or sizes["taken"])
 
     def view(self, destination: int, shard: int, message_class: str, key: str | None) -> View:
         """What the router's decision depends on."""
-        life = self.hosting.life(shard)
-        owes = key is not None and life in (Life.LEAVING, Life.GUEST) and self._courier.owes_key(
+        phase = self.hosting.phase(shard)
+        owes = key is not None and phase in (ShardPhase.LEAVING, ShardPhase.GUEST) and self._courier.owes_key(
             destination, message_class, key)
-        rests_us = 0 if key is None else self.handoff.rests_us(self.now_us(), destination, message_class, key)
+        owed_us = 0 if key is None else self.handoff.owed_elsewhere_us(self.now_us(), destination, message_class, key)
         home = self.homes.home(shard) if self.formed else None
         if home and (known := self.membership.member(home)) and known.state is State.SUSPECT:
             home = None  # a guest takes over until this is settled: a dead home would not answer, which leaves doubt
         room, rows = self.formed and self.hosting.guest_room(), self.hosting.has_rows(shard)
-        return View(life, home, owes, rests_us, room, rows)
+        return View(phase, home, owes, owed_us, room, rows)
 
     def serve_as_guest(self, shard: int) -> bool:
         """Starts serving the shard as guest; False if there is no room."""
-        room = self.lives.serve_as_guest(shard)
+        room = self.lifecycles.serve_as_guest(shard)
         self._arm()
         return room
 
     def taken_for_other_home(self, message: StoredMessage) -> None:
         """A message was taken here although another courier is home."""
-        self.lives.taken_for_other_home(message)
+        self.lifecycles.taken_for_other_home(message)
         self._arm()
 
     def knows_class(self, message_class: str) -> bool:
@@ -177,14 +177,14 @@
     # --- members ---
 
     def _packet(self, sender: str, address: str, packet: Packet) -> None:
-        self._members(self.membership.heard(self.now_us(), sender, address, packet))
+        self._run_member_actions(self.membership.heard(self.now_us(), sender, address, packet))
         self._arm()
 
     def _elder(self, elder: Elder) -> None:
         if self._seal.heard_elder(elder, self.now_us()):
             self._note(f"the fleet knows a higher boot of this courier: boot {self._seal.boot} is used from now on")
 
-    def _members(self, actions: Sequence[Action]) -> None:
+    def _run_member_actions(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
                 case SendPacket(address, packet):
@@ -197,7 +197,7 @@
             for member in changed:
                 if member.state is State.GONE and member.name in self._clients:
                     self._clients.pop(member.name).close()
-            self._homes_changed(self.homes.saw(now_us, changed))
+            self._homes_changed(self.homes.update_members(now_us, changed))
 
     def _form_if_due(self, now_us: int) -> None:
         """Takes part once the other couriers are known: earlier, it would consider itself home of their shards."""
@@ -205,7 +205,7 @@
             return
         self._last_homes = [None] * self.shards
         self._homes_changed(range(self.shards), first=True)
-        mine, couriers = len(self.homes.mine()), len(self.membership.members())
+        mine, couriers = len(self.homes.own_shards()), len(self.membership.members())
         self._note(f"fleet formed: this courier is home of {mine} of {self.shards} shards, {couriers} couriers")
 
     def _forms_at_us(self) -> int:
@@ -225,25 +225,25 @@
                 continue
             if home == self._me:
                 former, alone = self.membership.member(previous or ""), len(self.membership.members()) == 1
-                self.lives.became_home(shard, alone if first else former is None or former.state is State.GONE)
-            elif previous == self._me or self.hosting.life(shard) is Life.LEAVING:
-                self.lives.left_home(shard, home)
+                self.lifecycles.became_home(shard, alone if first else former is None or former.state is State.GONE)
+            elif previous == self._me or self.hosting.phase(shard) is ShardPhase.LEAVING:
+                self.lifecycles.left_home(shard, home)
 
     # --- the clock ---
 
     def _tick(self) -> None:
         self._timer = None
         now_us = self.now_us()
-        self._members(self.membership.tick(now_us))
+        self._run_member_actions(self.membership.tick(now_us))
         self._form_if_due(now_us)
-        self.lives.tick(now_us)
+        self.lifecycles.tick(now_us)
         for line in self.streams.notes():
             self._note(line)
         self._arm()
 
     def _arm(self) -> None:
         forms_us = NEVER_US if self._last_homes else self._forms_at_us()
-        due_us = min(self.membership.next_us(), self.lives.next_us(), forms_us)
+        due_us = min(self.membership.next_us(), self.lifecycles.next_us(), forms_us)
         if self._timer is not None:
             self._timer.cancel()
         in_s = max(due_us - self.now_us(), 1_000) / 1e6
--- a/wheelstep/shards/ports.py
+++ b/wheelstep/shards/ports.py
@@ -12,7 +12,7 @@
 
 
 class CourierPort(Protocol):
-    """A courier as seen by its shard node: its desk, its list, its module."""
+    """A courier as seen by its shard node: its admission, its list, its decision module."""
 
     @property
     def desk(self) -> Admission:
@@ -22,8 +22,8 @@
         """Applies changes of the list for shards served here; `REMOVED` rows are deleted."""
 
     def drop(self, destinations: Iterable[int]) -> None:
-        """The destinations' shard is no longer served and nothing of it is owed: forgets rows, health and module state.
-        """
+        """The destinations' shard is no longer served and nothing of it is owed: forgets rows, health and the decision
+        module's state."""
 
     def owed(self) -> Mapping[int, int]:
         """The number of messages held, by shard; only shards with any."""
--- a/wheelstep/shards/desks.py
+++ b/wheelstep/shards/routed_admission.py
@@ -1,4 +1,5 @@
-"""The desk of a destination whose messages are routed: passed on to their home, or taken here (admission.Admission)."""
+"""The admission of a destination whose messages are routed: passed on to their home, or taken here
+(admission.Admission)."""
 
 from __future__ import annotations
 
@@ -8,23 +9,23 @@
 from wheelstep.courier.admission import Admission
 from wheelstep.journal import StoredMessage
 
-Route = Callable[["RoutedDesk", StoredMessage], "asyncio.Future[None]"]
+Route = Callable[["RoutedAdmission", StoredMessage], "asyncio.Future[None]"]
 
 
-class RoutedDesk:
-    """Serves one request. `own_desk` is the courier's own desk; `route` decides, and returns a future that is done when
-    the message is taken."""
+class RoutedAdmission:
+    """Serves one request. `own_admission` is the courier's own admission; `route` decides, and returns a future that is
+    done when the message is taken."""
 
     ready = True
     syncs = True  # the caller waits for `durable`
 
-    def __init__(self, own_desk: Admission, route: Route) -> None:
-        self._own_desk, self._route = own_desk, route
+    def __init__(self, own_admission: Admission, route: Route) -> None:
+        self._own_admission, self._route = own_admission, route
         self._message: StoredMessage | None = None
-        self.inner: Admission | None = None  # the desk that was asked to take the message and hears of its progress
+        self.inner: Admission | None = None  # the one asked to take the message, which hears of its progress
 
     def full(self) -> bool:
-        """False: the desk that takes the message decides."""
+        """False: the admission that takes the message decides."""
         return False
 
     def serves(self, destination: int) -> bool:
@@ -33,11 +34,11 @@
 
     def holds(self, message: str) -> bool:
         """Tells whether this courier holds the message already."""
-        return self._own_desk.holds(message)
+        return self._own_admission.holds(message)
 
     def is_unconfirmed(self, message: str) -> bool:
-        """As the courier's own desk."""
-        return self._own_desk.is_unconfirmed(message)
+        """As the courier's own admission."""
+        return self._own_admission.is_unconfirmed(message)
 
     def take(self, message: StoredMessage) -> None:
         """Keeps the message until `durable` routes it."""
@@ -50,18 +51,18 @@
         return self._route(self, self._message)
 
     def begin(self, name: str) -> None:
-        """Starts the message's delivery at the desk that took it."""
+        """Starts the message's delivery at the admission that took it."""
         if self.inner is not None:
             self.inner.begin(name)
 
     def withdraw(self, name: str) -> None:
-        """Withdraws the message from the desk that was asked."""
+        """Withdraws the message from the admission that was asked."""
         if self.inner is not None:
             self.inner.withdraw(name)
 
     def record_answer(self, message: StoredMessage, status: int) -> None:
-        """Counts the answer: at the desk that took the message, or here if it was turned away."""
+        """Counts the answer: at the admission that took the message, or here if it was turned away."""
         if self.inner is not None:
             self.inner.record_answer(message, status)
         elif status != 202:
-            self._own_desk.record_answer(message, status)
+            self._own_admission.record_answer(message, status)
--- a/wheelstep/shards/router.py
+++ b/wheelstep/shards/router.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from wheelstep.shards.hosting import Life
-from wheelstep.shards.passed import Passed, SilentCouriers
-from wheelstep.shards.timed import ExpiringTable
-from wheelstep.shards.ways import Answer, Ask, BeGuest, Decision, NoAnswer, Request, Retry, Take, View, Wait
+from wheelstep.shards.decisions import Answer, Ask, BeGuest, Decision, NoAnswer, Request, Retry, Take, View, Wait
+from wheelstep.shards.expiring_table import ExpiringTable
+from wheelstep.shards.forwarded_keys import ForwardedKeys, SilentCouriers
+from wheelstep.shards.hosting import ShardPhase
 
 __all__ = ["Answer", "Ask", "BeGuest", "Decision", "NoAnswer", "Request", "Retry", "Router", "Take", "View", "Wait"]
 
@@ -32,13 +32,13 @@
     under_way: bool = True
     doubt: bool = False  # that courier may have taken the message
     former: bool = False  # asked because it may owe an earlier message of the key, though another is home
-    keyed: bool = False  # its ordered key is recorded in `Passed`
+    keyed: bool = False  # its ordered key is recorded in `ForwardedKeys`
 
 
 class Router:
     """Decides for one courier. Bounds: `max_doubts` ids under way, in doubt or waiting here (an ask reserves the entry
     for its doubt; at the bound no courier is asked); `max_taken` ids taken, the oldest dropped first; `max_passed`
-    ordered keys (see `passed`)."""
+    ordered keys (see `forwarded_keys`)."""
 
     def __init__(self, me: str, settle_us: int, max_doubts: int = 10_000, max_passed: int = 100_000,
                  mute_after: int = 3, mute_us: int = 1_000_000, max_taken: int = 20_000) -> None:
@@ -47,7 +47,7 @@
         self._max_taken = max_taken
         self._asks: ExpiringTable[str, _OpenAsk] = ExpiringTable()
         self._taken: ExpiringTable[str, str] = ExpiringTable()  # id -> the courier that took it
-        self._passed = Passed(settle_us, max_passed)
+        self._passed = ForwardedKeys(settle_us, max_passed)
         self._silent_couriers = SilentCouriers(mute_after, mute_us, _ASK_TIMEOUT_US)
         self.counts: Counter[str] = Counter()
 
@@ -79,7 +79,7 @@
         if answer in (Answer.FULL, Answer.BAD):
             return None
         home = view.home
-        if (ask.former and answer is Answer.AWAY and view.life is None and home is not None and home != self._me
+        if (ask.former and answer is Answer.AWAY and view.phase is None and home is not None and home != self._me
                 and self._passed.holder(now_us, request) is None and not self._silent_couriers.is_muted(now_us, home)):
             # the home may be asked now, but not within this hand-in
             return self._count(Retry(_KEY_RELEASED_RETRY_US, "key was at its former home"), request)
@@ -92,20 +92,20 @@
         self._expire(now_us)
         if request.id in self._asks or request.id in self._taken:
             return NoAnswer("may have been taken")
-        if view.owes_key and view.life in (Life.LEAVING, Life.GUEST):
+        if view.owes_key and view.phase in (ShardPhase.LEAVING, ShardPhase.GUEST):
             return Take(guest=True)
-        if view.life is Life.HOME:
+        if view.phase is ShardPhase.HOME:
             decision = self._decide_at_home(now_us, request, view)
             return Retry(_RETRY_AFTER_US, "key passed on may be open") if isinstance(decision, Ask) else decision
-        return Retry(_RETRY_AFTER_US, "not open yet") if view.life is Life.OPENING else None
+        return Retry(_RETRY_AFTER_US, "not open yet") if view.phase is ShardPhase.OPENING else None
 
     def take_refused(self, message: str) -> None:
-        """A message that was to be taken here was refused by the desk."""
+        """A message that was to be taken here was refused by `Admission.take`."""
         if self._taken.get(message) == self._me:
             self._taken.pop(message)
 
     def handed_over(self, now_us: int, shard: int, courier: str) -> None:
-        """That courier handed the shard over to this one, with the keys it owes (`Handoff.rests_us`)."""
+        """That courier handed the shard over to this one, with the keys it owes (`Handoff.owed_elsewhere_us`)."""
         self._passed.handed_over(now_us, shard, courier)
 
     def sizes(self) -> dict[str, int]:
@@ -133,19 +133,19 @@
     def _decide_at_home(self, now_us: int, request: Request, view: View) -> Take | Retry | Ask:
         """Decides at an open home. `Ask` names the courier that may still owe an earlier message of the key."""
         if request.key is not None:
-            if view.rests_us > 0:
-                return Retry(min(view.rests_us, _RETRY_AFTER_US), "key owed by its former home")
+            if view.owed_elsewhere_us > 0:
+                return Retry(min(view.owed_elsewhere_us, _RETRY_AFTER_US), "key owed by its former home")
             if (holder := self._passed.holder(now_us, request)) is not None:
                 return Ask(holder)
         return Take(guest=False)
 
     def _decide_new(self, now_us: int, request: Request, view: View) -> Decision:
-        if view.life is Life.HOME:
+        if view.phase is ShardPhase.HOME:
             decision = self._decide_at_home(now_us, request, view)
             return self._ask_holder(now_us, request, decision.courier) if isinstance(decision, Ask) else decision
-        if view.life in (Life.LEAVING, Life.GUEST) and view.owes_key:
+        if view.phase in (ShardPhase.LEAVING, ShardPhase.GUEST) and view.owes_key:
             return Take(guest=True)
-        if view.life is Life.OPENING or view.home == self._me:
+        if view.phase is ShardPhase.OPENING or view.home == self._me:
             return Wait()
         holder = self._passed.holder(now_us, request)
         if holder is not None and holder != view.home:
@@ -156,12 +156,12 @@
 
     def _decide_without_asking(self, now_us: int, request: Request, view: View) -> Decision:
         """As `_decide_new`, when no courier may be asked (again)."""
-        if view.life is Life.HOME:
+        if view.phase is ShardPhase.HOME:
             decision = self._decide_at_home(now_us, request, view)
             return Retry(_RETRY_AFTER_US, "key passed on may be open") if isinstance(decision, Ask) else decision
-        if view.life in (Life.LEAVING, Life.GUEST) and view.owes_key:
+        if view.phase in (ShardPhase.LEAVING, ShardPhase.GUEST) and view.owes_key:
             return Take(guest=True)
-        if view.life is Life.OPENING or view.home == self._me:
+        if view.phase is ShardPhase.OPENING or view.home == self._me:
             return self._wait_here(now_us, request, Wait())
         return self._decide_as_guest(now_us, request, view)
 
@@ -187,15 +187,15 @@
 
     def _decide_as_guest(self, now_us: int, request: Request, view: View) -> Decision:
         if request.key is not None:
-            if view.rests_us > 0:
-                return Retry(min(view.rests_us, _RETRY_AFTER_US), "key owed by its former home")
+            if view.owed_elsewhere_us > 0:
+                return Retry(min(view.owed_elsewhere_us, _RETRY_AFTER_US), "key owed by its former home")
             if self._passed.holder(now_us, request) is not None:
                 return Retry(_RETRY_AFTER_US, "key passed on may be open")
             if self._passed.overflowed(now_us):
                 return Retry(_RETRY_AFTER_US, "too many keys passed on")
-        if view.life is Life.GUEST and view.has_rows:
+        if view.phase is ShardPhase.GUEST and view.has_rows:
             return Take(guest=True)
-        if view.life is Life.GUEST or view.guest_room:
+        if view.phase is ShardPhase.GUEST or view.guest_room:
             return self._wait_here(now_us, request, BeGuest())
         return Retry(_RETRY_AFTER_US, "no room for a guest shard")
 
--- a/wheelstep/shards/teaching.py
+++ b/wheelstep/shards/state_sender.py
@@ -57,7 +57,7 @@
             self._per_tick = max(1, len(mine) * INTERVAL_US // self._push_us + 1)
         for _ in range(min(self._per_tick, len(self._round))):
             shard = self._round.pop()
-            to = self._homes.next(shard)
+            to = self._homes.successor(shard)
             if to is not None:
                 healths, waits = self._courier.learned(shard)
                 if healths or waits:
