--- a/wheelstep/shards/core_adapter.py
+++ b/wheelstep/shards/core_adapter.py
@@ -53,7 +53,7 @@
         return self._book.counts()
 
     def owed_keys(self, shard: int) -> Sequence[OwedKey]:
-        """The ordered keys of messages owed, each with its longest remaining time."""
+        """The ordered keys of messages owed, each with its longest remaining time by the wall clock."""
         now_ms, left = int(time.time() * 1000), dict[tuple[int, str, str], int]()
         for message in self._book.of(shard).values():
             if message.key is not None:
--- a/wheelstep/shards/handoff.py
+++ b/wheelstep/shards/handoff.py
@@ -174,7 +174,8 @@
     def sizes(self) -> dict[str, int]:
         """The number of entries in each table, and the bytes kept."""
         return {"given": len(self._handovers), "told": len(self._pushed), "kept": len(self._kept),
-                "rests": len(self._former_keys), "kept_bytes": self._kept.size, "numbers": len(self._last_numbers)}
+                "rests": len(self._former_keys), "kept_bytes": self._kept.estimated_bytes,
+                "numbers": len(self._last_numbers)}
 
     # --- internal ---
 
--- a/wheelstep/shards/learned_store.py
+++ b/wheelstep/shards/learned_store.py
@@ -8,7 +8,7 @@
 from wheelstep.shards.types import EndpointHealth, LearnedState
 
 _FRESH_US = 10_000_000  # an older handover belongs to an earlier change of home
-_ROW_BYTES = 300
+_ESTIMATED_ROW_BYTES = 300
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
         self._max_shards = max_shards
         self._max_bytes = max_bytes
         self._shards: dict[int, _StoredState] = {}
-        self.size = 0
+        self.estimated_bytes = 0
 
     def __len__(self) -> int:
         return len(self._shards)
@@ -36,7 +36,7 @@
         """Stores a frame that has been validated."""
         state = self._shards.pop(frame.shard, None) or _StoredState()
         self._shards[frame.shard] = state
-        self.size -= state.size
+        self.estimated_bytes -= state.size
         for health in frame.healths:
             noted_us = now_us - health.ago_us
             held = state.healths.get(health.endpoint)
@@ -47,20 +47,20 @@
             state.waits[endpoint] = max(state.waits.get(endpoint, 0), now_us + left_us)
         if frame.handover:
             state.handover_us = now_us
-        state.size = _ROW_BYTES * (1 + len(state.healths) + len(state.waits))
+        state.size = _ESTIMATED_ROW_BYTES * (1 + len(state.healths) + len(state.waits))
         state.size += sum(map(len, state.healths)) + sum(map(len, state.waits))
-        self.size += state.size
-        while self._shards and (len(self._shards) > self._max_shards or self.size > self._max_bytes):
-            self.size -= self._shards.pop(next(iter(self._shards))).size
+        self.estimated_bytes += state.size
+        while self._shards and (len(self._shards) > self._max_shards or self.estimated_bytes > self._max_bytes):
+            self.estimated_bytes -= self._shards.pop(next(iter(self._shards))).size
 
     def take(self, now_us: int, shard: int
              ) -> tuple[tuple[EndpointHealth, ...], tuple[tuple[str, int], ...], bool] | None:
-        """Removes the shard's state and returns its healths and waits with their present ages, and whether a recent
-        handover is part of it; None if there is none."""
+        """Removes the shard's state and returns healths with their present ages, waits with the microseconds left, and
+        whether a handover of the last 10 s is part of it. None if nothing is stored."""
         state = self._shards.pop(shard, None)
         if state is None:
             return None
-        self.size -= state.size
+        self.estimated_bytes -= state.size
         healths = tuple(EndpointHealth(health.endpoint, min(MAX_US, max(0, now_us - noted_us)), health.fields)
                         for noted_us, health in state.healths.values())
         waits = tuple((endpoint, until_us - now_us) for endpoint, until_us in state.waits.items() if until_us > now_us)
--- a/wheelstep/shards/list_client.py
+++ b/wheelstep/shards/list_client.py
@@ -48,7 +48,7 @@
 
     @property
     def refused(self) -> Counter[str]:
-        """Counts of refused frames, by reason."""
+        """Counts of the frames that this courier refused, by reason."""
         return self._refusals.counts
 
     def knows(self, shard: int) -> bool:
@@ -64,7 +64,7 @@
     # --- from the courier ---
 
     def follow(self, now_us: int, shards: Iterable[int]) -> list[ListAction]:
-        """Follows these shards as well. Raises `ValueError` for a shard out of range."""
+        """Follows these shards as well; `now_us` is not used. Raises `ValueError` for a shard out of range."""
         new = [shard for shard in dict.fromkeys(shards) if shard not in self._followed]
         if any(not 0 <= shard < self._shards for shard in new):
             raise ValueError(f"shards {new!r:.80}: expected 0 to {self._shards - 1}")
@@ -73,7 +73,8 @@
         return self._subscribe(new) if new else []
 
     def unfollow(self, now_us: int, shards: Iterable[int]) -> list[ListAction]:
-        """Stops following these shards and forgets their rows."""
+        """Stops following these shards and forgets their rows; `now_us` is not used. A host that another followed shard
+        also lists is reported there again."""
         old = {shard: known for shard in shards if (known := self._followed.pop(shard, None)) is not None}
         left = {host: self._hosts.remove(host, shard) for shard, known in old.items() for host in known.rows}
         actions: list[ListAction] = [RowsChanged(shard, (self._followed[shard].rows[host],), False)
@@ -91,7 +92,7 @@
     # --- from the network ---
 
     def dialled(self, now_us: int, control: str, ok: bool) -> list[ListAction]:
-        """A `Dial` has ended; `ok`: the connection is open."""
+        """Handles the end of a `Dial`; `ok`: the connection is open."""
         if not self._dialling or control != self._order[self._index]:
             return [Disconnect(control)] if ok and control != self.control else []
         if not ok:
@@ -104,7 +105,7 @@
         return self._subscribe(self._followed)
 
     def lost(self, now_us: int, control: str) -> list[ListAction]:
-        """A connection has ended."""
+        """Handles the end of a connection."""
         return self._leave(now_us) if control and control == self.control else []
 
     def heard(self, now_us: int, control: str, frame: Frame) -> list[ListAction]:
--- a/wheelstep/shards/list_rows.py
+++ b/wheelstep/shards/list_rows.py
@@ -52,7 +52,8 @@
 
 
 def digest_of_sum(total: int) -> int:
-    """The digest of rows whose hashes have this sum, which may exceed 64 bits or be negative."""
+    """The digest of rows whose hashes have this sum, which may exceed 64 bits or be negative. Never 0: a sum of 0 gives
+    1."""
     return total & _MASK or 1
 
 
@@ -75,8 +76,8 @@
 
 
 def read_entry(raw: msgspec.Raw | bytes) -> ListRow:
-    """Decodes one entry of discovery's list. Accepts what a courier's own `Names.parse_row` accepts; raises
-    `ValueError` for anything else."""
+    """Decodes one entry of discovery's list. Accepts what a courier's own `Names.parse_row` accepts if it also fits the
+    limits of `row_error`; raises `ValueError` otherwise."""
     try:
         row = _ENTRY.decode(raw)
         return _validated(ListRow(row.host, row.dial, row.site, row.kind, row.block, row.health, row.share))
@@ -118,7 +119,7 @@
     return f"row of {size} bytes; expected {MAX_ROW_BYTES} at most" if size > MAX_ROW_BYTES else ""
 
 
-def deleted(row: ListRow) -> ListRow:
+def as_deletion(row: ListRow) -> ListRow:
     """The row as a change that removes it."""
     return ListRow(row.host, row.dial, row.site, row.kind, row.block, DELETED, row.share)
 
--- a/wheelstep/shards/list_server.py
+++ b/wheelstep/shards/list_server.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from wheelstep.shards.list_rows import DELETED, deleted
+from wheelstep.shards.list_rows import DELETED, as_deletion
 from wheelstep.shards.list_table import ListTable
 from wheelstep.shards.refusals import Refusals
 from wheelstep.shards.types import Behind, Current, Follow, Frame, ListRow, ShardRows, Unfollow
@@ -96,7 +96,7 @@
         """All rows or those that differ, whichever are fewer, for followers that have the previous rows."""
         known, hosts = set(before), {row.host for row in rows}
         changes = [row for row in rows if row not in known]
-        changes += [deleted(row) for row in before if row.host not in hosts]
+        changes += [as_deletion(row) for row in before if row.host not in hosts]
         whole = len(changes) >= len(rows)
         frame = ShardRows(self.seq, shard, self._table.digest(shard), whole, rows if whole else tuple(changes))
         return [(name, frame) for name in sorted(names) if shard not in self._peers[name].owed]
--- a/wheelstep/shards/list_shard.py
+++ b/wheelstep/shards/list_shard.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wheelstep.shards.list_rows import DELETED, MAX_SHARD_ROWS, deleted, digest_of_sum, hash_of, packed, row_error
+from wheelstep.shards.list_rows import DELETED, MAX_SHARD_ROWS, as_deletion, digest_of_sum, hash_of, packed, row_error
 from wheelstep.shards.types import ListRow, ShardRows, shard_of
 
 MAX_FRAME_BYTES = 4 << 20  # maximum size of a frame's rows
@@ -67,7 +67,7 @@
         if digest_of_sum(total) != frame.digest:
             return None
         changes = [row for host, row in rows.items() if self.rows.get(host) != row]
-        changes += [deleted(row) for host, row in self.rows.items() if host not in rows]
+        changes += [as_deletion(row) for host, row in self.rows.items() if host not in rows]
         self.rows, self._total, self.known, self.awaits_whole = rows, total, True, False
         return tuple(changes)
 
--- a/wheelstep/shards/state_sender.py
+++ b/wheelstep/shards/state_sender.py
@@ -13,7 +13,8 @@
 
 
 class LearnedStateSender:
-    """Pushes each home shard to its next courier once in `push_us`, a part of them in each interval."""
+    """Sends the learned state of each shard whose home is here to the courier that would be its home next, once in
+    `push_us`, some of the shards in each interval. `next_us` is when `tick` is due."""
 
     def __init__(self, courier: CourierPort, homes: Homes, out: Handoff, push_us: int, now_us: int) -> None:
         self._courier, self._homes, self._handoff, self._push_us = courier, homes, out, push_us
@@ -23,7 +24,7 @@
         self.next_us = now_us + INTERVAL_US
 
     def hand_over(self, now_us: int, shard: int, to: str) -> list[HandoffAction]:
-        """Hands over a shard whose home was this courier and is now `to`."""
+        """Sends `to`, the shard's new home, what this courier learned as its home and the keys it still owes."""
         healths, waits = self._courier.learned(shard)
         keys = self._courier.owed_keys(shard)
         if keys:
@@ -31,18 +32,18 @@
         return self._handoff.hand_over(now_us, shard, to, healths, waits, keys)
 
     def add_owed_keys(self, now_us: int, shard: int) -> list[HandoffAction]:
-        """A message of an ordered key was taken here after the shard was handed over."""
+        """Sends the owed keys of a shard handed over again, after a message of an ordered key was taken here."""
         keys = self._courier.owed_keys(shard)
         self._owed[shard] = _names(keys)
         return self._handoff.add_owed_keys(now_us, shard, keys)
 
     def dropped(self, shard: int) -> None:
-        """The shard is no longer served here."""
+        """Stops tracking the keys of a shard that is no longer served here."""
         self._owed.pop(shard, None)
 
     def tick(self, now_us: int, mine: Sequence[int]) -> list[HandoffAction]:
-        """Releases keys that have ended and pushes the next part of the home shards `mine`; to be called at `next_us`.
-        """
+        """Reports owed keys that have ended, and sends the learned state of the next shards. `mine`, the shards whose
+        home is here, is read when a round starts and ignored until that round ends."""
         self.next_us = now_us + INTERVAL_US
         actions: list[HandoffAction] = []
         for shard, owed in list(self._owed.items()):
