--- a/wheelstep/shards/list_server.py
+++ b/wheelstep/shards/list_server.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from wheelstep.shards.list_rows import DELETED, deleted
+from wheelstep.shards.list_rows import DELETED, as_deletion
 from wheelstep.shards.list_table import ListTable
 from wheelstep.shards.refusals import Refusals
 from wheelstep.shards.types import Behind, Current, Follow, Frame, ListRow, ShardRows, Unfollow
 
 SLICE_ROWS = 1_000  # rows handled in one step of a whole list
 SLICE_CHANGES = 200  # rows handled in one step of changes
-ANSWER_BYTES = 256 << 10  # of rows to one peer at a time; the rest follows later
-ANSWER_US = 50_000  # the pause before the rest
+MAX_ANSWER_BYTES = 256 << 10  # of rows to one peer at a time; the rest follows later
+ANSWER_PAUSE_US = 50_000  # the pause before the rest
 NEVER_US = 1 << 62
 
 Tells = list[tuple[str, Frame]]
@@ -96,7 +96,7 @@
         """All rows or those that differ, whichever are fewer, for followers that have the previous rows."""
         known, hosts = set(before), {row.host for row in rows}
         changes = [row for row in rows if row not in known]
-        changes += [deleted(row) for row in before if row.host not in hosts]
+        changes += [as_deletion(row) for row in before if row.host not in hosts]
         whole = len(changes) >= len(rows)
         frame = ShardRows(self.seq, shard, self._table.digest(shard), whole, rows if whole else tuple(changes))
         return [(name, frame) for name in sorted(names) if shard not in self._peers[name].owed]
@@ -176,14 +176,14 @@
     def _answer(self, now_us: int, name: str, peer: _Peer) -> Tells:
         """The shards owed to the peer, up to the limit for one turn."""
         tells: Tells = []
-        room = ANSWER_BYTES
+        room = MAX_ANSWER_BYTES
         while peer.owed and room > 0:
             shard = next(iter(peer.owed))
             del peer.owed[shard]
             room -= self._table.bytes_of(shard) + 32
             tells.append((name, ShardRows(self.seq, shard, self._table.digest(shard), True, self._table.rows(shard))))
         if peer.owed:
-            self._owed_due_us = min(self._owed_due_us, now_us + ANSWER_US)
+            self._owed_due_us = min(self._owed_due_us, now_us + ANSWER_PAUSE_US)
         else:
             tells.append((name, Current(self.seq)))
         return tells
