--- a/wheelstep/courier/__main__.py
+++ b/wheelstep/courier/__main__.py
@@ -60,7 +60,7 @@
     fleet: FleetDaemon | ShardDaemon | None = None
     if operator is not None and operator.fleet is not None:
         fleet = create_fleet_daemon(config, operator.fleet, journal)
-    else:  # a fleet's messages move between machines, so there the wall clock counts
+    else:  # a fleet's messages move between machines, so all go by their wall clocks
         clock.adopt_offset(journal.marks, journal.mark)
     core = Core(config if fleet is None else fleet.config, journal if fleet is None else fleet.kept)
     if operator is not None:
--- a/wheelstep/courier/admission.py
+++ b/wheelstep/courier/admission.py
@@ -91,4 +91,4 @@
 
 
 class UnansweredError(Exception):
-    """It is unknown whether the message was accepted, so the connection is closed without an answer."""
+    """It is unknown whether the message was accepted: any answer could be false, so the connection is closed."""
--- a/wheelstep/courier/answer.py
+++ b/wheelstep/courier/answer.py
@@ -7,8 +7,8 @@
 
 import httptools
 
-MAX_BODY = 256 * 1024  # limit for an answer's body
-MAX_HEAD = 64 * 1024  # limit for its head
+MAX_BODY = 256 * 1024  # limit for an answer's body, in bytes
+MAX_HEAD = 64 * 1024  # and for its head
 _MAX_INTERIM = 32  # limit for the number of interim (1xx) answers before it
 _INTERIM = re.compile(rb"HTTP/1\.[01] 1\d\d[^\n]*\n(?:[^\r\n][^\n]*\n)*\r?\n")
 _DELIVERED = re.compile(rb"HTTP/1\.[01] 200[ \r\n]")
--- a/wheelstep/courier/client_server.py
+++ b/wheelstep/courier/client_server.py
@@ -184,7 +184,7 @@
     def _hand_in(self, request: Request, connection: ClientConnection) -> None:
         message = self._api.message(request) if self._api is not None else read_message(request, self._classes)
         admission = self._admission if self._find_admission is None else self._find_admission(message.destination)
-        if admission.holds(message.id):  # handed in again, after the end of a connection crossed the first request
+        if admission.holds(message.id):  # handed in again: its first request and the end of a connection crossed
             if admission.is_unconfirmed(message.id):  # guards against a 202 for a message that may still be withdrawn
                 self.on_unanswered(f"another client hands in {message.id} at the same time")
                 connection.close()
--- a/wheelstep/courier/connection.py
+++ b/wheelstep/courier/connection.py
@@ -117,7 +117,7 @@
 
     def _discard_unsent(self) -> None:
         if self._transport is not None and self.awaits_answer:
-            # Without this, a network that recovers would deliver the last byte of a cancelled call long afterwards.
+            # Without this, a network that recovers would deliver a cancelled call's last byte long after, and run it.
             with contextlib.suppress(OSError):
                 self._transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/wheelstep/courier/dispatcher.py
+++ b/wheelstep/courier/dispatcher.py
@@ -84,7 +84,7 @@
         return True
 
     async def wait_for_earlier(self, items: Sequence[Item]) -> None:
-        """Wait for earlier messages of the keys: one that ended with a notification, until that is answered."""
+        """Keep the order of keys: a message that ended with a notification is complete only once that is answered."""
         await self.order.until_answered((item.message for item in items), time.monotonic())
 
     def _key_of(self, message: str) -> str | None:
--- a/wheelstep/courier/endpoints.py
+++ b/wheelstep/courier/endpoints.py
@@ -41,7 +41,7 @@
         self.destinations.add(info.destination)
 
     def remove(self, endpoint: str) -> None:
-        """Remove an endpoint that is not listed any more, and what the journal noted of its health."""
+        """Remove an endpoint that is not listed any more, and the note of its health, which is of no more use."""
         self.listed.pop(endpoint, None)
         if endpoint in self._journal.marks:
             self._journal.mark(endpoint, None)
--- a/wheelstep/courier/form.py
+++ b/wheelstep/courier/form.py
@@ -72,7 +72,8 @@
 
 
 def wait_us(text: str) -> int:
-    """Return a `Retry-After` value in microseconds; 0 if it is not a number of seconds above 0 and below an hour."""
+    """Return a `Retry-After` value in microseconds; 0 for one that can't be meant: anything but a number of seconds
+    above 0 and below an hour."""
     try:
         wait_s = float(text)
     except ValueError:
--- a/wheelstep/courier/key_order.py
+++ b/wheelstep/courier/key_order.py
@@ -3,9 +3,9 @@
 
 Messages of one key run one at a time, in the order of their acceptance (rule 6 of the wire's page). A message is
 complete once it is delivered, or once the notification of its end is answered. After an attempt that may still run,
-later messages of the key wait for a settle period: the key settles. The period outlasts its message, which is
-forgotten once it is complete, and the process: the next process is told of it (`settling`), and after a restart
-without a previous process every key settles (`settle_all`).
+later messages of the key wait for a settle period: the key settles. Such an attempt and the period outlast the
+message, which is forgotten once it is complete, and the process: the next process is told of them (`settling`), and
+after a restart without a previous process every key settles (`settle_all`).
 
 All times are monotonic seconds.
 """
--- a/wheelstep/courier/message_request.py
+++ b/wheelstep/courier/message_request.py
@@ -36,7 +36,7 @@
 
 def unique_headers(request: Request) -> Mapping[str, str]:
     """Return the headers of a request. Raises `BadRequestError` if one that this module reads is given twice: of two
-    ids, for example, it would be unclear under which the message has to be delivered."""
+    ids, for example, one would be owed an end, and it would be unclear which."""
     if request.repeated_headers and (repeated := request.repeated_headers & _UNIQUE_HEADERS):
         raise BadRequestError(f"{min(repeated)} is given twice")
     return request.headers
--- a/wheelstep/courier/operator_commands.py
+++ b/wheelstep/courier/operator_commands.py
@@ -14,7 +14,7 @@
 
     def exclude(self, endpoint: str) -> bool:
         """Send nothing new to an endpoint until it is included again, also over restarts. Return False if it is not
-        known."""
+        known, or too many are excluded."""
         known = self.endpoints.exclude(endpoint)
         if known:
             self.endpoint_client.close_idle(endpoint)
@@ -32,7 +32,7 @@
         return render(self.counters or Counters(), Gauges(len(self._held), len(listed), skipped), self.ordered)
 
     def gauge(self) -> tuple[int, int, int, list[tuple[int, api.WaitReason, int]]]:
-        """Return the calls under way, the open connections, the connections opened since the start, and what holds
+        """Return the calls under way, the open connections, the connections attempted since the start, and what holds
         messages up."""
         held = self.decision_loop.sender.wait_reasons(time.monotonic_ns() // 1000)
         return (len(self.endpoint_client.calls()), self.endpoint_client.connection_count(),
--- a/wheelstep/courier/send_guard.py
+++ b/wheelstep/courier/send_guard.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt's first byte, for first tries and repeats alike. No I/O."""
+"""The last check before an attempt's first byte, which every attempt passes, first tries and repeats alike. No I/O."""
 
 from __future__ import annotations
 
--- a/wheelstep/policy/balancing.py
+++ b/wheelstep/policy/balancing.py
@@ -15,7 +15,7 @@
 
 PRIOR_CALLS = 1.0  # calls of the destination's mean time that are added, since few samples tell little
 # An endpoint that takes twice the mean time gets a quarter of the turns of a mean one, under half of an equal
-# share.
+# share, as intended.
 TIME_EXPONENT = 2
 
 
--- a/wheelstep/policy/dispatch.py
+++ b/wheelstep/policy/dispatch.py
@@ -58,7 +58,7 @@
         to_rank = self._destinations_to_rank()
         for destination in to_rank[:MAX_RANKED_PER_BATCH]:
             self._rank(destination, ranked)
-        if len(to_rank) > MAX_RANKED_PER_BATCH:  # limits the length of a batch when all change at once
+        if len(to_rank) > MAX_RANKED_PER_BATCH:  # keeps the event loop from blocking if all change at once
             self._dirty.update(
                 (destination.number, destination) for destination in to_rank[MAX_RANKED_PER_BATCH:])
             self._schedule(self._now, lambda: None)
--- a/wheelstep/policy/endpoint.py
+++ b/wheelstep/policy/endpoint.py
@@ -20,7 +20,7 @@
 SICK_FAILURE_SHARE = 0.5  # failure share above which an endpoint counts as sick ("failing most calls")
 MIN_BASE_PER_S = 0.25  # calls a second taken for the base rate of an endpoint that carried next to nothing
 RAMP_SHARE = 0.8  # share of `fall_multiple` times its base rate that an endpoint gets as it warms up
-IDLE_CONNECTION_COST = 0.12  # points that an idle connection must save in handshakes to be kept
+IDLE_CONNECTION_COST = 0.12  # points that an idle connection takes from others, and must save in handshakes
 
 
 @dataclass(eq=False, slots=True)
@@ -101,7 +101,7 @@
 
     def _add_result(self, now_us: int, failed: bool) -> None:
         """Add a result to the failure share. The fewer recent deliveries, the more it weighs: after a long
-        time without calls a single failure suffices."""
+        time without calls a single failure makes it sick."""
         share = 1 / (1.5 + min(self.pacer.delivered.read(now_us), MAX_EVIDENCE))
         self.failures.add(now_us, share * (failed - self.failures.read(now_us)))
 
@@ -225,7 +225,7 @@
 
     def _back_off_unreported(self, now_us: int) -> None:
         """Pause after a refusal without a limit report where answers carry them: mostly the connection table
-        is full, so the rate of the destination stays; one that is shut and reports nothing is called more."""
+        is full, so the destination's rate stays. Cost: one that is shut without a report is called more."""
         pause_us = self.pacer.random_pause_us() * 2 ** min(self._unreported_refusals, 3)
         self._unreported_refusals += 1
         self._next_us = max(self._next_us, now_us + pause_us)
--- a/wheelstep/policy/outcomes.py
+++ b/wheelstep/policy/outcomes.py
@@ -109,8 +109,8 @@
 
     def _max_idle_us(self) -> float:
         """Return how long a connection may idle before its next call is at risk. Protects messages that may
-        be sent only once from connections that were dropped unnoticed, by whatever is in between; costs
-        handshakes while a reset is remembered."""
+        be sent only once from connections that were dropped unnoticed, by anything between the sender and the
+        endpoint; costs handshakes while a reset is remembered."""
         return self._safe_idle_us + (self._now - self._idle_reset_us) / 10
 
     def _apply_outcome(self, endpoint: Endpoint, event: api.AttemptEnded | api.ProbeEnded) -> None:
--- a/wheelstep/policy/pacer.py
+++ b/wheelstep/policy/pacer.py
@@ -13,7 +13,9 @@
 SUSTAINABLE_SHARE = 0.85  # share of the even part: a rate that all senders together can keep up
 MIN_SHARE = 0.4  # lowest rate after a refusal where limits are reported, as a share of the even part
 RECOVERY_PER_S = 0.4  # growth up to SUSTAINABLE_SHARE, in even parts a second
-TARGET_LEFT, GROWTH_PER_S = 0.6, 0.7  # unused share for rates above SUSTAINABLE_SHARE; exponent a second
+# With more than TARGET_LEFT of the limit unused, a sender that needs it exceeds SUSTAINABLE_SHARE: its rate
+# grows by exp(GROWTH_PER_S * (unused - TARGET_LEFT)) a second, and falls by the same formula with less.
+TARGET_LEFT, GROWTH_PER_S = 0.6, 0.7
 MAX_LIMIT_PER_S = 1e9  # calls a second; a higher limit is taken for a mistake and ignored
 EXHAUSTED_LEFT = 0.1  # a lower reported share (reports are noisy) means that all calls are refused
 # Time constant of the count of sent calls, and mean longest pause at an exhausted limit, in cooldowns.
--- a/wheelstep/policy/ranking.py
+++ b/wheelstep/policy/ranking.py
@@ -31,7 +31,7 @@
             if number in self._ready and self._ready[number].rank_number == rank_number:
                 self._dirty[number] = self._ready[number]
         dirty, self._dirty = self._dirty, {}
-        if sum(map(len, self._bounds.values())) > 4 * len(self._ready):  # outdated ones remain
+        if sum(map(len, self._bounds.values())) > 4 * len(self._ready):  # outdated ones stay below the top
             rank_numbers = {number: destination.rank_number for number, destination in self._ready.items()}
             for slope, rows in list(self._bounds.items()):
                 self._bounds[slope] = [row for row in rows if rank_numbers.get(row[1]) == row[2]]
