--- a/tests/test_signing.py
+++ b/tests/test_signing.py
@@ -1,4 +1,4 @@
-"""Signatures of calls: what an ordinary library of partners verifies, and keys that are replaced."""
+"""Signatures of calls: verification by the Standard Webhooks library, key rotation and unusable keys."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 
 def verify(key: str, call: Call) -> Any:
-    """As a partner does that uses the specification's own library."""
+    """Verify a call as a partner does, with the specification's own library."""
     return Webhook(key).verify(call.body, call.headers)
 
 
-def test_calls_are_signed_and_a_key_is_replaced_without_a_refused_call(tmp_path: Path) -> None:
-    """Old key, both, the new one: partners with either key verify what they get at each step."""
-    async def scene() -> None:
-        s = Standalone(tmp_path)
+def test_key_rotation_keeps_every_call_verifiable(tmp_path: Path) -> None:
+    """Guards against calls that partners reject during a rotation: the old key signs, then both, then the new one."""
+    async def scenario() -> None:
+        courier = Standalone(tmp_path)
         start.write_key(tmp_path / "old.key")
         old = (tmp_path / "old.key").read_text().strip()
-        s.text = s.text.replace("[destination.beta]", 'sign = ["file:old.key"]\n[destination.beta]')
-        async with s:
+        courier.text = courier.text.replace("[destination.beta]", 'sign = ["file:old.key"]\n[destination.beta]')
+        async with courier:
             async def hand_in(name: str) -> Call:
-                before = len(s.alpha.calls)
-                assert (await s.ask("POST", "/a/1", X_Request_Id=name, X_Class="pay"))[0] == 202
-                return (await s.alpha.wait(before + 1))[before]
+                before = len(courier.alpha.calls)
+                assert (await courier.ask("POST", "/a/1", X_Request_Id=name, X_Class="pay"))[0] == 202
+                return (await courier.alpha.wait(before + 1))[before]
             call = await hand_in("m1")
             assert call.headers["webhook-id"] == "one~m1"
             verify(old, call)
@@ -45,29 +45,31 @@
             new = (tmp_path / "new.key").read_text().strip()
             with pytest.raises(WebhookVerificationError):
                 verify(new, call)
-            await s.renew('sign = ["file:old.key"]', 'sign = ["file:new.key", "file:old.key"]')
-            await s.wait_log("read again")
+            await courier.renew('sign = ["file:old.key"]', 'sign = ["file:new.key", "file:old.key"]')
+            await courier.wait_log("read again")
             call = await hand_in("m2")
             verify(old, call)
             verify(new, call)
-            await s.renew('sign = ["file:new.key", "file:old.key"]', 'sign = ["file:new.key"]')
-            await s.wait_log("read again", 2)
+            await courier.renew('sign = ["file:new.key", "file:old.key"]', 'sign = ["file:new.key"]')
+            await courier.wait_log("read again", 2)
             call = await hand_in("m3")
             verify(new, call)
             with pytest.raises(WebhookVerificationError):
                 verify(old, call)
-            os.chmod(tmp_path / "new.key", 0o644)  # a reload that can't read its keys changes nothing
-            await s.renew("[class.note]", "[class.other]\neffect = \"safe\"\n[class.note]")
-            await s.wait_log("destination.alpha.sign: file:new.key: mode 644; expected")
+            os.chmod(tmp_path / "new.key", 0o644)  # a reload with an unreadable key is rejected and changes nothing
+            await courier.renew("[class.note]", "[class.other]\neffect = \"safe\"\n[class.note]")
+            await courier.wait_log("destination.alpha.sign: file:new.key: mode 644; expected")
             verify(new, await hand_in("m4"))
-            assert not any(key[6:] in line for line in s.log for key in (old, new))
-            await s.stop()
-    run(scene())
+            assert not any(key[6:] in line for line in courier.log for key in (old, new))
+            await courier.stop()
+    run(scenario())
 
 
 @given(st.binary(min_size=24, max_size=64), st.text(st.characters(codec="ascii", min_codepoint=33), min_size=1),
        st.dictionaries(st.text(), st.integers()))
-def test_the_specifications_library_takes_what_is_signed(key: bytes, name: str, body: dict[str, int]) -> None:
+def test_signatures_verify_with_the_reference_library_and_altered_headers_do_not(
+        key: bytes, name: str, body: dict[str, int]) -> None:
+    """Guards against signatures that deviate from the specification for unusual keys, names or bodies."""
     text = json.dumps(body).encode()
     headers = dict(Signer((key,)).headers(name, text, int(time.time())))
     assert Webhook(base64.b64encode(key).decode()).verify(text, headers) == body
@@ -76,7 +78,8 @@
             Webhook(base64.b64encode(key).decode()).verify(text, changed)
 
 
-def test_keys_that_can_not_be_used_are_said_without_what_they_are(tmp_path: Path) -> None:
+def test_errors_about_unusable_keys_do_not_contain_the_key(tmp_path: Path) -> None:
+    """Guards against leaks of keys in error messages, and against key files that others may read."""
     with pytest.raises(KeyFileError, match="is not set"):
         read_key("env:NONE", tmp_path, {})
     with pytest.raises(KeyFileError, match="can't be read"):
@@ -97,8 +100,9 @@
 
 
 @pytest.mark.parametrize(("line", "expected"), [
-    ('sign = ["secret"]', "sign[0]: is no place of a key"), ('sign = ["env:A"]\nbatch = 2', "a signature is of one")])
-def test_what_can_not_be_signed_is_refused(line: str, expected: str) -> None:
+    ('sign = ["secret"]', "sign[0]: is not a key location"), ('sign = ["env:A"]\nbatch = 2', "a signature is of one")])
+def test_a_file_with_an_invalid_sign_setting_is_rejected(line: str, expected: str) -> None:
+    """Guards against keys written into the file, and batches, which a signature of one message can't cover."""
     text = """
 listen = "127.0.0.1:0"
 state = "s"
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -1,4 +1,4 @@
-"""A courier without the platform: its file, its routes and shares, the ends of messages, and the whole on sockets."""
+"""A courier without the platform: its file, routes and tenant limits, stored ends, and the process on real sockets."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from wheelstep.standalone.ends import End, Ends
 from wheelstep.standalone.front import Front, Policy
 from wheelstep.standalone.model import FileError, RoutePart, destination_number, parse
-from wheelstep.standalone.routes import Asked, Routes, Tenants, _weighted
-from wheelstep.standalone.told import Told
+from wheelstep.standalone.routes import RouteQuery, Routes, Tenants, _weighted
+from wheelstep.standalone.told import EndReporter
 
 TOKEN, OTHER = "token-of-one", "token-of-two"
 DIGEST, OTHER_DIGEST = (hashlib.sha256(token.encode()).hexdigest() for token in (TOKEN, OTHER))
@@ -66,37 +66,37 @@
 
 
 @pytest.mark.parametrize(("old", "new", "expected"), [
-    ('listen = "127.0.0.1:0"', 'listen = "here"', "listen: 'here' is no address; expected host:port"),
+    ('listen = "127.0.0.1:0"', 'listen = "here"', "listen: 'here' is not an address; expected host:port"),
     ('effect = "unsafe"', 'effect = "once"', "class.pay.effect: 'once'; expected"),
     ('effect = "unsafe"', 'effect = "unsafe"\naim = "40s"', "class.pay: aim is not between 0 and the deadline"),
     ('effect = "unsafe"', 'effect = "unsafe"\naim = 3', "class.pay.aim: 3 is no time"),
-    ('"127.0.0.1:1"', '"127.0.0.1"', "endpoints[0]: '127.0.0.1' is no address"),
-    ('"127.0.0.1:1"', '"h:1", "h:1"', "endpoints[1]: 'h:1' is there twice"),
-    ('"127.0.0.1:1"]', '"h:1"]\ndrain = ["h:2"]', "drain[0]: 'h:2' is none of the endpoints"),
+    ('"127.0.0.1:1"', '"127.0.0.1"', "endpoints[0]: '127.0.0.1' is not an address"),
+    ('"127.0.0.1:1"', '"h:1", "h:1"', "endpoints[1]: 'h:1' is listed twice"),
+    ('"127.0.0.1:1"]', '"h:1"]\ndrain = ["h:2"]', "drain[0]: 'h:2' is not one of the endpoints"),
     ('to = "beta"', 'to = "gamma"', "route[1].to: unknown destination 'gamma'; expected one of alpha, beta"),
     ('class = "note"', 'class = "nothing"', "route[0].class: unknown class 'nothing'"),
     ('class = "note"', 'class = "pay"', "route[0].mirror: class 'pay' is unsafe"),
     ('class = "note"\n', '', "route[0].mirror: class 'pay' is unsafe"),
     ('mirror = "beta"', 'mirror = "alpha"', "route[0].mirror: 'alpha' gets the message itself"),
     (OTHER_DIGEST, DIGEST, "tenant.two.tokens: one of them is that of 'one' as well"),
-    (OTHER_DIGEST, "secret", "tokens[0]: is no sha256 in hex"),
+    (OTHER_DIGEST, "secret", "tokens[0]: is not SHA-256 in hex"),
     ('state = "state"', 'state = "state"\ncolour = 1', "colour: unknown key"),
-    ('state = "state"', 'state = "state"\nnotify = "there"', "notify: 'there' is no address"),
+    ('state = "state"', 'state = "state"\nnotify = "there"', "notify: 'there' is not an address"),
     ("[tenant.two]", "open = true\n[tenant.two]\nopen = true", "tenant.two.open: 'one' is that already"),
     (f'tokens = ["{DIGEST}"]', "rate_per_s = 2", "tenant.one: tokens is missing"),
     ('[class.pay]', '[class.Pay]', "class.Pay"), ('[[route]]', '[[route', "expected TOML")])
-def test_what_is_wrong_with_a_file_is_said_in_a_line(old: str, new: str, expected: str) -> None:
+def test_an_invalid_file_is_reported_in_one_line(old: str, new: str, expected: str) -> None:
     with pytest.raises(FileError) as found:
         parse(FILE.replace(old, new, 1), "x.toml")
     assert str(found.value).startswith("x.toml: ") and expected in str(found.value)
     assert "\n" not in str(found.value) and "secret" not in str(found.value)
 
 
-def test_the_starting_file_is_fine_and_nothing_is_overwritten(tmp_path: Path) -> None:
+def test_init_writes_a_valid_file_and_overwrites_nothing(tmp_path: Path) -> None:
     token = start.init(tmp_path / "new")
     path = tmp_path / "new" / "umberchute.toml"
     found = parse(path.read_text(), str(path))
-    assert Tenants(found.tenants).named(token) == "first"
+    assert Tenants(found.tenants).by_token(token) == "first"
     assert (tmp_path / "new" / "first.token").stat().st_mode & 0o077 == 0
     with pytest.raises(FileError, match="is there already"):
         start.init(tmp_path / "new")
@@ -104,7 +104,7 @@
     assert token not in shown and "unsafe" in shown
 
 
-def test_differences_tell_what_a_reload_changes() -> None:
+def test_differences_lists_each_value_that_a_reload_changes() -> None:
     old = start.plain(parse(FILE, "a"))
     new = start.plain(parse(FILE.replace('"127.0.0.1:1"', '"h:2"').replace("[class.note]", "[class.extra]\neffect = "
                                          '"safe"\n[class.note]\ndeadline = "9s"'), "b"))
@@ -113,7 +113,7 @@
         "destination.alpha.endpoints[0]: 127.0.0.1:1 -> h:2"]
 
 
-def test_the_reference_page_is_what_the_model_says() -> None:
+def test_the_reference_page_contains_the_output_of_reference() -> None:
     assert start.reference() in (ROOT / "docs" / "operations" / "standalone.md").read_text()
 
 
@@ -127,30 +127,30 @@
     headers=st.dictionaries(st.sampled_from(["X-A", "x-b"]), st.sampled_from(["1", "*"]), max_size=2),
     to=st.dictionaries(NAMES, st.integers(1, 5), min_size=1, max_size=3), fallback=st.none() | NAMES,
     mirror=st.none() | NAMES), max_size=5)
-ASKED = st.builds(Asked, st.sampled_from(["one", "two"]), st.sampled_from(["pay", "update", "note"]),
+QUERIES = st.builds(RouteQuery, st.sampled_from(["one", "two"]), st.sampled_from(["pay", "update", "note"]),
                   st.sampled_from(["/x/1", "/y", "/z"]), st.none() | st.sampled_from(["k1", "k2", "q"]),
                   st.dictionaries(st.sampled_from(["x-a", "x-b"]), st.sampled_from(["1", "2"]), max_size=2))
 
 
-@given(ROUTES, ASKED, st.sets(NAMES))
-def test_a_message_has_one_destination_or_none_and_an_unsafe_one_no_copy(
-        parts: list[RoutePart], asked: Asked, open_: set[str]) -> None:
+@given(ROUTES, QUERIES, st.sets(NAMES))
+def test_the_first_matching_route_is_used_and_unsafe_messages_are_not_mirrored(
+        parts: list[RoutePart], query: RouteQuery, open_names: set[str]) -> None:
     found = parse(FILE, "x").model_copy(update={"routes": tuple(parts)})
     routes = Routes(found)
-    way = routes.way(asked, "m", open_.__contains__)
-    assert way == routes.way(asked, "m", open_.__contains__)
-    matching = [part for part in parts if Routes(found.model_copy(update={"routes": (part,)})).way(
-        asked, "m", open_.__contains__) is not None]
-    assert (way is None) == (not matching)
-    if way is not None:
+    target = routes.target(query, "m", open_names.__contains__)
+    assert target == routes.target(query, "m", open_names.__contains__)
+    matching = [part for part in parts if Routes(found.model_copy(update={"routes": (part,)})).target(
+        query, "m", open_names.__contains__) is not None]
+    assert (target is None) == (not matching)
+    if target is not None:
         first = matching[0]
-        assert way.destination in first.weights or way.destination == first.fallback
-        if way.destination not in first.weights:
-            assert way.destination in open_
-        assert way.mirror == (None if asked.message_class == "pay" else first.mirror)
+        assert target.destination in first.weights or target.destination == first.fallback
+        if target.destination not in first.weights:
+            assert target.destination in open_names
+        assert target.mirror == (None if query.message_class == "pay" else first.mirror)
 
 
-def test_weights_hold_and_only_what_must_move_moves() -> None:
+def test_weights_are_kept_and_a_new_destination_moves_no_other_keys() -> None:
     keys = [f"k{number}" for number in range(8_000)]
     before = {key: _weighted({"a": 1, "b": 3}, key) for key in keys}
     assert 0.22 < Counter(before.values())["a"] / len(keys) < 0.28
@@ -161,7 +161,7 @@
 
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.sampled_from(["one", "two"]), st.booleans(), st.floats(0, 0.4)), max_size=80))
-def test_no_share_is_passed_by_more_than_one(steps: list[tuple[str, bool, float]]) -> None:
+def test_tenants_never_exceed_their_rate_or_held_share(steps: list[tuple[str, bool, float]]) -> None:
     parts = parse(FILE, "x").tenants
     parts = {"one": parts["one"].model_copy(update={"rate_per_s": 5.0, "burst": 3, "held_share": 0.3}),
              "two": parts["two"].model_copy(update={"rate_per_s": 100.0, "held_share": 0.5})}
@@ -169,11 +169,11 @@
     for name, ends, pause in steps:
         now += pause
         if ends and tenants.held[name]:
-            tenants.over(name)
-        wait_s = tenants.wait_s(name, name, 20, now)
+            tenants.release(name)
+        wait_s = tenants.admission_wait_s(name, name, 20, now)
         assert wait_s >= 0
         if not wait_s:
-            tenants.took(name)
+            tenants.hold(name)
             taken[name] += 1
         assert tenants.held["one"] <= 6 and tenants.held["two"] <= 10
         assert taken["one"] <= 3 + 5.0 * now + 1
@@ -182,7 +182,7 @@
 # --- ends ---
 
 
-def test_ends_outlast_the_process_and_a_torn_line(tmp_path: Path) -> None:
+def test_ends_survive_a_restart_and_a_torn_line(tmp_path: Path) -> None:
     async def work() -> None:
         settled: list[str] = []
         ends = Ends(tmp_path, 100, settled.extend)
@@ -198,7 +198,7 @@
             file.write(b'{"message": "m250", "en')
         ends = Ends(tmp_path, 100, settled.extend)
         assert ends.get("m149") is None and ends.get("m150") == End("delivered", 150)
-        assert ends.get("m250") is None  # its journal owes it still, and tells it again
+        assert ends.get("m250") is None  # the journal still owes it and reports it again
         ends.add("m250", End("failed", 1, 7))
         await asyncio.sleep(0)
         ends.close()
@@ -208,8 +208,8 @@
     run(work())
 
 
-def test_a_write_that_lacks_its_last_byte_is_torn(tmp_path: Path) -> None:
-    """Behind a torn line the new one's first byte is a line break: a write one byte short passed for whole."""
+def test_a_write_one_byte_short_after_a_torn_line_is_detected(tmp_path: Path) -> None:
+    """A write after a torn line starts with an extra line break; uncounted, it hid that the last byte was missing."""
     class Short:
         def write(self, data: bytes) -> int:
             return real.write(data[:-1]) or 0
@@ -231,8 +231,8 @@
     run(work())
 
 
-def test_a_renewal_that_fails_loses_no_later_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The old file was closed before the rename that failed: every later end raised."""
+def test_a_failed_compaction_loses_no_later_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The old file was closed before the rename: when that failed, every later write raised."""
     async def work() -> None:
         settled: list[str] = []
         ends = Ends(tmp_path, 2, settled.extend)
@@ -252,7 +252,7 @@
     run(work())
 
 
-def test_ends_that_can_not_be_written_stay_owed_until_they_are(tmp_path: Path) -> None:
+def test_ends_stay_owed_while_the_disk_is_full(tmp_path: Path) -> None:
     class Full:
         room = 10
 
@@ -271,7 +271,7 @@
         ends._file = Full()  # type: ignore[assignment]
         waiting = ends.wait("m1", 60)
         ends.add("m1", End("refused", 5))
-        await waiting  # its client hears all the same
+        await waiting  # the waiting client is answered although the write failed
         ends.flush()
         assert settled == [] and ends.get("m1") == End("refused", 5)
         ends._file = real
@@ -290,7 +290,7 @@
 
 
 class Standalone:
-    """A courier's process on a file of its own, and two partners."""
+    """A courier process with its own file, and two partner endpoints."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.log = folder, list[str]()
@@ -356,24 +356,24 @@
         return (await self.ask("POST", path, token, X_Request_Id=name, X_Class=cls))[0]
 
 
-def test_from_a_file_to_a_delivery_and_its_end(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_a_message_is_delivered_and_its_end_survives_sigkill(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Standalone(tmp_path) as s:
             assert await s.post("m1", "/a/1") == 202
             status, end = await s.ask("GET", "/messages/m1?wait=20")
             assert (status, end["message"], end["end"]) == (200, "m1", "delivered")
             assert (await s.alpha.wait(1))[0].headers["x-request-id"] == "one~m1"
-            assert await s.post("m1", "/a/1") == 200 and len(s.alpha.calls) == 1  # the same message, not another
-            assert await s.post("m2", "/b/1", "update") == 202  # beta has no endpoint: the fallback's
+            assert await s.post("m1", "/a/1") == 200 and len(s.alpha.calls) == 1  # no second call
+            assert await s.post("m2", "/b/1", "update") == 202  # beta has no endpoint: the fallback gets it
             call = (await s.alpha.wait(2))[1]
             assert call.headers["idempotency-key"] == "one~m2"
-            assert (await s.ask("GET", "/messages/m1", OTHER))[0] == 404  # another tenant's
+            assert (await s.ask("GET", "/messages/m1", OTHER))[0] == 404  # another tenant's message
             assert (await s.ask("GET", "/messages/m1", "wrong"))[0] == 401
             assert (await s.ask("GET", "/messages/m1", ""))[0] == 401
             assert await s.post("m3", "/nowhere") == 404
             async with aiohttp.ClientSession() as http, http.post(s.url + "/a/1", headers=[
                     ("Authorization", f"Bearer {TOKEN}"), ("X-Request-Id", "m4"), ("X-Request-Id", "m5")]) as answer:
-                assert answer.status == 400  # with two ids it is unclear which is owed an end
+                assert answer.status == 400  # with two ids it is unclear which message would be owed an end
             assert await s.post("m4", "/a/1", "none") == 400 and await s.post("m~4", "/a/1") == 400
             assert not any(TOKEN in line for line in s.log)
             await s.stop(signal.SIGKILL)
@@ -382,11 +382,11 @@
             assert await s.post("m1", "/a/1") == 200 and len(s.alpha.calls) == 2
             await s.stop()
             assert s.process.returncode == 0
-    run(scene())
+    run(scenario())
 
 
-def test_an_unsafe_message_that_may_have_run_fails_and_is_told_over_sigkill(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_an_unsafe_message_in_flight_at_sigkill_fails_and_is_not_sent_again(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Standalone(tmp_path) as s:
             arrived = asyncio.Event()
 
@@ -401,11 +401,11 @@
             await s.start()
             assert (await s.ask("GET", "/messages/m1?wait=20"))[1]["end"] == "failed"
             assert len(s.alpha.calls) == 1
-    run(scene())
+    run(scenario())
 
 
-def test_a_reload_brings_endpoints_routes_tokens_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_a_reload_applies_endpoints_and_tokens_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Standalone(tmp_path) as s:
             await s.renew("endpoints = []", f'endpoints = ["{s.beta.address}"]')
             await s.wait_log("read again")
@@ -421,20 +421,20 @@
             assert await s.post("m3", "/b/1") == 202
             await s.beta.wait(3)
             s.text = text
-            await s.renew(DIGEST, start.new_token()[1])  # revoked; what it handed in goes on
+            await s.renew(DIGEST, start.new_token()[1])  # revoked: its held messages are still delivered
             await s.wait_log("read again", 2)
             assert await s.post("m4", "/b/1") == 401 and await s.post("m5", "/b/1", token=OTHER) == 202
             await s.renew(f'endpoints = ["{s.beta.address}"]', f'endpoints = ["{s.beta.address}"]\ndrain = '
                           f'["{s.beta.address}"]')
             await s.wait_log("read again", 3)
-            assert await s.post("m6", "/b/1", token=OTHER) == 202  # it drains: the fallback's
+            assert await s.post("m6", "/b/1", token=OTHER) == 202  # beta drains: the fallback gets it
             await s.alpha.wait(2)
             await s.stop()
-    run(scene())
+    run(scenario())
 
 
-def test_endpoints_from_a_folder_and_what_can_not_be_used_changes_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_endpoint_files_are_applied_and_invalid_or_deleted_ones_change_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
         s = Standalone(tmp_path)
         s.text = s.text.replace('state = "state"', 'state = "state"\nendpoints_from = "there"')
         (tmp_path / "there").mkdir()
@@ -447,26 +447,26 @@
             await s.wait_log("endpoints have changed")
             assert await s.post("m1", "/b/1") == 202
             await s.beta.wait(1)
-            for text, expected in (("endpoints = [", "expected TOML"), ('endpoints = ["h"]', "'h' is no address"),
+            for text, expected in (("endpoints = [", "expected TOML"), ('endpoints = ["h"]', "'h' is not an address"),
                                    ('endpoints = []\nto = "h:1"', "to: unknown key")):
                 write(text)
                 await s.wait_log(expected)
             (tmp_path / "there" / "beta.toml").unlink()
-            await s.wait_log("has gone")
+            await s.wait_log("was deleted")
             assert await s.post("m2", "/b/1") == 202
             await s.beta.wait(2)
             write("endpoints = []")
             await s.wait_log("endpoints have changed", 2)
-            assert await s.post("m3", "/b/1") == 202  # the fallback's
+            assert await s.post("m3", "/b/1") == 202  # the fallback gets it
             await s.alpha.wait(1)
             assert len(s.beta.calls) == 2
             await s.stop()
-    run(scene())
+    run(scenario())
 
 
-def test_a_partner_that_moves_gets_no_call_twice(tmp_path: Path) -> None:
-    """Its endpoint is replaced while it has an unsafe call: that one ends where it is, the next goes to the new one."""
-    async def scene() -> None:
+def test_replacing_an_endpoint_during_an_unsafe_call_repeats_no_call(tmp_path: Path) -> None:
+    """The call in flight must complete at the old endpoint; the next message goes to the new one."""
+    async def scenario() -> None:
         async with Standalone(tmp_path) as s:
             released = asyncio.Event()
 
@@ -485,11 +485,11 @@
                 assert (await s.ask("GET", f"/messages/{name}?wait=20"))[1]["end"] == "delivered"
             assert len(s.alpha.calls) == len(s.beta.calls) == 1
             await s.stop()
-    run(scene())
+    run(scenario())
 
 
-def test_a_tenant_over_its_share_is_told_when_to_come_back_and_others_are_served(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_a_tenant_over_its_share_gets_retry_after_and_others_are_served(tmp_path: Path) -> None:
+    async def scenario() -> None:
         s = Standalone(tmp_path)
         s.text = s.text.replace("[tenant.two]", "held_share = 0.3\n[tenant.two]").replace(
             "[class.pay]", "[limits]\nheld = 10\n[class.pay]")
@@ -510,17 +510,17 @@
                 assert (await s.ask("GET", f"/messages/m{number}?wait=20"))[1]["end"] == "delivered"
             assert await s.post("m3", "/a/1") == 202
             await s.stop()
-    run(scene())
+    run(scenario())
 
 
 @pytest.mark.parametrize("scenario", ["twice-restart", "drains-leaves"])
-def test_the_rules_are_kept_on_this_front(scenario: str) -> None:
-    """The others are a command: `umberchute rehearse run NAME --front standalone`."""
+def test_rehearsals_on_the_standalone_front_have_no_findings(scenario: str) -> None:
+    """Other scenarios are run by command: `umberchute rehearse run NAME --front standalone`."""
     code, report = rehearse("run", scenario, "--front", "standalone")
     assert (code, report["findings"]) == (0, [])
 
 
-def test_an_end_is_owed_until_the_file_and_the_notified_have_it(tmp_path: Path) -> None:
+def test_an_end_is_owed_until_the_file_and_the_notified_party_have_it(tmp_path: Path) -> None:
     class Core:
         over: list[str] = []
 
@@ -535,28 +535,28 @@
 
     async def work() -> None:
         core, notices = Core(), Notices()
-        told = Told(Front(Policy.of(parse(FILE, "x")), core), core)  # type: ignore[arg-type]
-        told.ends, told.notices = Ends(tmp_path, 100, told.settled), notices  # type: ignore[assignment]
-        told.enqueue("one~a", "given_up", 0)
-        told.enqueue("one~b", "delivered", 0)
-        told.ends.flush()
+        reporter = EndReporter(Front(Policy.of(parse(FILE, "x")), core), core)  # type: ignore[arg-type]
+        reporter.ends, reporter.notices = Ends(tmp_path, 100, reporter.confirm), notices  # type: ignore[assignment]
+        reporter.enqueue("one~a", "given_up", 0)
+        reporter.enqueue("one~b", "delivered", 0)
+        reporter.ends.flush()
         assert (core.over, notices.owed) == (["one~b"], ["one~a"])
-        told.settled(["one~a"])  # answered
+        reporter.confirm(["one~a"])  # answered
         assert core.over == ["one~b", "one~a"]
-        told.enqueue("one~b~mirror", "given_up", 0)
+        reporter.enqueue("one~b~mirror", "given_up", 0)
         await asyncio.sleep(0)
-        assert core.over[-1] == "one~b~mirror" and told.ends.get("one~b~mirror") is None
-        told.ends.close()
+        assert core.over[-1] == "one~b~mirror" and reporter.ends.get("one~b~mirror") is None
+        reporter.ends.close()
     run(work())
 
 
-def test_serve_without_anything_says_what_is_expected() -> None:
+def test_serve_without_configuration_exits_with_2_and_one_line() -> None:
     environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     done = subprocess.run([sys.executable, "-m", "wheelstep.cli", "serve"], cwd=ROOT, capture_output=True, text=True,
                           env=environ)
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "--config FILE.toml" in done.stderr
 
 
-def test_numbers_of_destinations_do_not_hang_on_their_place() -> None:
+def test_destination_numbers_depend_only_on_the_name() -> None:
     assert destination_number("alpha") == destination_number("alpha") != destination_number("beta")
     assert destination_number("alpha") < 1 << 48
--- a/wheelstep/standalone/__init__.py
+++ b/wheelstep/standalone/__init__.py
@@ -1,4 +1,4 @@
-"""The courier without the platform: partners, clients, routes and keys from an operator's own file.
+"""A courier without the platform, configured by one TOML file: partners, clients, routes and keys.
 
-Only imported by `umberchute serve --config FILE` and the commands that read such a file.
+Imported only by `umberchute serve --config FILE` and the commands that read such a file.
 """
--- a/wheelstep/standalone/ends.py
+++ b/wheelstep/standalone/ends.py
@@ -1,7 +1,7 @@
-"""The ends of messages, for their clients to ask: kept in memory and in a file of the state folder, both bounded.
+"""Final states ("ends") of messages for client queries, kept in memory and in a file of the state folder, both bounded.
 
-A line an end; the file is replaced by rename once it holds twice what is kept. The journal owes an end until it is in
-the file, so that one cut off by the process's end, or by a full disk, is told again.
+The file has one JSON line per end and is compacted, by rename, once it has over twice as many lines as ends are kept.
+The journal owes an end until it is in the file, so one lost to a crash or a full disk is reported again at restart.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from typing import Any
 
 log = logging.getLogger(__name__)
-_MOST_WAITING = 10_000
-_AGAIN_S = 1.0  # after a write that failed
+_MAX_WAITERS = 10_000
+_RETRY_DELAY_S = 1.0  # after a failed write
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """How a message ended: `delivered`, `refused` (safe to hand in again, after `retry_ms`) or `failed`; Unix time."""
+    """How a message ended: `delivered`, `refused` (may be handed in again after `retry_ms`) or `failed`."""
 
     end: str
-    at_ms: int
+    at_ms: int  # Unix time
     retry_ms: int = 0
 
     @classmethod
     def now(cls, end: str, retry_ms: int = 0) -> End:
-        """It ends at this moment."""
+        """Create an end with the current time."""
         return cls(end, int(time.time() * 1000), retry_ms)
 
     def row(self, message: str) -> dict[str, Any]:
-        """For a client, or for the file."""
+        """Return the JSON object that is sent to clients and stored in the file."""
         row: dict[str, Any] = {"message": message, "end": self.end, "at_ms": self.at_ms}
         if self.retry_ms:
             row["retry_in_ms"] = self.retry_ms
@@ -44,117 +44,117 @@
 
 
 class Ends:
-    """The newest `most` ends by name. `settled` is called with names whose end is safe here."""
+    """Keeps the newest `capacity` ends by message name; calls `on_written` with names whose ends are in the file."""
 
     FILE = "ends.jsonl"
 
-    def __init__(self, folder: Path, most: int, settled: Callable[[list[str]], None]) -> None:
-        self._path, self._most, self._settled = folder / self.FILE, most, settled
+    def __init__(self, folder: Path, capacity: int, on_written: Callable[[list[str]], None]) -> None:
+        self._path, self._capacity, self._on_written = folder / self.FILE, capacity, on_written
         self._ends: OrderedDict[str, End] = OrderedDict()
-        self._waiting: dict[str, list[asyncio.Future[None]]] = {}
-        self._count = 0  # futures in there
+        self._waiters: dict[str, list[asyncio.Future[None]]] = {}
+        self._waiter_count = 0  # futures in `_waiters`
         self._unwritten: list[str] = []
-        self._flush: asyncio.Handle | None = None  # a write that is due
-        self._lines = 0
+        self._flush_handle: asyncio.Handle | None = None  # the scheduled write, if any
+        self._line_count = 0
         self._read()
-        self._file = open(self._path, "ab", buffering=0)  # noqa: SIM115  # open as long as the process
+        self._file = open(self._path, "ab", buffering=0)  # noqa: SIM115  # closed by close()
 
     def _read(self) -> None:
-        self._torn = False  # the last line is cut off: the next one begins on a line of its own
+        self._torn = False  # the file ends in an incomplete line: the next write starts with a line break
         try:
             data = self._path.read_bytes()
         except FileNotFoundError:
             return
         self._torn = bool(data) and not data.endswith(b"\n")
         for line in data.splitlines():
-            self._lines += 1
+            self._line_count += 1
             try:
                 row = json.loads(line)
                 end = End(str(row["end"]), int(row["at_ms"]), int(row.get("retry_in_ms", 0)))
                 self._ends[str(row["message"])] = end
             except (ValueError, KeyError, TypeError):
-                log.warning("%s: line %d can't be read and is left out", self._path, self._lines)
-        while len(self._ends) > self._most:
+                log.warning("%s: line %d is not a valid record and is skipped", self._path, self._line_count)
+        while len(self._ends) > self._capacity:
             self._ends.popitem(last=False)
 
     def get(self, message: str) -> End | None:
-        """Its end, if it has one that is still kept."""
+        """Return the end of the message, or None if it has none or it is no longer kept."""
         return self._ends.get(message)
 
     def add(self, message: str, end: End) -> None:
-        """It has ended. Those who wait for it hear of it once it is written."""
-        if message in self._ends:  # told anew after a restart
-            asyncio.get_running_loop().call_soon(self._settled, [message])
+        """Record an end and schedule its write; waiters are notified after the write is tried, even if it fails."""
+        if message in self._ends:  # reported again after a restart
+            asyncio.get_running_loop().call_soon(self._on_written, [message])
             return
         self._ends[message] = end
-        if len(self._ends) > self._most:
+        if len(self._ends) > self._capacity:
             self._ends.popitem(last=False)
         self._unwritten.append(message)
-        if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_soon(self.flush)
+        if self._flush_handle is None:
+            self._flush_handle = asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """All that ended in a turn goes out in one write."""
-        self._flush = None
+        """Write all unwritten ends in one write; if it fails, retry it after `_RETRY_DELAY_S`."""
+        self._flush_handle = None
         names = self._unwritten
         data = b"\n" if self._torn else b""
         data += b"".join(json.dumps(end.row(name)).encode() + b"\n" for name in names if (end := self._ends.get(name)))
         try:
             self._torn = self._file.write(data) < len(data)
             if self._torn:
-                raise OSError("only a part could be written")
+                raise OSError("short write: only part of the data was written")
             self._unwritten = []
-            self._lines += len(names)
-            if self._lines > 2 * self._most:
-                self._renew()
-        except OSError as error:  # told all the same: they stay owed in the journal until they are in the file
-            log.error("%s: %s; %d ends wait to be written", self._path, error, len(self._unwritten))
+            self._line_count += len(names)
+            if self._line_count > 2 * self._capacity:
+                self._compact()
+        except OSError as error:  # waiters are notified all the same; the journal owes the ends until the file has them
+            log.error("%s: %s; %d ends are not yet written", self._path, error, len(self._unwritten))
             if self._unwritten:
-                self._flush = asyncio.get_running_loop().call_later(_AGAIN_S, self.flush)
+                self._flush_handle = asyncio.get_running_loop().call_later(_RETRY_DELAY_S, self.flush)
         if not self._unwritten:
-            self._settled(names)
+            self._on_written(names)
         for name in names:
-            for one in self._waiting.pop(name, ()):
-                self._count -= 1
-                if not one.done():
-                    one.set_result(None)
-
-    def _renew(self) -> None:
-        fresh = self._path.with_suffix(".new")
-        with open(fresh, "wb") as file:
+            for waiter in self._waiters.pop(name, ()):
+                self._waiter_count -= 1
+                if not waiter.done():
+                    waiter.set_result(None)
+
+    def _compact(self) -> None:
+        new_path = self._path.with_suffix(".new")
+        with open(new_path, "wb") as file:
             file.writelines(json.dumps(end.row(name)).encode() + b"\n" for name, end in self._ends.items())
             file.flush()
-            os.fsync(file.fileno())  # before the rename, or a power loss could leave neither
-        fresh.replace(self._path)
-        self._file.close()  # only now: where the rename fails, the old one goes on
+            os.fsync(file.fileno())  # before the rename, or a power loss could leave neither old nor new file
+        new_path.replace(self._path)
+        self._file.close()  # after the rename: if that fails, the old file stays in use
         self._file = open(self._path, "ab", buffering=0)  # noqa: SIM115
-        self._lines = len(self._ends)
+        self._line_count = len(self._ends)
 
-    def wait(self, message: str, most_s: float) -> asyncio.Future[None]:
-        """Done once it has its end, or after that time, or at once where too many wait."""
+    def wait(self, message: str, timeout_s: float) -> asyncio.Future[None]:
+        """Return a future that is done at the end or timeout, or at once if there are `_MAX_WAITERS` already."""
         loop = asyncio.get_running_loop()
-        one: asyncio.Future[None] = loop.create_future()
-        if self._count >= _MOST_WAITING:
-            one.set_result(None)
-            return one
-        self._waiting.setdefault(message, []).append(one)
-        self._count += 1
-        timer = loop.call_later(most_s, lambda: None if one.done() else one.set_result(None))
-
-        def over(_: asyncio.Future[None]) -> None:
+        waiter: asyncio.Future[None] = loop.create_future()
+        if self._waiter_count >= _MAX_WAITERS:
+            waiter.set_result(None)
+            return waiter
+        self._waiters.setdefault(message, []).append(waiter)
+        self._waiter_count += 1
+        timer = loop.call_later(timeout_s, lambda: None if waiter.done() else waiter.set_result(None))
+
+        def remove_waiter(_: asyncio.Future[None]) -> None:
             timer.cancel()
-            waiting = self._waiting.get(message, [])
-            if one in waiting:
-                waiting.remove(one)
-                self._count -= 1
-                if not waiting:
-                    del self._waiting[message]
-        one.add_done_callback(over)
-        return one
+            waiters = self._waiters.get(message, [])
+            if waiter in waiters:
+                waiters.remove(waiter)
+                self._waiter_count -= 1
+                if not waiters:
+                    del self._waiters[message]
+        waiter.add_done_callback(remove_waiter)
+        return waiter
 
     def close(self) -> None:
-        """What is not written yet is written."""
-        if self._flush is not None:
-            self._flush.cancel()
+        """Write what is scheduled, then close the file."""
+        if self._flush_handle is not None:
+            self._flush_handle.cancel()
             self.flush()
         self._file.close()
--- a/wheelstep/standalone/model.py
+++ b/wheelstep/standalone/model.py
@@ -1,4 +1,4 @@
-"""The file of a standalone courier: its fields, their checks, and what spans several of them.
+"""Schema of a standalone courier's file: its fields, their checks, and checks across fields.
 
 docs/operations/standalone.md has a reference of all fields, made from this module by `umberchute config reference`.
 """
@@ -21,9 +21,9 @@
 
 
 def _port(text: str) -> int | None:
-    """The port of a host:port; None where it is none."""
-    found = _ADDRESS.fullmatch(text)
-    return int(found[2]) if found is not None and int(found[2]) <= 65535 else None
+    """Return the port of a host:port, or None if the text is malformed."""
+    match = _ADDRESS.fullmatch(text)
+    return int(match[2]) if match is not None and int(match[2]) <= 65535 else None
 
 
 class FileError(Exception):
@@ -43,7 +43,7 @@
     ordered: Annotated[bool, Field(description="messages of one key go one after another")] = False
 
     @model_validator(mode="after")
-    def _fits(self) -> ClassPart:
+    def _check_values(self) -> ClassPart:
         if not 0 < self.aim <= self.deadline:
             raise ValueError("aim is not between 0 and the deadline; expected aim <= deadline")
         if self.late_worth > self.worth:
@@ -58,17 +58,17 @@
     drain: Annotated[tuple[str, ...], Field(description="those of them that get nothing new")] = ()
 
     @model_validator(mode="after")
-    def _addresses(self) -> EndpointsPart:
+    def _check_addresses(self) -> EndpointsPart:
         known = set()
         for number, text in enumerate(self.endpoints):
             if not _port(text):
-                raise ValueError(f"endpoints[{number}]: {text!r} is no address; expected host:port")
+                raise ValueError(f"endpoints[{number}]: {text!r} is not an address; expected host:port")
             if text in known:
-                raise ValueError(f"endpoints[{number}]: {text!r} is there twice; expected each once")
+                raise ValueError(f"endpoints[{number}]: {text!r} is listed twice; expected each once")
             known.add(text)
         for number, text in enumerate(self.drain):
             if text not in known:
-                raise ValueError(f"drain[{number}]: {text!r} is none of the endpoints; expected one of them")
+                raise ValueError(f"drain[{number}]: {text!r} is not one of the endpoints; expected one of them")
         return self
 
 
@@ -81,10 +81,10 @@
     routes_apart: Annotated[bool, Field(description="a wait told by one endpoint does not bind the others")] = False
 
     @model_validator(mode="after")
-    def _fits(self) -> DestinationPart:
+    def _check_values(self) -> DestinationPart:
         for number, text in enumerate(self.sign):
             if not re.fullmatch(r"(file|env):.+", text):
-                raise ValueError(f"sign[{number}]: is no place of a key; expected file:NAME or env:NAME")
+                raise ValueError(f"sign[{number}]: is not a key location; expected file:NAME or env:NAME")
         if self.sign and self.batch > 1:
             raise ValueError("batch is more than 1 where calls are signed; expected 1: a signature is of one message")
         return self
@@ -106,7 +106,7 @@
 
     @property
     def weights(self) -> Mapping[str, int]:
-        """Destinations with their weights."""
+        """Return the destinations with their weights."""
         return {self.to: 1} if isinstance(self.to, str) else self.to
 
 
@@ -123,12 +123,12 @@
     held_share: Annotated[float, Field(gt=0, le=1, description="of the messages that may be held")] = 1.0
 
     @model_validator(mode="after")
-    def _fits(self) -> TenantPart:
+    def _check_values(self) -> TenantPart:
         if not self.tokens and not self.open:
             raise ValueError("tokens is missing; expected one at least where open is not true")
         for number, text in enumerate(self.tokens):
             if not re.fullmatch(r"[0-9a-f]{64}", text):
-                raise ValueError(f"tokens[{number}]: is no sha256 in hex; expected what `umberchute keys new` prints")
+                raise ValueError(f"tokens[{number}]: is not SHA-256 in hex; expected what `umberchute keys new` prints")
         return self
 
 
@@ -179,68 +179,69 @@
 
 
 def destination_number(name: str) -> int:
-    """What the module and the journal know a destination by: the same at every start, whatever its place."""
+    """Return the number of a destination in the core and the journal; it depends on the name only, not on order."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
 def parse(text: str, source: str) -> Standalone:
-    """Read and check; `source` names the file in a `FileError`."""
+    """Parse and check the text of a file. Raises `FileError` that begins with `source`."""
     try:
-        found = Standalone.model_validate(tomllib.loads(text))
+        file_config = Standalone.model_validate(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
         raise FileError(f"{source}: {error}; expected TOML") from error
     except ValidationError as error:
         raise FileError(f"{source}: {describe_error(error, 'docs/operations/standalone.md')}") from error
-    for key, what in _crossings(found):
-        raise FileError(f"{source}: {key}: {what}")
-    return found
+    for key, message in _cross_part_errors(file_config):
+        raise FileError(f"{source}: {key}: {message}")
+    return file_config
 
 
 def load(path: Path) -> Standalone:
-    """The file, its folder of state made absolute. Raises `FileError`."""
+    """Read and check a file; its folders become absolute paths. Raises `FileError`."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise FileError(f"{path}: can't be read: {error}; expected TOML in UTF-8") from error
-    found = parse(text, str(path))
-    return found.model_copy(update={
-        "state": (path.parent / found.state).absolute(), "endpoints_from":
-        None if found.endpoints_from is None else (path.parent / found.endpoints_from).absolute()})
+    file_config = parse(text, str(path))
+    return file_config.model_copy(update={
+        "state": (path.parent / file_config.state).absolute(), "endpoints_from":
+        None if file_config.endpoints_from is None else (path.parent / file_config.endpoints_from).absolute()})
 
 
-def _crossings(found: Standalone) -> Iterable[tuple[str, str]]:
-    """What only shows when parts are held against each other."""
-    for key, text in (("listen", found.listen), ("notify", found.notify)):
+def _cross_part_errors(file_config: Standalone) -> Iterable[tuple[str, str]]:
+    """Yield key and message of each violation of a rule that spans several parts of the file."""
+    for key, text in (("listen", file_config.listen), ("notify", file_config.notify)):
         if text is not None and _port(text) is None:
-            yield key, f"{text!r} is no address; expected host:port"
+            yield key, f"{text!r} is not an address; expected host:port"
     numbers: dict[int, str] = {}
-    for name in found.destinations:
+    for name in file_config.destinations:
         if (other := numbers.setdefault(destination_number(name), name)) != name:
-            yield f"destination.{name}", f"can't be told from {other!r}; expected another name"
+            yield f"destination.{name}", f"has the same number as {other!r}; expected another name"
     for key in ("open", "plain_names"):
-        if len(names := [name for name, tenant in found.tenants.items() if getattr(tenant, key)]) > 1:
+        if len(names := [name for name, tenant in file_config.tenants.items() if getattr(tenant, key)]) > 1:
             yield f"tenant.{names[1]}.{key}", f"{names[0]!r} is that already; expected one at most"
     seen: dict[str, str] = {}
-    for name, tenant in found.tenants.items():
+    for name, tenant in file_config.tenants.items():
         for token in tenant.tokens:
             if (other := seen.setdefault(token, name)) != name:
                 yield f"tenant.{name}.tokens", f"one of them is that of {other!r} as well; expected different ones"
-    for number, route in enumerate(found.routes):
+    for number, route in enumerate(file_config.routes):
         at = f"route[{number}]"
-        known = ", ".join(found.destinations)
+        known = ", ".join(file_config.destinations)
         named = [("to", name) for name in route.weights] + [("fallback", route.fallback), ("mirror", route.mirror)]
         for key, wanted in named:
-            if wanted is not None and wanted not in found.destinations:
+            if wanted is not None and wanted not in file_config.destinations:
                 yield f"{at}.{key}", f"unknown destination {wanted!r}; expected one of {known}"
         if not route.weights:
             yield f"{at}.to", "names no destination; expected one at least"
-        if route.message_class is not None and route.message_class not in found.classes:
-            yield f"{at}.class", f"unknown class {route.message_class!r}; expected one of {', '.join(found.classes)}"
-        if route.tenant is not None and route.tenant not in found.tenants:
-            yield f"{at}.tenant", f"unknown tenant {route.tenant!r}; expected one of {', '.join(found.tenants)}"
+        if route.message_class is not None and route.message_class not in file_config.classes:
+            yield f"{at}.class", (f"unknown class {route.message_class!r}; "
+                                 f"expected one of {', '.join(file_config.classes)}")
+        if route.tenant is not None and route.tenant not in file_config.tenants:
+            yield f"{at}.tenant", f"unknown tenant {route.tenant!r}; expected one of {', '.join(file_config.tenants)}"
         if route.mirror is not None:
-            classes = [route.message_class] if route.message_class is not None else list(found.classes)
-            if unsafe := [name for name in classes if found.classes[name].effect == "unsafe"]:
+            classes = [route.message_class] if route.message_class is not None else list(file_config.classes)
+            if unsafe := [name for name in classes if file_config.classes[name].effect == "unsafe"]:
                 yield f"{at}.mirror", f"class {unsafe[0]!r} is unsafe; expected a route of other classes only"
             if route.mirror in route.weights or route.mirror == route.fallback:
                 yield f"{at}.mirror", f"{route.mirror!r} gets the message itself; expected another destination"
--- a/wheelstep/standalone/routes.py
+++ b/wheelstep/standalone/routes.py
@@ -1,4 +1,4 @@
-"""Where a message goes, and whether its tenant may hand it in. No I/O: requests and a clock in, decisions out."""
+"""Routing of messages to destinations, and admission limits of tenants. No I/O; the clock is a parameter."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """What routes look at."""
+class RouteQuery:
+    """The attributes of a message that routes match on."""
 
     tenant: str
     message_class: str
@@ -24,61 +24,61 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """Where a message goes, and where a copy of it goes."""
+class RouteTarget:
+    """The destination of a message, and that of its copy, if any."""
 
     destination: str
     mirror: str | None = None
 
 
 class Routes:
-    """The routes of one file."""
+    """Selects destinations by the routes of one file."""
 
-    def __init__(self, found: Standalone) -> None:
-        self._routes = found.routes
-        self._unsafe = {name for name, part in found.classes.items() if part.effect == "unsafe"}
+    def __init__(self, file_config: Standalone) -> None:
+        self._routes = file_config.routes
+        self._unsafe = {name for name, part in file_config.classes.items() if part.effect == "unsafe"}
 
-    def way(self, asked: Asked, name: str, serves: Callable[[str], bool]) -> Way | None:
-        """The way of a message that its client calls `name`, or None where no route takes it. Without a key the name
-        counts in its place: handed in once more it goes the same way. `serves` tells whether a destination has any
-        endpoint that takes something new; without one its route's fallback counts, if that has."""
+    def target(self, query: RouteQuery, name: str, serves: Callable[[str], bool]) -> RouteTarget | None:
+        """Return the target of a message, or None if no route matches. A message without a key is hashed by `name`, so
+        a repeated request gets the same target. `serves` returns whether a destination has an endpoint that takes new
+        messages; if it has none, the route's fallback is used, provided that it has one."""
         for route in self._routes:
-            if _matches(route, asked):
-                destination = _weighted(route.weights, asked.key or name)
+            if _matches(route, query):
+                destination = _weighted(route.weights, query.key or name)
                 if route.fallback is not None and not serves(destination) and serves(route.fallback):
                     destination = route.fallback
-                # The file is checked for this as well: a copy of what may not run twice is never sent.
-                mirror = route.mirror if asked.message_class not in self._unsafe else None
-                return Way(destination, mirror)
+                # The file's validation rejects this too: an unsafe message must never be sent twice.
+                mirror = route.mirror if query.message_class not in self._unsafe else None
+                return RouteTarget(destination, mirror)
         return None
 
 
-def _matches(route: RoutePart, asked: Asked) -> bool:
-    return ((route.tenant is None or route.tenant == asked.tenant)
-            and (route.message_class is None or route.message_class == asked.message_class)
-            and (route.path is None or fnmatchcase(asked.path, route.path))
-            and (route.key is None or asked.key is not None and fnmatchcase(asked.key, route.key))
-            and all((value := asked.headers.get(name.lower())) is not None and fnmatchcase(value, wanted)
-                    for name, wanted in route.headers.items()))
+def _matches(route: RoutePart, query: RouteQuery) -> bool:
+    return ((route.tenant is None or route.tenant == query.tenant)
+            and (route.message_class is None or route.message_class == query.message_class)
+            and (route.path is None or fnmatchcase(query.path, route.path))
+            and (route.key is None or query.key is not None and fnmatchcase(query.key, route.key))
+            and all((value := query.headers.get(name.lower())) is not None and fnmatchcase(value, pattern)
+                    for name, pattern in route.headers.items()))
 
 
-def _weighted(weights: Mapping[str, int], by: str) -> str:
-    """Rendezvous hashing: when a destination or a weight changes, only keys move that have to."""
+def _weighted(weights: Mapping[str, int], hash_key: str) -> str:
+    """Choose by weighted rendezvous hashing: a changed destination or weight moves only the keys that must move."""
     if len(weights) == 1:
         return next(iter(weights))
-    best, found = -1.0, ""
+    best_score, chosen = -1.0, ""
     for name, weight in sorted(weights.items()):
-        drawn = int.from_bytes(hashlib.blake2b(f"{name}\0{by}".encode("utf-8", "surrogateescape"),
+        hash_value = int.from_bytes(hashlib.blake2b(f"{name}\0{hash_key}".encode("utf-8", "surrogateescape"),
                                                digest_size=8).digest(), "big")
-        score = ((drawn + 1) / (2 ** 64 + 1)) ** (1.0 / weight)
-        if score > best:
-            best, found = score, name
-    return found
+        score = ((hash_value + 1) / (2 ** 64 + 1)) ** (1.0 / weight)
+        if score > best_score:
+            best_score, chosen = score, name
+    return chosen
 
 
 @dataclass(slots=True)
 class _Bucket:
-    """A token bucket: `left` of the burst at `at_s`."""
+    """A token bucket that held `left` tokens at time `at_s`."""
 
     left: float
     at_s: float
@@ -86,34 +86,34 @@
 
 @dataclass(slots=True)
 class Tenants:
-    """Who may hand in, and how much."""
+    """Identifies tenants and enforces their rates and shares of held messages."""
 
     tenants: Mapping[str, TenantPart]
-    held: Counter[str] = field(default_factory=Counter)  # messages whose end is owed
+    held: Counter[str] = field(default_factory=Counter)  # messages without an end yet, by holder
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
-    def renew(self, tenants: Mapping[str, TenantPart]) -> None:
-        """From a new file; what is held, and what was used of a rate, goes on counting."""
+    def update(self, tenants: Mapping[str, TenantPart]) -> None:
+        """Apply the tenants of a new file; counts of held messages and used rates are kept."""
         self.tenants = tenants
         self._buckets = {name: bucket for name, bucket in self._buckets.items() if name in tenants}
 
-    def open_to_all(self) -> str | None:
-        """Who those are that name no token."""
+    def anonymous(self) -> str | None:
+        """Return the tenant of requests without a token, or None."""
         return next((name for name, part in self.tenants.items() if part.open), None)
 
-    def named(self, token: str) -> str | None:
-        """Whose token this is."""
+    def by_token(self, token: str) -> str | None:
+        """Return the tenant that the token belongs to, or None."""
         digest = hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
-        found = None
-        for name, part in self.tenants.items():  # all of them, in time that tells nothing of the token
-            for known in part.tokens:
-                if hmac.compare_digest(digest, known):
-                    found = name
-        return found
-
-    def wait_s(self, tenant: str, holder: str, hold_limit: int, now_s: float) -> float:
-        """0 where it may hand one more in, which then counts; else after what time to come back. `holder` is what its
-        messages are held under (`front.tenant_of`)."""
+        owner = None
+        for name, part in self.tenants.items():  # no early exit: the time taken must not depend on the token
+            for known_digest in part.tokens:
+                if hmac.compare_digest(digest, known_digest):
+                    owner = name
+        return owner
+
+    def admission_wait_s(self, tenant: str, holder: str, hold_limit: int, now_s: float) -> float:
+        """Admit one more message and return 0, or return the seconds to wait. Admission consumes a token of the rate.
+        `holder` is the name that the tenant's messages are counted under (`front.tenant_of`)."""
         part = self.tenants[tenant]
         if self.held[holder] >= max(1, int(part.held_share * hold_limit)):
             return 1.0
@@ -125,12 +125,12 @@
         bucket.left -= 1
         return 0.0
 
-    def took(self, holder: str) -> None:
-        """One of its messages is held."""
+    def hold(self, holder: str) -> None:
+        """Count a message that is now held."""
         self.held[holder] += 1
 
-    def over(self, holder: str) -> None:
-        """One of them has its end."""
+    def release(self, holder: str) -> None:
+        """Remove an ended message from the count."""
         self.held[holder] -= 1
         if not self.held[holder]:
             del self.held[holder]
--- a/wheelstep/standalone/rows.py
+++ b/wheelstep/standalone/rows.py
@@ -1,4 +1,4 @@
-"""A standalone courier's endpoints as the list that the core is given, and what a new file changes in it. No I/O."""
+"""The endpoint list of a standalone courier for the core, and the changes between two such lists. No I/O."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from wheelstep.standalone.settings import kind_name
 
 
-def rows_of(found: Standalone, names: Sequence[str]) -> list[Row]:
-    """The file's endpoints as the list that the core is given; `names` are the kinds in the order of the settings."""
+def rows_of(file_config: Standalone, kinds: Sequence[str]) -> list[Row]:
+    """Return the file's endpoints as rows for the core; `kinds` are kind names in the order of the settings."""
     return [(api.EndpointInfo(
         endpoint=f"{name}/{text}", destination=destination_number(name),
-        kind=names.index(kind_name(part.batch, part.routes_apart)),
+        kind=kinds.index(kind_name(part.batch, part.routes_apart)),
         state=api.EndpointState.DRAINING if text in part.drain else api.EndpointState.UP), Address.parse(text))
-        for name, part in found.destinations.items() for text in part.endpoints]
+        for name, part in file_config.destinations.items() for text in part.endpoints]
 
 
 def changes(before: Sequence[Row], after: Sequence[Row]) -> list[Row]:
-    """What became of the one list on the way to the other: first those that have gone or drain."""
-    known, wanted = {row[0].endpoint: row for row in before}, {row[0].endpoint: row for row in after}
-    gone = [(replace(info, state=api.EndpointState.REMOVED), address) for name, (info, address) in known.items()
-            if name not in wanted]
-    fresh = [row for name, row in wanted.items() if known.get(name) != row]
-    return gone + sorted(fresh, key=lambda row: row[0].state is api.EndpointState.UP)
+    """Return the rows that turn the list `before` into `after`, removed and draining endpoints first."""
+    old_rows, new_rows = {row[0].endpoint: row for row in before}, {row[0].endpoint: row for row in after}
+    removed = [(replace(info, state=api.EndpointState.REMOVED), address) for name, (info, address) in old_rows.items()
+               if name not in new_rows]
+    changed = [row for name, row in new_rows.items() if old_rows.get(name) != row]
+    return removed + sorted(changed, key=lambda row: row[0].state is api.EndpointState.UP)
--- a/wheelstep/standalone/signing.py
+++ b/wheelstep/standalone/signing.py
@@ -1,6 +1,6 @@
-"""Signatures of calls by the Standard Webhooks specification (v1, symmetric): what was sent, by whom, and when.
+"""Signatures of calls by the Standard Webhooks specification (v1, symmetric), over message name, time and body.
 
-`Signer` does no I/O; `read_key` reads a key where the operator's file says that it is.
+`Signer` does no I/O; `read_key` reads a key from the file or environment variable that the operator's file names.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from pathlib import Path
 
 _PREFIX = "whsec_"
-_LEAST, _MOST = 24, 64  # bytes of a key (Standard Webhooks, "Signature scheme")
+_MIN_KEY_BYTES, _MAX_KEY_BYTES = 24, 64  # of a key (Standard Webhooks, "Signature scheme")
 
 
 class KeyFileError(Exception):
-    """A key can't be used. Says where it is looked for, never what it is."""
+    """A key can't be used. The message names the place of the key and never contains the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Signer:
-    """Signs with each of its keys, so that partners may know the old or the new one while a key is replaced."""
+    """Signs with each of its keys, so that partners may have either the old or the new one during a key rotation."""
 
     keys: tuple[bytes, ...]
 
     def headers(self, name: str, body: bytes, now_s: int) -> tuple[tuple[str, str], ...]:
-        """Those of one message. Its name is the same in each attempt, the time is that of the attempt."""
+        """Return the signature headers of one attempt. The name is the same in each attempt of a message."""
         signed = f"{name}.{now_s}.".encode() + body
         signatures = " ".join("v1," + base64.b64encode(hmac.digest(key, signed, "sha256")).decode()
                               for key in self.keys)
@@ -39,51 +39,52 @@
 
 
 def new_key() -> str:
-    """A key in the specification's form."""
+    """Generate a random key in the specification's form."""
     return _PREFIX + base64.b64encode(secrets.token_bytes(32)).decode()
 
 
 def fingerprint(key: bytes) -> str:
-    """What an operator may compare and log: tells nothing of the key."""
+    """Return a short hash that may be compared and logged without disclosing the key."""
     return hashlib.sha256(b"umberchute key\0" + key).hexdigest()[:12]
 
 
-def read_key(where: str, folder: Path, environ: Mapping[str, str]) -> bytes:
-    """The key at `file:NAME`, relative to the folder, or `env:NAME`. Raises `KeyFileError`."""
-    kind, _, name = where.partition(":")
+def read_key(place: str, folder: Path, environ: Mapping[str, str]) -> bytes:
+    """Read the key at `file:NAME`, relative to the folder, or `env:NAME`. Raises `KeyFileError`."""
+    kind, _, name = place.partition(":")
     if kind == "env":
         if name not in environ:
-            raise KeyFileError(f"{where}: is not set; expected a key in the environment")
-        return _decode(environ[name], where)
+            raise KeyFileError(f"{place}: is not set; expected a key in the environment")
+        return _decode(environ[name], place)
     path = folder / name
     try:
-        handle = os.open(path, os.O_RDONLY)
-        with os.fdopen(handle, encoding="ascii") as file:
-            mode = os.fstat(handle).st_mode  # of what is read, not of what the name stood for a moment ago
+        descriptor = os.open(path, os.O_RDONLY)
+        with os.fdopen(descriptor, encoding="ascii") as file:
+            mode = os.fstat(descriptor).st_mode  # of the open file: the path may have been replaced since
             if not stat.S_ISREG(mode) or mode & 0o077:
-                raise KeyFileError(f"{where}: mode {stat.S_IMODE(mode):o}; expected a plain file that only its owner "
+                raise KeyFileError(f"{place}: mode {stat.S_IMODE(mode):o}; expected a plain file that only its owner "
                                    "can read, such as 600")
-            return _decode(file.read(1024), where)
+            return _decode(file.read(1024), place)
     except (OSError, UnicodeDecodeError) as error:
-        raise KeyFileError(f"{where}: can't be read: {type(error).__name__}; expected a key in {path}") from error
+        raise KeyFileError(f"{place}: can't be read: {type(error).__name__}; expected a key in {path}") from error
 
 
-def _decode(text: str, where: str) -> bytes:
+def _decode(text: str, place: str) -> bytes:
     try:
         key = base64.b64decode(text.strip().removeprefix(_PREFIX), validate=True)
     except binascii.Error:
         key = b""
-    if not _LEAST <= len(key) <= _MOST:
-        raise KeyFileError(f"{where}: holds no key; expected {_PREFIX} and {_LEAST} to {_MOST} bytes in base64")
+    if not _MIN_KEY_BYTES <= len(key) <= _MAX_KEY_BYTES:
+        raise KeyFileError(
+            f"{place}: holds no key; expected {_PREFIX} and {_MIN_KEY_BYTES} to {_MAX_KEY_BYTES} bytes in base64")
     return key
 
 
 def read_signers(keys: Mapping[str, Sequence[str]], folder: Path, environ: Mapping[str, str]) -> dict[str, Signer]:
-    """By destination, from where each one's keys are. Raises `KeyFileError`."""
-    found = {}
+    """Read the keys of each destination and return its signer. Raises `KeyFileError`."""
+    signers = {}
     for name, places in keys.items():
         try:
-            found[name] = Signer(tuple(read_key(where, folder, environ) for where in places))
+            signers[name] = Signer(tuple(read_key(place, folder, environ) for place in places))
         except KeyFileError as error:
             raise KeyFileError(f"destination.{name}.sign: {error}") from error
-    return found
+    return signers
--- a/wheelstep/standalone/start.py
+++ b/wheelstep/standalone/start.py
@@ -1,4 +1,4 @@
-"""What `umberchute init`, `umberchute keys new` and `umberchute config show|diff|reference` print and write."""
+"""Implements `umberchute init`, `umberchute keys new` and `umberchute config show|diff|reference`."""
 
 from __future__ import annotations
 
@@ -48,24 +48,24 @@
 
 
 def new_token() -> tuple[str, str]:
-    """A bearer token and the sha256 that a file holds of it."""
+    """Generate a bearer token; return it and its SHA-256 in hex, which the file stores."""
     token = secrets.token_urlsafe(24)
     return token, hashlib.sha256(token.encode()).hexdigest()
 
 
 def write_key(path: Path) -> str:
-    """A new key for signatures, in a new file that only its owner can read; its fingerprint. Raises `FileError`."""
+    """Write a new signing key to a new file with mode 600 and return its fingerprint. Raises `FileError`."""
     key = new_key()
     _write({path: (key + "\n", 0o600)})
     return fingerprint(read_key(f"file:{path.name}", path.parent, {}))
 
 
 def _write(files: Mapping[Path, tuple[str, int]]) -> None:
-    """New files with their modes; nothing is overwritten."""
+    """Create files with their texts and modes. Raises `FileError`, also if a file exists already."""
     for path, (text, mode) in files.items():
         try:
-            handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
-            with os.fdopen(handle, "w", encoding="utf-8") as file:
+            descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
+            with os.fdopen(descriptor, "w", encoding="utf-8") as file:
                 file.write(text)
         except FileExistsError as error:
             raise FileError(f"{path}: is there already; expected a new name") from error
@@ -74,7 +74,7 @@
 
 
 def init(folder: Path, listen: str = "127.0.0.1:8350") -> str:
-    """Write a starting file and the token of its tenant; the token. Raises `FileError`: nothing is overwritten."""
+    """Write a starter file and its tenant's token; return the token. Raises `FileError`, also if a file exists."""
     token, digest = new_token()
     text = STARTER.format(digest=digest, listen=listen)
     parse(text, "--listen")
@@ -88,7 +88,7 @@
 
 
 def plain(found: Standalone) -> dict[str, Any]:
-    """The file with every default, as JSON's types; tokens are left out."""
+    """Return the file with all defaults, as JSON types. Only the number of tokens is shown."""
     data: dict[str, Any] = found.model_dump(mode="json", by_alias=True)
     for tenant in data["tenant"].values():
         tenant["tokens"] = f"{len(tenant['tokens'])} of them"
@@ -96,25 +96,25 @@
 
 
 def differences(old: Any, new: Any, at: str = "") -> Iterator[str]:
-    """A line for each value that differs: what a reload would change."""
+    """Yield a line for each value that a reload would change; `at` is the path of the values in the file."""
     if isinstance(old, dict) and isinstance(new, dict):
         for name in [*old, *(name for name in new if name not in old)]:
-            where = f"{at}.{name}" if at else name
+            path = f"{at}.{name}" if at else name
             if name not in new:
-                yield f"{where}: gone"
+                yield f"{path}: gone"
             elif name not in old:
-                yield f"{where}: new: {new[name]}"
+                yield f"{path}: new: {new[name]}"
             else:
-                yield from differences(old[name], new[name], where)
+                yield from differences(old[name], new[name], path)
     elif isinstance(old, list) and isinstance(new, list) and len(old) == len(new):
-        for number, (one, other) in enumerate(zip(old, new, strict=True)):
-            yield from differences(one, other, f"{at}[{number}]")
+        for index, (old_item, new_item) in enumerate(zip(old, new, strict=True)):
+            yield from differences(old_item, new_item, f"{at}[{index}]")
     elif old != new:
         yield f"{at}: {old} -> {new}"
 
 
 def reference() -> str:
-    """All fields of the file as Markdown tables, from the model."""
+    """Return Markdown tables of all fields of the file, made from the model."""
     lines: list[str] = []
 
     def table(part: type[BaseModel], title: str) -> None:
@@ -123,7 +123,7 @@
         for name, info in part.model_fields.items():
             if info.description is None:
                 continue
-            default = "must be given" if info.is_required() else _shown(info.default)
+            default = "must be given" if info.is_required() else _format_default(info.default)
             lines.append(f"| `{info.alias or name}` | {default} | {info.description} |")
         lines.append("")
 
@@ -136,7 +136,7 @@
     return "\n".join(lines)
 
 
-def _shown(value: object) -> str:
+def _format_default(value: object) -> str:
     if value is None or value == () or value == {}:
         return "none"
     if isinstance(value, bool):
--- a/wheelstep/standalone/told.py
+++ b/wheelstep/standalone/told.py
@@ -1,4 +1,4 @@
-"""Who hears of a message's end where there is no platform: `Ends`, and whoever the file names."""
+"""Reports the ends of messages where there is no platform: to `Ends`, and to the `notify` address of the file."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 from wheelstep.courier.core import Core
 from wheelstep.courier.notifier import Notifier
 from wheelstep.standalone.ends import End, Ends
-from wheelstep.standalone.front import Front, mirrored, tenant_of
+from wheelstep.standalone.front import Front, is_mirror_copy, tenant_of
 
-_WORDS = {"delivered": "delivered", "handed_back": "refused", "given_up": "failed"}
+_END_OF_OUTCOME = {"delivered": "delivered", "handed_back": "refused", "given_up": "failed"}
 
 
-class Told:
-    """In the place of the platform's notices: every end goes to `Ends`, undelivered ones to `notices` as well where
-    the file wants that, and its tenant has room again. The journal owes it until all of them have it."""
+class EndReporter:
+    """Takes the place of the platform's notices. Stores every end in `Ends`, sends undelivered ones to `notices` too if
+    the file has `notify`, and releases the tenant's share. The journal owes an end until all of them have it."""
 
     def __init__(self, front: Front, core: Core) -> None:
         self._front, self._core = front, core
         self.ends: Ends | None = None
         self.notices: Notifier | None = None
-        self._half: set[str] = set()  # one of the two has them; bounded by what may be held
+        self._half_done: set[str] = set()  # confirmed by one of the two; bounded by the limit of held messages
 
-    def settled(self, names: list[str]) -> None:
-        """One of them has these."""
-        done = []
+    def confirm(self, names: list[str]) -> None:
+        """Note that `Ends` or `notices` has these ends; tell the core of those that need no more confirmation."""
+        confirmed = []
         for name in names:
-            if self.notices is None or name in self._half:
-                self._half.discard(name)
-                done.append(name)
+            if self.notices is None or name in self._half_done:
+                self._half_done.discard(name)
+                confirmed.append(name)
             else:
-                self._half.add(name)
-        if done:
-            self._core.answered(done)
+                self._half_done.add(name)
+        if confirmed:
+            self._core.answered(confirmed)
 
     def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
-        """It has ended."""
-        if mirrored(message):
+        """Report the end of a message."""
+        if is_mirror_copy(message):
             asyncio.get_running_loop().call_soon(self._core.answered, [message])
             return
         assert self.ends is not None
-        self._front.tenants.over(tenant_of(message))
-        self.ends.add(message, End.now(_WORDS[outcome], retry_ms))
+        self._front.tenants.release(tenant_of(message))
+        self.ends.add(message, End.now(_END_OF_OUTCOME[outcome], retry_ms))
         if self.notices is not None:
             if outcome == "delivered":
-                self.settled([message])
+                self.confirm([message])
             else:
                 self.notices.enqueue(message, outcome, retry_ms)
