--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -62,9 +62,6 @@
 """
 
 
-# --- the file ---
-
-
 @pytest.mark.parametrize(("old", "new", "expected"), [
     ('listen = "127.0.0.1:0"', 'listen = "here"', "listen: 'here' is not an address; expected host:port"),
     ('effect = "unsafe"', 'effect = "once"', "class.pay.effect: 'once'; expected"),
@@ -86,6 +83,7 @@
     (f'tokens = ["{DIGEST}"]', "rate_per_s = 2", "tenant.one: tokens is missing"),
     ('[class.pay]', '[class.Pay]', "class.Pay"), ('[[route]]', '[[route', "expected TOML")])
 def test_an_invalid_file_is_reported_in_one_line(old: str, new: str, expected: str) -> None:
+    """Guards against files with errors being accepted, and against errors that span lines or show tokens."""
     with pytest.raises(FileError) as found:
         parse(FILE.replace(old, new, 1), "x.toml")
     assert str(found.value).startswith("x.toml: ") and expected in str(found.value)
@@ -117,8 +115,6 @@
     assert start.reference() in (ROOT / "docs" / "operations" / "standalone.md").read_text()
 
 
-# --- routes and shares ---
-
 NAMES = st.sampled_from(["a", "b", "c"])
 PATTERNS = st.none() | st.sampled_from(["*", "/x/*", "/y", "k*", "k1"])
 ROUTES = st.lists(st.builds(
@@ -135,6 +131,7 @@
 @given(ROUTES, QUERIES, st.sets(NAMES))
 def test_the_first_matching_route_is_used_and_unsafe_messages_are_not_mirrored(
         parts: list[RoutePart], query: RouteQuery, open_names: set[str]) -> None:
+    """Guards against a later route or a fallback without endpoints being used, and against unsafe copies."""
     found = parse(FILE, "x").model_copy(update={"routes": tuple(parts)})
     routes = Routes(found)
     target = routes.target(query, "m", open_names.__contains__)
@@ -162,6 +159,7 @@
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.sampled_from(["one", "two"]), st.booleans(), st.floats(0, 0.4)), max_size=80))
 def test_tenants_never_exceed_their_rate_or_held_share(steps: list[tuple[str, bool, float]]) -> None:
+    """Guards against admission beyond a limit in some order of arrivals, ends and pauses."""
     parts = parse(FILE, "x").tenants
     parts = {"one": parts["one"].model_copy(update={"rate_per_s": 5.0, "burst": 3, "held_share": 0.3}),
              "two": parts["two"].model_copy(update={"rate_per_s": 100.0, "held_share": 0.5})}
@@ -179,10 +177,8 @@
         assert taken["one"] <= 3 + 5.0 * now + 1
 
 
-# --- ends ---
-
-
 def test_ends_survive_a_restart_and_a_torn_line(tmp_path: Path) -> None:
+    """Guards against a line cut off by a crash being read as an end, or spoiling the line after it."""
     async def work() -> None:
         settled: list[str] = []
         ends = Ends(tmp_path, 100, settled.extend)
@@ -253,6 +249,7 @@
 
 
 def test_ends_stay_owed_while_the_disk_is_full(tmp_path: Path) -> None:
+    """Guards against ends confirmed before they are written whole: a full disk takes only part of the line."""
     class Full:
         room = 10
 
@@ -286,9 +283,6 @@
     run(work())
 
 
-# --- the whole ---
-
-
 class Standalone:
     """A courier process with its own file, and two partner endpoints."""
 
@@ -357,6 +351,7 @@
 
 
 def test_a_message_is_delivered_and_its_end_survives_sigkill(tmp_path: Path) -> None:
+    """Guards against a second call for a message that has ended, and against access to other tenants' messages."""
     async def scenario() -> None:
         async with Standalone(tmp_path) as s:
             assert await s.post("m1", "/a/1") == 202
@@ -386,6 +381,7 @@
 
 
 def test_an_unsafe_message_in_flight_at_sigkill_fails_and_is_not_sent_again(tmp_path: Path) -> None:
+    """Guards against a repeated unsafe call: after a crash it is unknown whether the interrupted one ran."""
     async def scenario() -> None:
         async with Standalone(tmp_path) as s:
             arrived = asyncio.Event()
@@ -405,6 +401,7 @@
 
 
 def test_a_reload_applies_endpoints_and_tokens_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    """Guards against a reload that is applied in part, and against an invalid file replacing a valid one."""
     async def scenario() -> None:
         async with Standalone(tmp_path) as s:
             await s.renew("endpoints = []", f'endpoints = ["{s.beta.address}"]')
@@ -434,6 +431,7 @@
 
 
 def test_endpoint_files_are_applied_and_invalid_or_deleted_ones_change_nothing(tmp_path: Path) -> None:
+    """Guards against a destination losing its endpoints when its file is damaged or deleted."""
     async def scenario() -> None:
         s = Standalone(tmp_path)
         s.text = s.text.replace('state = "state"', 'state = "state"\nendpoints_from = "there"')
@@ -489,6 +487,7 @@
 
 
 def test_a_tenant_over_its_share_gets_retry_after_and_others_are_served(tmp_path: Path) -> None:
+    """Guards against a tenant with a slow partner using up all room for held messages."""
     async def scenario() -> None:
         s = Standalone(tmp_path)
         s.text = s.text.replace("[tenant.two]", "held_share = 0.3\n[tenant.two]").replace(
@@ -521,6 +520,7 @@
 
 
 def test_an_end_is_owed_until_the_file_and_the_notified_party_have_it(tmp_path: Path) -> None:
+    """Guards against an end confirmed to the journal before both recipients have it."""
     class Core:
         over: list[str] = []
 
--- a/wheelstep/standalone/ends.py
+++ b/wheelstep/standalone/ends.py
@@ -1,7 +1,7 @@
 """Final states ("ends") of messages for client queries, kept in memory and in a file of the state folder, both bounded.
 
 The file has one JSON line per end and is compacted, by rename, once it has over twice as many lines as ends are kept.
-The journal owes an end until it is in the file, so one lost to a crash or a full disk is reported again at restart.
+The journal owes an end until it is in the file, so one lost to a crash or a full disk is reported again.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """How a message ended: `delivered`, `refused` (may be handed in again after `retry_ms`) or `failed`."""
+    """How a message ended: `delivered`, `refused` (safe to hand in again after `retry_ms`) or `failed`."""
 
     end: str
     at_ms: int  # Unix time
@@ -60,7 +60,7 @@
         self._file = open(self._path, "ab", buffering=0)  # noqa: SIM115  # closed by close()
 
     def _read(self) -> None:
-        self._torn = False  # the file ends in an incomplete line: the next write starts with a line break
+        self._torn = False  # whether the file ends in a partial line, so that the next write starts with a line break
         try:
             data = self._path.read_bytes()
         except FileNotFoundError:
--- a/wheelstep/standalone/serve.py
+++ b/wheelstep/standalone/serve.py
@@ -83,7 +83,7 @@
         self._config = config_of(file_config)
 
     async def serve(self, reload_requested: asyncio.Event) -> None:
-        """Run until SIGTERM. Raises `ConfigError`."""
+        """Run until SIGTERM or SIGINT; reload when the event is set. Raises `ConfigError`."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
         terminated = asyncio.Event()
--- a/wheelstep/standalone/signing.py
+++ b/wheelstep/standalone/signing.py
@@ -31,7 +31,7 @@
     keys: tuple[bytes, ...]
 
     def headers(self, name: str, body: bytes, now_s: int) -> tuple[tuple[str, str], ...]:
-        """Return the signature headers of one attempt. The name is the same in each attempt of a message."""
+        """Return the signature headers of an attempt made at `now_s`; all attempts of a message have the same name."""
         signed = f"{name}.{now_s}.".encode() + body
         signatures = " ".join("v1," + base64.b64encode(hmac.digest(key, signed, "sha256")).decode()
                               for key in self.keys)
--- a/wheelstep/standalone/told.py
+++ b/wheelstep/standalone/told.py
@@ -20,17 +20,17 @@
         self._front, self._core = front, core
         self.ends: Ends | None = None
         self.notices: Notifier | None = None
-        self._half_done: set[str] = set()  # confirmed by one of the two; bounded by the limit of held messages
+        self._half_confirmed: set[str] = set()  # confirmed by one of the two; bounded by the limit of held messages
 
     def confirm(self, names: list[str]) -> None:
         """Note that `Ends` or `notices` has these ends; tell the core of those that need no more confirmation."""
         confirmed = []
         for name in names:
-            if self.notices is None or name in self._half_done:
-                self._half_done.discard(name)
+            if self.notices is None or name in self._half_confirmed:
+                self._half_confirmed.discard(name)
                 confirmed.append(name)
             else:
-                self._half_done.add(name)
+                self._half_confirmed.add(name)
         if confirmed:
             self._core.answered(confirmed)
 
