--- a/wheelstep/standalone/front.py
+++ b/wheelstep/standalone/front.py
@@ -52,7 +52,7 @@
 
     file_config: Standalone
     routes: Routes
-    open: frozenset[str]  # destinations with an endpoint that takes new messages
+    serving: frozenset[str]  # destinations with an endpoint that takes new messages
 
     @classmethod
     def of(cls, file_config: Standalone) -> Policy:
@@ -73,7 +73,7 @@
 
     def use(self, policy: Policy) -> None:
         """Apply a new policy. Messages already held keep the destination that they were accepted for."""
-        self._file_config, self._routes, self._open = policy.file_config, policy.routes, policy.open
+        self._file_config, self._routes, self._serving = policy.file_config, policy.routes, policy.serving
         self.tenants.update(policy.file_config.tenants)
 
     # --- courier.admission.ClientApi ---
@@ -102,7 +102,7 @@
         path = request.target.partition("?")[0]
         key = key_of(request.target)
         target = self._routes.target(RouteQuery(tenant, message_class, path, key, headers), name,
-                                     self._open.__contains__)
+                                     self._serving.__contains__)
         if target is None:
             raise RefusedError(404, "no route takes this message\n")
         message = StoredMessage(
