--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -98,13 +98,13 @@
     assert (tmp_path / "new" / "first.token").stat().st_mode & 0o077 == 0
     with pytest.raises(FileError, match="is there already"):
         start.init(tmp_path / "new")
-    shown = json.dumps(start.plain(found))
+    shown = json.dumps(start.as_json(found))
     assert token not in shown and "unsafe" in shown
 
 
 def test_differences_lists_each_value_that_a_reload_changes() -> None:
-    old = start.plain(parse(FILE, "a"))
-    new = start.plain(parse(FILE.replace('"127.0.0.1:1"', '"h:2"').replace("[class.note]", "[class.extra]\neffect = "
+    old = start.as_json(parse(FILE, "a"))
+    new = start.as_json(parse(FILE.replace('"127.0.0.1:1"', '"h:2"').replace("[class.note]", "[class.extra]\neffect = "
                                          '"safe"\n[class.note]\ndeadline = "9s"'), "b"))
     assert list(start.differences(old, new)) == [
         "class.note.deadline: 30000000 -> 9000000", "class.extra: new: " + str(new["class"]["extra"]),
--- a/wheelstep/cli/standalone_commands.py
+++ b/wheelstep/cli/standalone_commands.py
@@ -36,9 +36,9 @@
         token, digest = start.new_token()
         print(f"token {token}\nsha256 {digest}")
     elif given.what == "show":
-        print(json.dumps(start.plain(load(Path(given.file))), indent=2))
+        print(json.dumps(start.as_json(load(Path(given.file))), indent=2))
     elif given.what == "diff":
-        lines = list(start.differences(start.plain(load(Path(given.old))), start.plain(load(Path(given.new)))))
+        lines = list(start.differences(start.as_json(load(Path(given.old))), start.as_json(load(Path(given.new)))))
         print("\n".join(lines) if lines else "nothing changes")
         return BROKEN if lines else OK
     else:
--- a/wheelstep/standalone/start.py
+++ b/wheelstep/standalone/start.py
@@ -87,9 +87,9 @@
     return token
 
 
-def plain(found: Standalone) -> dict[str, Any]:
+def as_json(file_config: Standalone) -> dict[str, Any]:
     """Return the file with all defaults, as JSON types. Only the number of tokens is shown."""
-    data: dict[str, Any] = found.model_dump(mode="json", by_alias=True)
+    data: dict[str, Any] = file_config.model_dump(mode="json", by_alias=True)
     for tenant in data["tenant"].values():
         tenant["tokens"] = f"{len(tenant['tokens'])} of them"
     return data
