--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: who is there, suspected, leaving, gone and back: a simulation in virtual time, and rules one by one."""
+"""Membership: joining, suspicion, leaving, death and return of couriers, in a simulation and rule by rule."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wheelstep.fleet.doubt import doubt
+from wheelstep.fleet.doubt import new_suspicion
 from wheelstep.fleet.membership import Limits, Membership
 from wheelstep.fleet.news import News
 from wheelstep.fleet.roster import Roster
@@ -21,7 +21,7 @@
 
 
 def alone(limits: Limits | None = None, **seeds: str) -> Membership:
-    """Courier "me" that knows "a" and "b"."""
+    """Return courier "me", which knows "a" and "b"."""
     courier = Membership(member("me", 3), seeds, limits or Limits(), random.Random(1), 0)
     courier.heard(0, "a", "@a", Roll(0, (member("a", 1), member("b", 1))))
     courier.changed()
@@ -29,8 +29,8 @@
 
 
 @pytest.mark.parametrize(("count", "within_s"), [(3, 10), (30, 15), (100, 20)])
-def test_couriers_find_each_other_and_a_death_is_known_to_all(count: int, within_s: float) -> None:
-    world = World(count, seed=count, sealed=True)  # a packet beyond 1,200 bytes ends the run
+def test_couriers_discover_each_other_and_all_detect_a_death(count: int, within_s: float) -> None:
+    world = World(count, seed=count, sealed=True)  # a packet above 1,200 bytes fails the run
     assert world.run(within_s, lambda: world.all_see(world.couriers, ALIVE)) is not None
     world.run(5)
     world.dead.add("c1")
@@ -41,18 +41,18 @@
 
 @pytest.mark.parametrize("count", [3, 30])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_fifth_of_the_packets_lost_kills_nobody_and_hides_no_death(count: int, seed: int) -> None:
+def test_at_20_percent_loss_no_member_is_declared_gone_and_a_death_is_detected(count: int, seed: int) -> None:
     world = World(count, seed, loss=0.2)
     world.form()
     world.run(240 if count == 3 else 60)  # 480 and 120 periods
     assert not world.dead_notes() and world.all_see(world.couriers, {State.ALIVE, State.SUSPECT})
-    assert sum(courier.me.incarnation for courier in world.couriers.values()) > 0  # there was something to refute
+    assert sum(courier.me.incarnation for courier in world.couriers.values()) > 0  # some suspicions were refuted
     world.dead.add("c1")
     assert world.run(40, lambda: world.all_see(["c1"], GONE)) is not None
 
 
 @pytest.mark.parametrize("count", [3, 30])
-def test_a_one_way_link_kills_nobody(count: int) -> None:
+def test_with_a_one_way_link_no_member_is_declared_gone(count: int) -> None:
     world = World(count, 1)
     world.form()
     world.cut = lambda sender, receiver: (sender, receiver) == ("c0", "c1")
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_one_that_stood_still_blames_nobody_and_comes_back(seed: int) -> None:
+def test_stalled_courier_suspects_nobody_and_rejoins(seed: int) -> None:
     world = World(12, seed)
     world.form()
     world.run(5)
@@ -72,15 +72,15 @@
     world.wake("c1")
     assert world.run(10, lambda: world.all_see(world.couriers, ALIVE)) is not None
     assert world.couriers["c1"].me.incarnation == 1
-    assert [text for _, _, text in world.notes] == ["fleet: this courier stood still for "
-                                                    f"{world.notes[0][2].split()[6]} s: what went unanswered meanwhile "
-                                                    "counts against nobody"]
-    # It had nobody under suspicion: nobody else had to speak up.
+    assert [text for _, _, text in world.notes] == ["fleet: this courier was stalled for "
+                                                    f"{world.notes[0][2].split()[6]} s: probes that went unanswered "
+                                                    "meanwhile are ignored"]
+    # It suspected nobody, so no other courier had to refute.
     world.run(10)
     assert sum(courier.me.incarnation for courier in world.couriers.values()) == 1 and not world.dead_notes()
 
 
-def test_halves_find_each_other_again() -> None:
+def test_partition_heals() -> None:
     world = World(20, 5)
     world.form()
     world.run(3)
@@ -95,7 +95,7 @@
     assert not world.dead_notes()
 
 
-def test_a_second_courier_of_a_name_is_refused_until_the_first_is_dead() -> None:
+def test_duplicate_name_is_refused_until_the_first_courier_is_dead() -> None:
     world = World(5, 1)
     world.form()
     world.run(3)
@@ -116,7 +116,7 @@
     assert world.run(60, lambda: not world.couriers["twin"].doubled) is not None
 
 
-def test_one_that_leaves_is_not_taken_for_dead() -> None:
+def test_leaving_member_is_not_declared_dead() -> None:
     world = World(6, 2)
     world.form()
     world.run(2)
@@ -129,7 +129,7 @@
     assert not world.dead_notes() and "c2" not in world.couriers["c2"].members()
 
 
-def test_one_that_dies_while_it_leaves_is_found() -> None:
+def test_death_of_a_leaving_member_is_detected() -> None:
     world = World(6, 2, loss=0.1)
     world.form()
     world._act("c2", world.couriers["c2"].leave(world.now_us))
@@ -139,7 +139,7 @@
     assert world.run(40, lambda: world.all_see(["c2"], GONE)) is not None
 
 
-def test_only_a_higher_incarnation_revives() -> None:
+def test_gone_member_returns_only_with_a_higher_incarnation() -> None:
     courier = alone()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     for told in (member("a", 1), member("a", 0), member("a", 1, State.SUSPECT), member("a", 1, State.LEAVING)):
@@ -149,7 +149,7 @@
     assert courier.members()["a"].incarnation == 2
 
 
-def test_one_taken_for_gone_is_told_and_its_own_word_of_others_is_not_taken() -> None:
+def test_gone_member_is_informed_and_its_updates_of_others_are_ignored() -> None:
     courier = alone()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     actions = courier.heard(2, "a", "@a", Ping(9, (member("a", 1), member("b", 1, State.GONE))))
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("state", [State.SUSPECT, State.GONE])
-def test_one_that_is_suspected_speaks_up(state: State) -> None:
+def test_suspected_courier_refutes_with_a_higher_incarnation(state: State) -> None:
     courier = alone()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("me", 3, state))))
     assert (courier.me.incarnation, courier.me.state, courier.health) == (4, State.ALIVE, 1)
@@ -170,18 +170,18 @@
     assert courier.changed() == [courier.me]
 
 
-def test_an_unknown_courier_is_asked_for_a_hello_and_nothing_is_kept() -> None:
+def test_unknown_sender_gets_a_hello_and_its_updates_are_ignored() -> None:
     courier = alone()
     told = (member("x"), member("y"))
     assert courier.heard(1, "x", "@x", Ping(1, told)) == [SendPacket("@x", Hello((courier.me,)))]
-    assert courier.heard(2, "x", "@x", PingReq(1, "a", told)) == []  # not again so soon
+    assert courier.heard(2, "x", "@x", PingReq(1, "a", told)) == []  # at most one per 200 ms
     assert set(courier.members()) == {"me", "a", "b"} and courier.refused["unknown"] == 2
     assert courier.name_at("@x") == ""
     courier.heard(3, "x", "@x", Hello(told[:1]))
     assert courier.members()["x"] == told[0] and courier.name_at("@x") == "x" and courier.changed() == [told[0]]
 
 
-def test_malformed_members_and_full_tables_change_nothing() -> None:
+def test_malformed_members_and_members_beyond_the_limit_are_refused() -> None:
     courier = alone(Limits(members_most=4))
     bad = [member("z" * 65), member("z", -1), member("z", 1 << 62), member(""), member("z", address="z" * 65)]
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), *bad)))
@@ -190,50 +190,50 @@
     assert set(courier.members()) == {"me", "a", "b", "c"} and courier.refused["full"] == 1
 
 
-def test_fixed_addresses_go_before_what_members_tell() -> None:
+def test_seed_addresses_override_announced_ones() -> None:
     courier = alone(a="@relay")
     assert courier.address_of("a") == "@relay" and courier.name_at("@relay") == "a" and courier.address_of("b") == "@b"
     assert courier.heard(1, "a", "@elsewhere", Ping(4, (member("a", 1),))) == [
         SendPacket("@relay", Ack(4, (courier.me,)))]
 
 
-def test_a_suspicion_is_shorter_with_those_that_checked_too_and_longer_in_bad_health() -> None:
+def test_suspicion_shortens_with_confirmations_and_lengthens_with_bad_health() -> None:
     limits = Limits()
     seconds = []
     for name in ("a", "b", "c", "d", "e"):
-        one = doubt(1, 0, 10, 0, limits)
+        one = new_suspicion(1, 0, 10, 0, limits)
         for other in "abcde"[:"abcde".index(name) + 1]:
             one.confirm(other)
-        seconds.append(one.ends_us() / 1e6)
+        seconds.append(one.deadline_us() / 1e6)
     assert seconds == [15.0, 8.75, pytest.approx(5.09, abs=0.01), 2.5, 2.5]
-    assert doubt(1, 0, 10, 1, limits).least_us == 5_000_000
-    assert doubt(1, 0, 2, 0, limits).ends_us() == 2_500_000  # nobody else could confirm
+    assert new_suspicion(1, 0, 10, 1, limits).min_us == 5_000_000
+    assert new_suspicion(1, 0, 2, 0, limits).deadline_us() == 2_500_000  # no third member can confirm
 
 
-def test_news_are_told_a_bounded_number_of_times_and_fit_a_packet() -> None:
+def test_updates_are_sent_a_bounded_number_of_times_and_fit_a_packet() -> None:
     limits = Limits(news_most=50)
     news, told = News(limits), 0
     for number in range(80):
         news.add(member(f"m{number}"))
     assert len(news) == 50
-    while picked := news.pick("", (), 15):
+    while picked := news.select("", (), 15):
         told += len(picked)
         assert len(picked) < 40
     assert told == 50 * 12 and len(news) == 0  # 3 times log2 of 16
 
 
-def test_the_gone_are_forgotten_after_a_while() -> None:
+def test_gone_members_are_dropped_after_gone_kept_us() -> None:
     roster = Roster("me", {}, Limits(gone_kept_us=100))
-    roster.take(member("a", 1, State.GONE), 0)
+    roster.merge(member("a", 1, State.GONE), 0)
     roster.forget(99)
-    assert roster.get("a") is not None and roster.lost() == ["a"]
+    assert roster.get("a") is not None and roster.absent() == ["a"]
     roster.forget(100)
     assert roster.get("a") is None and roster.name_at("@a") == ""
 
 
-def test_a_late_tick_is_its_own_fault() -> None:
+def test_late_tick_worsens_own_health_and_suspects_nobody() -> None:
     courier = alone()
-    courier.tick(courier.next_us())  # a probe goes out
+    courier.tick(courier.next_us())  # sends a probe
     actions = courier.tick(10_000_000)
-    assert [action.text for action in actions if isinstance(action, Note)][0].startswith("fleet: this courier stood")
+    assert [one.text for one in actions if isinstance(one, Note)][0].startswith("fleet: this courier was stalled")
     assert courier.health == 2 and all(known.state is State.ALIVE for known in courier.members().values())
--- a/tests/test_membership_rules.py
+++ b/tests/test_membership_rules.py
@@ -1,5 +1,4 @@
-"""Membership's rules one by one, where a simulation would hide that one is broken: paces, bounds, and whose word
-counts."""
+"""Membership rule by rule, where a simulation would mask a broken rule: intervals, bounds, accepted senders."""
 
 from __future__ import annotations
 
@@ -9,7 +8,7 @@
 import pytest
 
 from tests.test_membership import alone, member
-from wheelstep.fleet.doubt import Probes, doubt
+from wheelstep.fleet.doubt import Probes, new_suspicion
 from wheelstep.fleet.membership import Limits, Membership
 from wheelstep.fleet.types import Ack, Action, Hello, Nack, Packet, Ping, PingReq, Roll, SendPacket, State
 
@@ -18,7 +17,7 @@
 
 
 def amid(count: int, limits: Limits | None = None, seed: int = 1) -> Membership:
-    """Courier "me" that knows "c0" and so on."""
+    """Return courier "me", which knows "c0" to "c<count-1>"."""
     courier = Membership(member("me", 3), {}, limits or Limits(), random.Random(seed), 0)
     courier.heard(0, "c0", "@c0", Roll(0, tuple(member(f"c{number}", 1) for number in range(count))))
     return courier
@@ -29,7 +28,7 @@
 
 
 def play(courier: Membership, until_us: int, answer: Callable[[str, Packet], Packet | None]) -> Sent:
-    """Each tick in its time; what was sent, to whom, and what they answer at once."""
+    """Run the courier until `until_us` with immediate answers from `answer`; return what it sent."""
     sent: Sent = []
     armed_us = courier.next_us()
     while (now_us := armed_us) <= until_us:
@@ -56,7 +55,7 @@
 
 
 def gone_us(courier: Membership, name: str, by_us: int) -> int:
-    """When it is taken for gone, nobody answering."""
+    """Return when the member is declared gone if nobody answers; 0 if not by `by_us`."""
     while (now_us := courier.next_us()) <= by_us:
         courier.tick(now_us)
         if name not in courier.members():
@@ -64,7 +63,7 @@
     return 0
 
 
-def test_rounds_are_shuffled_and_a_newcomer_has_any_place_in_one() -> None:
+def test_probe_rounds_are_shuffled_and_a_new_member_gets_a_random_place() -> None:
     names = [f"c{number}" for number in range(12)]
     sent = of(Ping, play(amid(12), 36 * S // 2, acks))
     rounds = [[to for _, to, _ in sent[start:start + 12]] for start in (0, 12, 24)]
@@ -72,7 +71,7 @@
     assert rounds[1] != rounds[2] and rounds[0] not in (names, names[::-1])
 
 
-def test_in_bad_health_periods_and_timeouts_are_longer() -> None:
+def test_bad_health_lengthens_periods_and_timeouts() -> None:
     courier = amid(6)
     courier.tick(10 * S)
     assert courier.health == 2
@@ -81,7 +80,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_three_others_that_are_not_suspected_are_asked_to_check(seed: int) -> None:
+def test_indirect_probe_asks_three_members_that_are_not_suspects(seed: int) -> None:
     courier = amid(6, seed=seed)
     courier.heard(1, "c0", "@c0", Ping(9, (member("c0", 1), member("c1", 1, State.SUSPECT))))
     at_us = courier.next_us()
@@ -91,7 +90,7 @@
 
 
 def missed(helpers: Callable[[str, Packet], Packet | None], limits: Limits | None = None) -> tuple[Membership, str]:
-    """One probe without an answer, from a health of 2."""
+    """Run one probe without a direct answer at health 2; return the courier and the target."""
     courier = amid(4, limits)
     courier.tick(10 * S)
     courier._view.health = 2
@@ -99,7 +98,7 @@
     return courier, of(PingReq, sent)[0][2].target  # type: ignore[attr-defined]
 
 
-def test_health_follows_what_helpers_say_and_has_a_bound() -> None:
+def test_health_depends_on_acks_and_nacks_of_helpers_and_is_bounded() -> None:
     def nacks(to: str, packet: Packet) -> Packet | None:
         return Nack(packet.seq, (member(to, 1),)) if isinstance(packet, PingReq) else None
 
@@ -109,29 +108,29 @@
     courier, target = missed(mute)
     assert courier.health == 5 and courier.members()[target].state is State.SUSPECT
     assert missed(nacks)[0].health == 2 and missed(mute, Limits(awareness_most=3))[0].health == 3
-    courier, target = missed(reached)  # it is there, but our own link to it was not good
+    courier, target = missed(reached)  # alive, but the direct link to it failed
     assert courier.health == 2 and courier.members()[target].state is State.ALIVE
     play(courier, 40 * S, acks)
     assert courier.health == 0
     by_nacks, target = missed(nacks)
-    assert by_nacks._view.doubts[target].by == {"me", *({"c0", "c1", "c2", "c3"} - {target})}
+    assert by_nacks._view.suspicions[target].confirmers == {"me", *({"c0", "c1", "c2", "c3"} - {target})}
 
 
-def test_one_whose_last_probe_was_missed_is_ill_even_alone() -> None:
+def test_failed_probe_without_helpers_worsens_health() -> None:
     courier = alone()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("b", 1, State.GONE))))
     play(courier, 2 * S, mute)
     assert courier.health == 1 and courier.members()["a"].state is State.SUSPECT
 
 
-def test_the_gone_are_forgotten_in_time() -> None:
+def test_tick_drops_members_gone_for_gone_kept_us() -> None:
     courier = alone(Limits(gone_kept_us=2 * S))
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     play(courier, 3 * S, acks)
     assert courier.member("a") is None and courier.member("b") is not None
 
 
-def test_a_stall_costs_suspects_nothing_and_ends_the_period() -> None:
+def test_stall_extends_suspicions_and_starts_a_new_period() -> None:
     courier = alone(Limits(hello_periods=1_000))
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("b", 1, State.SUSPECT))))
     courier.tick(courier.next_us())
@@ -140,19 +139,19 @@
     courier = amid(3)
     at_us = courier.next_us()
     courier.tick(at_us)
-    assert of(Ping, packets(0, courier.tick(at_us + 470_000)))  # it was to look at 150 ms; the period ends at 500
+    assert of(Ping, packets(0, courier.tick(at_us + 470_000)))  # a tick was due at 150 ms; the period ends at 500 ms
 
 
-def test_suspects_are_told_three_at_a_time_those_first_that_waited_longest() -> None:
+def test_suspects_are_pinged_three_at_a_time_longest_waiting_first() -> None:
     courier = amid(8, Limits(awareness_most=0))
     play(courier, 5 * S, mute)
     sent = of(Ping, play(courier, 6 * S, mute))
     assert {to for _, to, _ in sent} == {f"c{number}" for number in range(8)}
-    assert max(sum(at == other for other, _, _ in sent) for at, _, _ in sent) <= 4  # and the period's probe
+    assert max(sum(at == other for other, _, _ in sent) for at, _, _ in sent) <= 4  # 3 suspects and the probe
     assert all(packet.news[1] == member(to, 1, State.SUSPECT) for _, to, packet in sent)
 
 
-def test_tables_are_looked_into_each_period_until_nothing_is_new_then_now_and_then() -> None:
+def test_hello_each_period_until_no_new_member_then_every_hello_periods() -> None:
     def rolls(to: str, packet: Packet) -> Packet | None:
         return Roll(0, (member(to, 1),)) if isinstance(packet, Hello) else acks(to, packet)
 
@@ -162,13 +161,13 @@
     assert len(of(Hello, play(courier, 10 * S, acks))) == 20
 
 
-def test_checks_for_others_are_bounded_answered_and_end() -> None:
+def test_indirect_probes_for_others_are_bounded_answered_and_expire() -> None:
     courier = alone(Limits(errands_most=1))
     ping = courier.heard(0, "a", "@a", PingReq(7, "b", (member("a", 1),)))
     (_, to, sent), = packets(0, ping)
     assert to == "b" and isinstance(sent, Ping)
     assert courier.heard(1, "a", "@a", PingReq(8, "b", (member("a", 1),))) == [] and courier.refused["busy"] == 1
-    assert courier.heard(2, "a", "@a", Ack(sent.seq, (member("a", 1),))) == []  # not from whom it is about
+    assert courier.heard(2, "a", "@a", Ack(sent.seq, (member("a", 1),))) == []  # not from the target
     assert courier.heard(3, "b", "@b", Ack(sent.seq, (member("b", 1),))) == [
         SendPacket("@a", Ack(7, (courier.me,)))]
     assert courier.heard(4, "a", "@a", PingReq(9, "x", (member("a", 1),))) == [] and courier.refused["busy"] == 2
@@ -178,20 +177,20 @@
     assert courier.heard(S, "b", "@b", Ack(sent.seq, (member("b", 1),))) == []  # type: ignore[attr-defined]
 
 
-def test_only_who_was_asked_answers_a_probe() -> None:
+def test_probe_ignores_answers_of_members_not_asked() -> None:
     probes = Probes(Limits())
     seq = probes.begin("a", 0, 0)
     assert probes.probe is not None
     probes.probe.helpers.add("h")
-    probes.acked("z", seq)
-    probes.nacked("z", seq)
+    probes.record_ack("z", seq)
+    probes.record_nack("z", seq)
     assert not probes.probe.answered and not probes.probe.nacks
-    probes.errand("z", 1, "a", 0)
-    probes.void()
-    assert not probes.errands and probes.probe is None
+    probes.start_indirect("z", 1, "a", 0)
+    probes.reset()
+    assert not probes.indirect_probes and probes.probe is None
 
 
-def test_who_asks_for_a_check_confirms_and_a_suspicion_is_of_one_incarnation() -> None:
+def test_requester_of_an_indirect_probe_confirms_and_new_incarnation_restarts_suspicion() -> None:
     def suspect(now_us: int, incarnation: int, *asking: str) -> Membership:
         courier.heard(now_us, "c0", "@c0", Ping(1, (member("c0", 1), member("c1", incarnation, State.SUSPECT))))
         for name in asking:
@@ -202,23 +201,23 @@
     for asking, around_s in (((), 15.0), (("c0", "c2", "c3"), 5.0)):
         courier = amid(4, Limits(confirmations=2, awareness_most=0))
         suspect(0, 1, *asking)
-        courier._probes.errands.clear()
+        courier._probes.indirect_probes.clear()
         assert gone_us(courier, "c1", 40 * S) <= around_s * S
-    one = doubt(1, 0, 100, 0, limits)
+    one = new_suspicion(1, 0, 100, 0, limits)
     for number in range(100):
         one.confirm(f"c{number}")
-    assert len(one.by) == 4 and one.least_us == 5 * S
+    assert len(one.confirmers) == 4 and one.min_us == 5 * S
     courier = alone(limits)
     for now_us, incarnation in ((1, 1), (10 * S, 2)):
         courier.heard(now_us, "b", "@b", Ping(1, (member("b", 1), member("a", incarnation, State.SUSPECT))))
-    assert courier._view.doubts["a"].since_us == 10 * S
+    assert courier._view.suspicions["a"].since_us == 10 * S
     courier.heard(11 * S, "a", "@a", Ping(1, (member("a", 3),)))
-    assert not courier._view.doubts and courier.members()["a"].state is State.ALIVE
+    assert not courier._view.suspicions and courier.members()["a"].state is State.ALIVE
 
 
-def test_an_answer_that_puts_the_next_look_off_is_no_stall_at_it() -> None:
+def test_ack_that_postpones_the_next_tick_is_no_stall() -> None:
     courier = amid(3, Limits(stall_us=300_000))
-    for _ in range(40):  # ticks come when `next_us` wants them, and an answer moves that from 150 to 500 ms
+    for _ in range(40):  # ticks on time; an ack moves `next_us` from 150 to 500 ms
         now_us = courier.next_us()
         for _, to, packet in of(Ping, packets(now_us, courier.tick(now_us))):
             courier.heard(now_us, to, f"@{to}", Ack(packet.seq, (member(to, 1),)))
--- a/wheelstep/fleet/doubt.py
+++ b/wheelstep/fleet/doubt.py
@@ -1,8 +1,8 @@
-"""Checks of other members, one's own and those made for others, and how long a suspicion lasts. No I/O; imports the
-fleet's types alone.
+"""Failure detection: direct and indirect probes of members, and the timeout of a suspicion. No I/O; imports only the
+limits from `roster`.
 
-Sources: Das, Gupta, Motivala, SWIM (2002), indirect probes and suspicion; Dadgar, Phillips, Currey, Lifeguard (2018),
-a suspicion whose time shrinks with confirmations, and answers of those that were asked to check in vain.
+Sources: Das, Gupta, Motivala, SWIM (2002): indirect probes and suspicion. Dadgar, Phillips, Currey, Lifeguard (2018):
+a suspicion timeout that shrinks with confirmations, and nacks for indirect probes that got no answer.
 """
 
 from __future__ import annotations
@@ -14,126 +14,128 @@
 
 
 @dataclass(slots=True)
-class Doubt:
-    """A suspicion of one incarnation. `by` are couriers that are known to have checked it themselves in vain: who only
-    passes news on confirms nothing."""
+class Suspicion:
+    """A suspicion of one incarnation of a member. `confirmers` are couriers whose own probe of it got no answer; a
+    courier that only relays the suspicion is no confirmer."""
 
     incarnation: int
     since_us: int
-    least_us: int
-    most_us: int
-    wanted: int  # confirmations that make it shortest
-    by: set[str] = field(default_factory=set)
-    own: bool = False  # this courier has checked it too, and tells it
-    told_us: int = 0  # when last
+    min_us: int
+    max_us: int
+    confirmations_needed: int  # confirmations at which the timeout is `min_us`
+    confirmers: set[str] = field(default_factory=set)
+    confirmed_here: bool = False  # this courier's own probe failed too, so it informs the suspect
+    last_told_us: int = 0  # when the suspect was last informed
 
     def confirm(self, name: str) -> None:
-        """So has this courier."""
-        if len(self.by) <= self.wanted:
-            self.by.add(name)
+        """Record that this courier's own probe got no answer. Names beyond the number needed are ignored."""
+        if len(self.confirmers) <= self.confirmations_needed:
+            self.confirmers.add(name)
 
-    def ends_us(self) -> int:
-        """When the member counts as gone (Lifeguard, 4.2)."""
+    def deadline_us(self) -> int:
+        """Return when the member is declared gone (Lifeguard, 4.2)."""
         share = 1.0
-        if self.wanted > 0:
-            share = min(math.log(max(len(self.by), 1)) / math.log(self.wanted + 1), 1.0)
-        return self.since_us + max(self.least_us, round(self.most_us - (self.most_us - self.least_us) * share))
+        if self.confirmations_needed > 0:
+            share = min(math.log(max(len(self.confirmers), 1)) / math.log(self.confirmations_needed + 1), 1.0)
+        return self.since_us + max(self.min_us, round(self.max_us - (self.max_us - self.min_us) * share))
 
 
-def doubt(incarnation: int, now_us: int, members: int, health: int, limits: Limits) -> Doubt:
-    """A new suspicion in a fleet of so many; one's own bad health makes even a confirmed one last."""
-    least = limits.suspicion * max(1.0, math.log10(members)) * limits.period_us
-    most = least * limits.suspicion_most
-    return Doubt(incarnation, now_us, round(min(least * (health + 1), most)), round(most),
+def new_suspicion(incarnation: int, now_us: int, members: int, health: int, limits: Limits) -> Suspicion:
+    """Return a suspicion that starts now, in a fleet of `members`. Poor local `health` raises its minimum duration."""
+    shortest_us = limits.suspicion * max(1.0, math.log10(members)) * limits.period_us
+    longest_us = shortest_us * limits.suspicion_most
+    return Suspicion(incarnation, now_us, round(min(shortest_us * (health + 1), longest_us)), round(longest_us),
                  max(0, min(limits.confirmations, members - 2)))
 
 
 @dataclass(slots=True)
 class Probe:
-    """One's own check of this period."""
+    """The probe of the current period."""
 
     target: str
     seq: int
-    ask_us: int  # when others are to be asked
-    asked: bool = False
+    indirect_at_us: int  # when to request indirect probes
+    indirect_sent: bool = False
     helpers: set[str] = field(default_factory=set)
     nacks: set[str] = field(default_factory=set)
     answered: bool = False
 
 
 @dataclass(slots=True)
-class Errand:
-    """A check made for another."""
+class IndirectProbe:
+    """A probe made on behalf of another courier."""
 
-    asker: str
-    seq: int  # the asker's
+    requester: str
+    seq: int  # of the requester's `PingReq`
     target: str
     nack_us: int
-    ends_us: int
-    nacked: bool = False
+    deadline_us: int
+    nack_sent: bool = False
 
 
 class Probes:
-    """What is under way: one probe of one's own, and a bounded number of errands."""
+    """Probes in progress: the own probe of this period, and a bounded number of indirect probes for others."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._seq = 0
         self.probe: Probe | None = None
-        self.errands: dict[int, Errand] = {}
+        self.indirect_probes: dict[int, IndirectProbe] = {}
 
     def next_seq(self) -> int:
-        """Of a ping."""
+        """Return a new sequence number for a ping."""
         self._seq += 1
         return self._seq
 
     def begin(self, target: str, now_us: int, health: int) -> int:
-        """The probe of this period; its `seq`."""
+        """Start the probe of this period and return its `seq`. The timeout grows with `health`."""
         self.probe = Probe(target, self.next_seq(), now_us + self._limits.timeout_us * (health + 1))
         return self.probe.seq
 
-    def errand(self, asker: str, seq: int, target: str, now_us: int) -> int | None:
-        """Check for another; the `seq` of the ping, None where too much is under way."""
-        if len(self.errands) >= self._limits.errands_most:
+    def start_indirect(self, requester: str, seq: int, target: str, now_us: int) -> int | None:
+        """Start a probe for `requester` and return the `seq` of its ping; None if `errands_most` are in progress."""
+        if len(self.indirect_probes) >= self._limits.errands_most:
             return None
         mine = self.next_seq()
-        self.errands[mine] = Errand(asker, seq, target, now_us + self._limits.timeout_us * 4 // 5,
+        self.indirect_probes[mine] = IndirectProbe(requester, seq, target, now_us + self._limits.timeout_us * 4 // 5,
                                     now_us + self._limits.period_us)
         return mine
 
-    def acked(self, sender: str, seq: int) -> Errand | None:
-        """An answer came: the errand that it ends, if it does."""
+    def record_ack(self, sender: str, seq: int) -> IndirectProbe | None:
+        """Record an ack. Return the indirect probe that it completes, None if it completes none."""
         probe = self.probe
         if probe is not None and seq == probe.seq and (sender == probe.target or sender in probe.helpers):
             probe.answered = True
-        errand = self.errands.get(seq)
-        if errand is None or errand.target != sender:
+        indirect = self.indirect_probes.get(seq)
+        if indirect is None or indirect.target != sender:
             return None
-        return self.errands.pop(seq)
+        return self.indirect_probes.pop(seq)
 
-    def nacked(self, sender: str, seq: int) -> None:
-        """One that was asked has heard nothing either."""
+    def record_nack(self, sender: str, seq: int) -> None:
+        """Record that a helper got no answer from the target either. Other senders are ignored."""
         probe = self.probe
         if probe is not None and seq == probe.seq and sender in probe.helpers:
             probe.nacks.add(sender)
 
-    def overdue(self, now_us: int) -> list[Errand]:
-        """Errands whose asker is to hear that there was no answer yet. Ended ones are dropped."""
-        for seq in [seq for seq, errand in self.errands.items() if errand.ends_us <= now_us]:
-            del self.errands[seq]
-        late = [errand for errand in self.errands.values() if not errand.nacked and errand.nack_us <= now_us]
-        for errand in late:
-            errand.nacked = True
+    def due_nacks(self, now_us: int) -> list[IndirectProbe]:
+        """Return the indirect probes whose requester is due a nack, each once. Expired ones are dropped."""
+        for seq in [seq for seq, indirect in self.indirect_probes.items() if indirect.deadline_us <= now_us]:
+            del self.indirect_probes[seq]
+        late = [indirect for indirect in self.indirect_probes.values()
+                if not indirect.nack_sent and indirect.nack_us <= now_us]
+        for indirect in late:
+            indirect.nack_sent = True
         return late
 
-    def void(self) -> None:
-        """This courier stood still: what went unanswered meanwhile says nothing."""
+    def reset(self) -> None:
+        """Drop all probes after a stall of this courier: an answer missed during it says nothing about the target."""
         self.probe = None
-        self.errands.clear()
-
-    def due_us(self) -> list[int]:
-        """When something is to be looked at."""
-        due = [errand.ends_us if errand.nacked else errand.nack_us for errand in self.errands.values()]
-        if self.probe is not None and not self.probe.answered and not self.probe.asked:
-            due.append(self.probe.ask_us)
+        self.indirect_probes.clear()
+
+    def due_times_us(self) -> list[int]:
+        """Return the times at which a probe needs action."""
+        due = [indirect.deadline_us if indirect.nack_sent else indirect.nack_us
+               for indirect in self.indirect_probes.values()]
+        if self.probe is not None and not self.probe.answered and not self.probe.indirect_sent:
+            due.append(self.probe.indirect_at_us)
         return due
--- a/wheelstep/fleet/news.py
+++ b/wheelstep/fleet/news.py
@@ -1,5 +1,5 @@
-"""What is told to other members: pieces of news that ride on probes, and rolls for those that are new. No I/O; imports
-msgspec and the fleet's types.
+"""Dissemination: member updates piggybacked on probes, and rolls (the whole member table) for joining couriers. No I/O;
+imports msgspec and the fleet's types.
 """
 
 from __future__ import annotations
@@ -18,63 +18,64 @@
 
 
 class News:
-    """Pieces of news, one a member, each told a bounded number of times, those told least first (Das, Gupta, Motivala
-    2002, 4.1)."""
+    """Gossip queue with at most one update per member. Each update is sent a bounded number of times, the least sent
+    first (Das, Gupta, Motivala 2002, 4.1)."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self._pieces: dict[str, tuple[Member, int, int]] = {}  # the member, how often told, bytes
+        self._updates: dict[str, tuple[Member, int, int]] = {}  # the member, times sent, bytes
 
     def __len__(self) -> int:
-        return len(self._pieces)
+        return len(self._updates)
 
     def add(self, member: Member) -> None:
-        """Tell this, in place of what was to be told of the same member."""
-        if member.name not in self._pieces and len(self._pieces) >= self._limits.news_most:
-            del self._pieces[max(self._pieces, key=lambda name: self._pieces[name][1])]
-        self._pieces[member.name] = (member, 0, len(_encode(member)))
-
-    def pick(self, to: str, first: Sequence[Member], members: int) -> tuple[Member, ...]:
-        """The news for one packet in a fleet of so many: `first`, then what was told least and has room, but nothing
-        of the receiver itself."""
-        if not self._pieces:
+        """Queue the update, replacing one of the same member. A full queue drops the most sent update."""
+        if member.name not in self._updates and len(self._updates) >= self._limits.news_most:
+            del self._updates[max(self._updates, key=lambda name: self._updates[name][1])]
+        self._updates[member.name] = (member, 0, len(_encode(member)))
+
+    def select(self, to: str, first: Sequence[Member], members: int) -> tuple[Member, ...]:
+        """Return the updates for one packet to `to` in a fleet of `members`: `first`, then the least sent updates that
+        fit, except those of the receiver."""
+        if not self._updates:
             return tuple(first)
         picked, room = list(first), self._limits.news_bytes - sum(len(_encode(member)) for member in first)
         named = {to, *(member.name for member in first)}
-        times = math.ceil(self._limits.news_times * math.log2(members + 1))
-        for name, (member, told, size) in sorted(self._pieces.items(), key=lambda item: item[1][1]):
+        max_times = math.ceil(self._limits.news_times * math.log2(members + 1))
+        for name, (member, times_told, size) in sorted(self._updates.items(), key=lambda item: item[1][1]):
             if name in named or size > room:
                 continue
             picked.append(member)
             room -= size
-            if told + 1 < times:
-                self._pieces[name] = (member, told + 1, size)
+            if times_told + 1 < max_times:
+                self._updates[name] = (member, times_told + 1, size)
             else:
-                del self._pieces[name]
+                del self._updates[name]
             if room < 16:
                 break
         return tuple(picked)
 
 
 class Rolls:
-    """Answers to `Hello`, sent at a bounded pace. Who asks again while its rolls wait gets no second set."""
+    """Queue of answers to `Hello`, sent at a bounded rate. A repeated request is refused while its rolls are queued."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self._waiting: deque[SendPacket] = deque()
-        self._last: dict[str, int] = {}  # address -> packets that wait for it
+        self._queue: deque[SendPacket] = deque()
+        self._queued_count: dict[str, int] = {}  # by address
         self.due_us: int | None = None
 
-    def answer(self, address: str, first: Sequence[Member], members: Iterable[Member], rng: random.Random,
+    def enqueue(self, address: str, first: Sequence[Member], members: Iterable[Member], rng: random.Random,
                now_us: int) -> bool:
-        """Queue all members for this address, `first` at the head of each packet. False without room."""
-        if address in self._last:
+        """Queue packets with all members for this address, each starting with `first`. Return False if there is no room
+        or packets for this address are queued."""
+        if address in self._queued_count:
             return False
         head = self._limits.news_bytes - sum(len(_encode(member)) for member in first)
         packets: list[list[Member]] = [list(first)]
         room, named = head, {member.name for member in first}
         rest = [member for member in members if member.name not in named]
-        rng.shuffle(rest)  # what is lost on the way is not the same each time
+        rng.shuffle(rest)  # so that packet loss does not hit the same members each time
         for member in rest:
             size = len(_encode(member))
             if size > room:
@@ -82,28 +83,28 @@
                 room = head
             packets[-1].append(member)
             room -= size
-        if len(self._waiting) + len(packets) > self._limits.rolls_most:
+        if len(self._queue) + len(packets) > self._limits.rolls_most:
             return False
-        left = len(rest)
+        remaining = len(rest)
         for news in packets:
-            left -= len(news) - len(first)
-            self._waiting.append(SendPacket(address, Roll(left, tuple(news))))
-        self._last[address] = len(packets)
+            remaining -= len(news) - len(first)
+            self._queue.append(SendPacket(address, Roll(remaining, tuple(news))))
+        self._queued_count[address] = len(packets)
         self.due_us = now_us if self.due_us is None else self.due_us
         return True
 
-    def send(self, now_us: int) -> list[SendPacket]:
-        """The next packet, if its time has come."""
+    def pop_due(self, now_us: int) -> list[SendPacket]:
+        """Return the next packet if it is due, as a list of at most one."""
         if self.due_us is None or now_us < self.due_us:
             return []
-        packet = self._waiting.popleft()
-        self._last[packet.address] -= 1
-        if not self._last[packet.address]:
-            del self._last[packet.address]
-        self.due_us = now_us + self._limits.rolls_every_us if self._waiting else None
+        packet = self._queue.popleft()
+        self._queued_count[packet.address] -= 1
+        if not self._queued_count[packet.address]:
+            del self._queued_count[packet.address]
+        self.due_us = now_us + self._limits.rolls_every_us if self._queue else None
         return [packet]
 
 
-def suspected(member: Member) -> Member:
-    """The same, as one that is to hear of it and to speak up."""
+def as_suspect(member: Member) -> Member:
+    """Return the member in state SUSPECT, which prompts it to refute."""
     return msgspec.structs.replace(member, state=State.SUSPECT)
--- a/wheelstep/fleet/roster.py
+++ b/wheelstep/fleet/roster.py
@@ -1,5 +1,5 @@
-"""The table of a fleet's members as one courier sees it: which news overrules which, who has which address, and two
-couriers of one name. No I/O; imports msgspec and the fleet's types.
+"""The member table of one courier: precedence of updates, addresses, and detection of two couriers with one name. No
+I/O; imports msgspec and the fleet's types.
 """
 
 from __future__ import annotations
@@ -13,142 +13,143 @@
 
 from wheelstep.fleet.types import Member, State
 
-INCARNATIONS = 1 << 62  # incarnations are below this
-NAME_BYTES = 64
-TEXT_BYTES = 64  # of an address and a zone
-SERVES_BYTES = 128
+INCARNATION_LIMIT = 1 << 62  # exclusive upper bound
+MAX_NAME_BYTES = 64
+MAX_TEXT_BYTES = 64  # of an address, and of a zone
+MAX_SERVES_BYTES = 128
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Of membership. Multiples of the period are by the fleet's size and one's own health where said so."""
-
-    period_us: int = 500_000  # one probe; times the health plus one
-    timeout_us: int = 150_000  # until others are asked to check; times the health plus one
-    indirect: int = 3  # so many others
-    suspicion: float = 5.0  # periods, times log10 of the members, before a suspect that others confirm is gone
-    suspicion_most: float = 6.0  # times that where nobody confirms
-    confirmations: int = 3  # by others that make it shortest
-    awareness_most: int = 8  # health is 0 to this
-    stall_us: int = 300_000  # a tick so late means that this courier stood still
-    news_most: int = 512  # pieces kept to be told
-    news_times: float = 3.0  # each piece is told so often, times log2 of the members
-    news_bytes: int = 850  # in a packet; with names of 64 bytes the sealed packet is below 1,200
-    heal_periods: int = 10  # between tries to reach one that seems gone, or a seed
-    hello_periods: int = 60  # between looks into another's whole table
-    rolls_most: int = 512  # packets waiting to be sent
-    rolls_every_us: int = 10_000  # between two of them
-    errands_most: int = 64  # checks under way for others
+    """Limits of membership. "Health" is the local health multiplier, 0 if good."""
+
+    period_us: int = 500_000  # between probes; multiplied by health + 1
+    timeout_us: int = 150_000  # before indirect probes; multiplied by health + 1
+    indirect: int = 3  # helpers asked for an indirect probe
+    suspicion: float = 5.0  # minimum suspicion in periods, multiplied by log10 of the members
+    suspicion_most: float = 6.0  # maximum suspicion, as a multiple of the minimum; applies without confirmations
+    confirmations: int = 3  # by others that shorten a suspicion to its minimum
+    awareness_most: int = 8  # maximum of the health multiplier
+    stall_us: int = 300_000  # a tick later than this is a stall of this courier
+    news_most: int = 512  # updates queued for gossip
+    news_times: float = 3.0  # sends of each update, multiplied by log2 of members + 1
+    news_bytes: int = 850  # of updates per packet; with names of 64 bytes the sealed packet is below 1,200
+    heal_periods: int = 10  # between attempts to reach a gone member or an unknown seed
+    hello_periods: int = 60  # between requests for the whole table of a member
+    rolls_most: int = 512  # queued packets
+    rolls_every_us: int = 10_000  # between two packets
+    errands_most: int = 64  # indirect probes in progress for others
     gone_kept_us: int = 600_000_000
     members_most: int = 2_048
 
 
-def fit(member: Member) -> bool:
-    """Is it a member that may be kept and told on?"""
-    return (0 <= member.incarnation < INCARNATIONS and 0 < len(member.name.encode()) <= NAME_BYTES
-            and 0 < len(member.address.encode()) <= TEXT_BYTES and len(member.zone.encode()) <= TEXT_BYTES
-            and len(member.serves.encode()) <= SERVES_BYTES and 0 <= member.version < 1 << 31
+def is_valid(member: Member) -> bool:
+    """Return whether all fields of the member are within their limits."""
+    return (0 <= member.incarnation < INCARNATION_LIMIT and 0 < len(member.name.encode()) <= MAX_NAME_BYTES
+            and 0 < len(member.address.encode()) <= MAX_TEXT_BYTES and len(member.zone.encode()) <= MAX_TEXT_BYTES
+            and len(member.serves.encode()) <= MAX_SERVES_BYTES and 0 <= member.version < 1 << 31
             and math.isfinite(member.weight) and member.weight >= 0)
 
 
 class Roster:
-    """Everybody but oneself, those that are gone for `gone_kept_us`. `seeds` (name to address) go before the addresses
-    that members tell of themselves: each courier may see another under an address of its own."""
+    """All known members except this courier; gone ones are kept for `gone_kept_us`. The addresses in `seeds` (by name)
+    override those that members announce, because each courier may reach another at a different address."""
 
     def __init__(self, me: str, seeds: Mapping[str, str], limits: Limits) -> None:
         self.seeds = {name: address for name, address in seeds.items() if name != me}
         self._limits = limits
-        self._known: dict[str, Member] = {}
-        self._here: dict[str, Member] = {}  # of these, the ones that are not gone
-        self._gone_us: dict[str, int] = {}  # since when, the longest first
-        self._fixed = {address: name for name, address in self.seeds.items()}
-        self._names: dict[str, str] = {}  # address -> the name that was told last
+        self._members: dict[str, Member] = {}
+        self._present: dict[str, Member] = {}  # those of `_members` that are not gone
+        self._gone_us: dict[str, int] = {}  # name -> since when it is gone, oldest first
+        self._seed_names = {address: name for name, address in self.seeds.items()}
+        self._names_by_address: dict[str, str] = {}  # address -> the last name announced with it
         self.refused: Counter[str] = Counter()
-        self.twins: dict[str, str] = {}  # a name that was told under a second address -> that address
+        self.duplicates: dict[str, str] = {}  # name -> second address announced for it
         self.changed: dict[str, Member] = {}
 
     def get(self, name: str) -> Member | None:
-        """What is known of it, gone or not."""
-        return self._known.get(name)
+        """Return the member, gone or not; None if it is unknown."""
+        return self._members.get(name)
 
-    def here(self) -> Mapping[str, Member]:
-        """Those that are not gone."""
-        return self._here
+    def present(self) -> Mapping[str, Member]:
+        """Return the members that are not gone, by name."""
+        return self._present
 
-    def lost(self) -> list[str]:
-        """Those that are gone, and seeds that are not here: worth a try now and then."""
-        return [*self._gone_us, *(name for name in self.seeds if name not in self._known)]
+    def absent(self) -> list[str]:
+        """Return the names of gone members and of seeds that are not in the table. They are retried periodically."""
+        return [*self._gone_us, *(name for name in self.seeds if name not in self._members)]
 
     def address_of(self, name: str) -> str:
-        """Where to send to; "" for names that nobody has told."""
+        """Return the address to send to; "" for an unknown name."""
         if name in self.seeds:
             return self.seeds[name]
-        return self._known[name].address if name in self._known else ""
+        return self._members[name].address if name in self._members else ""
 
     def name_at(self, address: str) -> str:
-        """Who is reached there, as far as known; "" else."""
-        return self._fixed.get(address) or self._names.get(address, "")
+        """Return the name of the member at this address; "" if unknown."""
+        return self._seed_names.get(address) or self._names_by_address.get(address, "")
 
-    def twin(self, told: Member) -> bool:
-        """Is this a second courier under the name of one that is here and not suspected? Counted."""
-        known = self._here.get(told.name)
-        if known is None or known.state is State.SUSPECT or known.address == told.address:
+    def is_duplicate(self, update: Member) -> bool:
+        """Return whether this is a second courier with the name of a present, unsuspected member. Counts it if so."""
+        known = self._present.get(update.name)
+        if known is None or known.state is State.SUSPECT or known.address == update.address:
             return False
-        if told.incarnation < known.incarnation:
-            return False  # old news of before it moved
+        if update.incarnation < known.incarnation:
+            return False  # outdated: from before the member moved
         self.refused["twin"] += 1
-        if len(self.twins) < self._limits.members_most:
-            self.twins.setdefault(told.name, told.address)
+        if len(self.duplicates) < self._limits.members_most:
+            self.duplicates.setdefault(update.name, update.address)
         return True
 
-    def take(self, told: Member, now_us: int) -> bool:
-        """Keep what is told, if it overrules what is known. Is it worth telling on?"""
-        if not fit(told):
+    def merge(self, update: Member, now_us: int) -> bool:
+        """Apply the update if it overrules what is known. Return whether it should be gossiped on."""
+        if not is_valid(update):
             self.refused["malformed"] += 1
             return False
-        known = self._known.get(told.name)
+        known = self._members.get(update.name)
         if known is None:
-            if not self._room():
+            if not self._make_room():
                 self.refused["full"] += 1
                 return False
-            self._keep(told, now_us)
-            return told.state is not State.GONE  # else it might go round for ever, as some forget earlier than others
-        if (told.incarnation, told.state) <= (known.incarnation, known.state) or self.twin(told):
+            self._keep(update, now_us)
+            return update.state is not State.GONE  # else it could circulate for ever: it expires at different times
+        if (update.incarnation, update.state) <= (known.incarnation, known.state) or self.is_duplicate(update):
             return False
-        if told.incarnation == known.incarnation:
-            told = msgspec.structs.replace(known, state=told.state)  # only itself changes the rest, by a new one
-        self._keep(told, now_us)
+        if update.incarnation == known.incarnation:
+            update = msgspec.structs.replace(known, state=update.state)  # the rest needs a new incarnation
+        self._keep(update, now_us)
         return True
 
     def forget(self, now_us: int) -> None:
-        """Drop those that have been gone for long."""
+        """Drop members that have been gone for `gone_kept_us`."""
         while self._gone_us:
             name, since_us = next(iter(self._gone_us.items()))
             if now_us - since_us < self._limits.gone_kept_us:
                 return
             self._drop(name)
 
-    def _room(self) -> bool:
-        if len(self._known) >= self._limits.members_most - 1 and self._gone_us:
+    def _make_room(self) -> bool:
+        if len(self._members) >= self._limits.members_most - 1 and self._gone_us:
             self._drop(next(iter(self._gone_us)))
-        return len(self._known) < self._limits.members_most - 1
+        return len(self._members) < self._limits.members_most - 1
 
     def _drop(self, name: str) -> None:
         del self._gone_us[name]
-        address = self._known.pop(name).address
-        if self._names.get(address) == name:
-            del self._names[address]
+        address = self._members.pop(name).address
+        if self._names_by_address.get(address) == name:
+            del self._names_by_address[address]
 
     def _keep(self, member: Member, now_us: int) -> None:
-        before = self._known.get(member.name)
-        if before is not None and before.address != member.address and self._names.get(before.address) == member.name:
-            del self._names[before.address]
-        self._known[member.name] = self.changed[member.name] = member
+        before = self._members.get(member.name)
+        if before is not None and before.address != member.address \
+                and self._names_by_address.get(before.address) == member.name:
+            del self._names_by_address[before.address]
+        self._members[member.name] = self.changed[member.name] = member
         self._gone_us.pop(member.name, None)
         if member.state is State.GONE:
             self._gone_us[member.name] = now_us
-            self._here.pop(member.name, None)
-            self._names.setdefault(member.address, member.name)
+            self._present.pop(member.name, None)
+            self._names_by_address.setdefault(member.address, member.name)
         else:
-            self._here[member.name] = member
-            self._names[member.address] = member.name
+            self._present[member.name] = member
+            self._names_by_address[member.address] = member.name
--- a/wheelstep/fleet/types.py
+++ b/wheelstep/fleet/types.py
@@ -1,7 +1,7 @@
-"""What couriers of a fleet tell each other, and the actions that their decisions ask for. No I/O; imports msgspec and
-the types of moves alone.
+"""Messages between the couriers of a fleet, and the actions that the decision modules request. No I/O; imports only
+msgspec and the types of moves.
 
-All times are whole microseconds of the process's own clock that never steps (`now_us`); spans travel, moments do not.
+Times are integer microseconds of the process's monotonic clock (`now_us`). Only durations are sent, never timestamps.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 from wheelstep.moves.types import Cancel, Chunk, Given, Late, Moved, Offer, Seal
 
-VERSION = 1  # of everything that travels; a newer one is refused by an older courier
+VERSION = 1  # of the wire format; an older courier refuses a newer one
 
 
 class State(IntEnum):
-    """Of a member, as others see it. At one incarnation a higher one overrules a lower one."""
+    """The state of a member as others see it. At equal incarnation a higher state overrules a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
-    LEAVING = 2  # gives its parts away, takes none
-    GONE = 3  # left, or was found dead
+    LEAVING = 2  # hands over its parts and accepts none
+    GONE = 3  # left, or declared dead
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A courier of the fleet. Only itself raises its incarnation; `address` is where peers reach it (UDP and TCP),
-    `serves` where its clients do. `weight` is its part of the work beside others'; `zone` is free text."""
+    """A courier of the fleet. Only the courier itself raises its `incarnation`. Peers reach it at `address` (UDP and
+    TCP), clients at `serves`. `weight` is its relative share of the work; `zone` is free text."""
 
     name: str
     incarnation: int
@@ -38,24 +38,24 @@
     version: int = VERSION
 
 
-# --- membership: datagrams (`Ping` to `Hello`), each with news of members ---
+# --- membership: datagrams (`Ping` to `Roll`), each with updates of members in `news` ---
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Are you there?"""
+    """A probe; answered by an `Ack` with the same `seq`."""
 
     seq: int
     news: tuple[Member, ...] = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Yes; or `target`, which I was asked to check, is."""
+    """The answer to a `Ping`; or to a `PingReq`, if its target has answered."""
 
     seq: int
     news: tuple[Member, ...] = ()
 
 
 class PingReq(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Please check `target` for me."""
+    """Request for an indirect probe of `target`."""
 
     seq: int
     target: str
@@ -63,20 +63,20 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """It has not answered me either, but I heard you: the asker is not cut off."""
+    """To a `PingReq`: the target has not answered yet. Shows that the requester itself is connected."""
 
     seq: int
     news: tuple[Member, ...] = ()
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """I am here; tell me who else is. `news` holds the sender first."""
+    """Request for all members. `news` starts with the sender."""
 
     news: tuple[Member, ...] = ()
 
 
 class Roll(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Answer to `Hello`: some of the members, `left` more follow in further rolls."""
+    """One packet of the answer to a `Hello`: some of the members; `left` more follow in further rolls."""
 
     left: int
     news: tuple[Member, ...] = ()
@@ -85,31 +85,32 @@
 Packet = Ping | Ack | PingReq | Nack | Hello | Roll
 
 
-# --- ownership: a register for each part at the voters (CASPaxos), and leases on them ---
+# --- ownership: a replicated register for each part at the voters (CASPaxos), with leases ---
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Orders proposals; no two couriers have the same."""
+    """A ballot number; unique to a courier and totally ordered."""
 
     number: int
     courier: str
 
 
 class Holding(msgspec.Struct, frozen=True, array_like=True):
-    """A register's value: since `epoch`, `owner` has the part. Epochs of a part only rise."""
+    """The value of a register: `owner` owns the part in `epoch`. The epochs of a part only increase."""
 
     epoch: int
     owner: str
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Promise to heed no lower ballot, and say what was accepted."""
+    """Phase 1 of a round: asks the voter to reject lower ballots and to return what it has accepted."""
 
     part: int
     ballot: Ballot
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """Accept this, and grant the lease to its owner from now on. The same ballot and holding again renews it."""
+    """Phase 2 of a round: asks the voter to accept the holding and grant its owner a lease. Repeated with the same
+    ballot and holding, it renews the lease."""
 
     part: int
     ballot: Ballot
@@ -117,7 +118,7 @@
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """To a `Prepare`: what was accepted before, if anything."""
+    """Positive answer to a `Prepare`, with the ballot and holding accepted before; None if there are none."""
 
     part: int
     ballot: Ballot
@@ -126,16 +127,16 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """To an `Accept`."""
+    """Positive answer to an `Accept`."""
 
     part: int
     ballot: Ballot
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag=14):
-    """To either. `promised` is the voter's highest ballot, `left_us` how long another's lease still runs by its clock,
-    `holding` what it has accepted. `why`: "ballot", "lease", "blank" (the voter must first learn where it stood) or
-    "behind" (it has forgotten what it told this asker)."""
+    """Negative answer to a `Prepare` or `Accept`. `promised` is the voter's highest ballot, `left_us` the time left of
+    another courier's lease by the voter's clock, `holding` what it has accepted. `why` is "ballot", "lease", "blank"
+    (the voter has lost its state and must recover it) or "behind" (its log is shorter than this courier has seen)."""
 
     part: int
     why: str
@@ -145,46 +146,47 @@
 
 
 class Votes(msgspec.Struct, frozen=True, array_like=True, tag=15):
-    """A batch for one voter. `seen` is the highest place in that voter's log that the asker has heard of."""
+    """A batch of requests to one voter. `seen` is the highest log position of the voter known to the sender."""
 
     asks: tuple[Prepare | Accept, ...]
     seen: int = 0
 
 
 class Voted(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """The voter's answers in the order of the asks, and its place: it has written so many records in all."""
+    """The answers of the voter in the order of `asks`. `place` is its log position: the records written in all."""
 
     answers: tuple[Promise | Accepted | Refused, ...]
     place: int = 0
 
 
 class Stand(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """A voter that has forgotten asks another where the registers stand."""
+    """Request of a voter that has lost its state for the registers of another voter."""
 
 
 class Stood(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """The answer: `blank` if this voter has nothing either; else by part what it promised and accepted."""
+    """Answer to `Stand`. `blank` if this voter has lost its state too; else rows of part, promised ballot, accepted
+    ballot and holding."""
 
     blank: bool
     rows: tuple[tuple[int, Ballot, Ballot | None, Holding | None], ...] = ()
-    seen: int = 0  # the highest place of the asker's log that this voter has heard of
+    seen: int = 0  # highest log position of the requester known to this voter
 
 
 Ask = Votes | Stand | Offer | Chunk | Seal | Cancel | Given | Late
 Answer = Voted | Stood | Moved
 
 
-# --- what the decisions ask for ---
+# --- actions ---
 
 class SendPacket(msgspec.Struct, frozen=True):
-    """A datagram to an address; it may be lost."""
+    """Send a datagram to an address; it may be lost."""
 
     address: str
     packet: Packet
 
 
 class Call(msgspec.Struct, frozen=True):
-    """Ask a member over its stream; its `Answer`, or None after `timeout_us`, comes back under this token."""
+    """Send a request to a member over its stream. Its `Answer`, or None after `timeout_us`, returns with the token."""
 
     token: int
     member: str
@@ -193,22 +195,22 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Answer what was asked under this token."""
+    """Answer the request with this token."""
 
     token: int
     answer: Answer
 
 
 class Save(msgspec.Struct, frozen=True):
-    """Append to the fleet's log and sync; then say so under this token. What is said by other actions of the same list
-    does not wait for it; what has to wait is asked for once it is saved."""
+    """Append records to the fleet's log and sync it, then report completion with the token. Other actions of the same
+    list do not wait for it; those that must are requested after completion."""
 
     token: int
     records: tuple[bytes, ...]
 
 
 class Note(msgspec.Struct, frozen=True):
-    """A line for the operators' log."""
+    """Write a line to the operator's log."""
 
     text: str
 
--- a/wheelstep/fleet/view.py
+++ b/wheelstep/fleet/view.py
@@ -1,5 +1,5 @@
-"""What one courier holds true of its fleet: itself, the others, who is under suspicion, and what is to be told of it.
-No I/O; imports msgspec and the fleet's types. `membership.py` decides by it what is sent when.
+"""The membership state of one courier: itself, the other members, suspicions, and the gossip queue. `membership.py`
+uses it to decide what is sent when. No I/O; imports msgspec and the fleet's types.
 """
 
 from __future__ import annotations
@@ -9,174 +9,177 @@
 
 import msgspec
 
-from wheelstep.fleet.doubt import Doubt, Probe, doubt
-from wheelstep.fleet.news import News, suspected
-from wheelstep.fleet.roster import INCARNATIONS, Limits, Roster
+from wheelstep.fleet.doubt import Probe, Suspicion, new_suspicion
+from wheelstep.fleet.news import News, as_suspect
+from wheelstep.fleet.roster import INCARNATION_LIMIT, Limits, Roster
 from wheelstep.fleet.types import Action, Hello, Member, Note, Packet, Ping, SendPacket, State
 
-HELLO_EVERY_US = 200_000  # at most so often somebody is told that it is not known, or taken for gone
+HELLO_EVERY_US = 200_000  # minimum interval between hellos to unknown, gone or duplicate couriers
 NOTE_EVERY_US = 10_000_000
 
 
 class View:
-    """See above. `health` is Lifeguard's local health multiplier: 0 good, the higher the less this courier trusts its
-    own checks."""
+    """The membership state. `health` is Lifeguard's local health multiplier: 0 is good; the higher it is, the less this
+    courier relies on its own probes."""
 
     def __init__(self, me: Member, seeds: Mapping[str, str], limits: Limits, rng: random.Random, now_us: int) -> None:
         self.me = me
         self.me_changed = True
-        self.other_me = ""  # the address of another courier that members take for this one
+        self.duplicate_address = ""  # address of another courier that members know under this name
         self.health = 0
         self.limits, self.rng = limits, rng
         self.roster = Roster(me.name, seeds, limits)
         self.news = News(limits)
-        self.doubts: dict[str, Doubt] = {}
-        self.round: list[str] = []  # who is probed next is last
-        self._hello_us = now_us - HELLO_EVERY_US
+        self.suspicions: dict[str, Suspicion] = {}
+        self.probe_queue: list[str] = []  # names; the last is probed next
+        self._last_hello_us = now_us - HELLO_EVERY_US
         self._noted_us: dict[str, int] = {}
 
-    def size(self) -> int:
-        """Members that are not gone, oneself included."""
-        return len(self.roster.here()) + 1
+    def member_count(self) -> int:
+        """Return the number of members that are not gone, including this courier."""
+        return len(self.roster.present()) + 1
 
-    def turn(self, state: State) -> bool:
-        """This courier leaves, or has left. False if it did before."""
+    def advance_state(self, state: State) -> bool:
+        """Move this courier to a later state. Return False if it has reached that state already."""
         if self.me.state >= state:
             return False
         self.me, self.me_changed = msgspec.structs.replace(self.me, state=state), True
         return True
 
-    def worse(self, by: int) -> None:
-        """Something suggests that this courier is slow or badly connected."""
+    def degrade_health(self, by: int) -> None:
+        """Raise the health multiplier, on a sign that this courier is slow or badly connected."""
         self.health = min(self.limits.awareness_most, self.health + by)
 
-    def take(self, told: Member, now_us: int, rolled: bool = False) -> None:
-        """News of another, kept and told on where it is any. What a roll tells of members unknown so far is news to
-        this courier alone."""
-        name = told.name
+    def merge(self, update: Member, now_us: int, rolled: bool = False) -> None:
+        """Apply an update of another member and queue it for gossip if it is new. From a roll (`rolled`), members that
+        were unknown are not gossiped: they are new only to this courier."""
+        name = update.name
         before = self.roster.get(name)
-        if not self.roster.take(told, now_us):
+        if not self.roster.merge(update, now_us):
             return
         after = self.roster.get(name)
         assert after is not None
         if before is not None or not rolled:
             self.news.add(after)
         if after.state is State.SUSPECT:
-            if name not in self.doubts or self.doubts[name].incarnation < after.incarnation:
-                self.open(after, now_us)
+            if name not in self.suspicions or self.suspicions[name].incarnation < after.incarnation:
+                self.suspect(after, now_us)
         else:
-            self.doubts.pop(name, None)
+            self.suspicions.pop(name, None)
         if after.state is not State.GONE and (before is None or before.state is State.GONE):
-            self.round.insert(self.rng.randint(0, len(self.round)), name)
+            self.probe_queue.insert(self.rng.randint(0, len(self.probe_queue)), name)
 
-    def open(self, member: Member, now_us: int) -> Doubt:
-        """It is under suspicion from now on."""
-        doubted = doubt(member.incarnation, now_us, self.size(), self.health, self.limits)
-        self.doubts[member.name] = doubted
-        return doubted
+    def suspect(self, member: Member, now_us: int) -> Suspicion:
+        """Start a suspicion of the member and return it."""
+        suspicion = new_suspicion(member.incarnation, now_us, self.member_count(), self.health, self.limits)
+        self.suspicions[member.name] = suspicion
+        return suspicion
 
-    def judge(self, probe: Probe, now_us: int) -> None:
-        """The end of a probe of one's own."""
+    def conclude_probe(self, probe: Probe, now_us: int) -> None:
+        """Evaluate the probe at the end of its period: adjust the health, and suspect a target that did not answer."""
         if probe.answered:
-            if not probe.asked:
+            if not probe.indirect_sent:
                 self.health = max(0, self.health - 1)
             return
-        # Those that were asked to check say at least that they heard: if they don't, it is rather us (Lifeguard, 4.1).
+        # Helpers send at least a nack; a missing one points to a fault of this courier (Lifeguard, 4.1).
         if probe.helpers:
-            self.worse(len(probe.helpers) - len(probe.nacks))
-        elif probe.target not in self.doubts:
-            self.worse(1)
-        target = self.roster.here().get(probe.target)
+            self.degrade_health(len(probe.helpers) - len(probe.nacks))
+        elif probe.target not in self.suspicions:
+            self.degrade_health(1)
+        target = self.roster.present().get(probe.target)
         if target is None:
             return
         if target.state is State.ALIVE:
-            self.take(suspected(target), now_us)
-        # One that leaves is not shown as a suspect: that it is leaving overrules, and matters more.
-        doubted = self.doubts.get(probe.target) or self.open(target, now_us)
-        doubted.own = True
+            self.merge(as_suspect(target), now_us)
+        # A LEAVING member is not marked SUSPECT: LEAVING overrules it and must stay visible.
+        suspicion = self.suspicions.get(probe.target) or self.suspect(target, now_us)
+        suspicion.confirmed_here = True
         for name in (self.me.name, *sorted(probe.nacks)):
-            doubted.confirm(name)
+            suspicion.confirm(name)
 
-    def expire(self, now_us: int) -> list[Action]:
-        """Suspicions that have run out."""
+    def expire_suspicions(self, now_us: int) -> list[Action]:
+        """Declare members gone whose suspicion has timed out."""
         actions: list[Action] = []
-        for name in [name for name, doubted in self.doubts.items() if doubted.ends_us() <= now_us]:
-            doubted = self.doubts.pop(name)
-            gone = self.roster.here().get(name)
-            if gone is not None and gone.incarnation == doubted.incarnation:
-                self.take(msgspec.structs.replace(gone, state=State.GONE), now_us)
-                actions.append(Note(f"fleet: courier {name} is taken for dead after {len(doubted.by)} couriers checked "
-                                    f"and {(now_us - doubted.since_us) / 1e6:.1f} s of suspicion"))
+        for name in [name for name, suspicion in self.suspicions.items() if suspicion.deadline_us() <= now_us]:
+            suspicion = self.suspicions.pop(name)
+            gone = self.roster.present().get(name)
+            if gone is not None and gone.incarnation == suspicion.incarnation:
+                self.merge(msgspec.structs.replace(gone, state=State.GONE), now_us)
+                actions.append(Note(f"fleet: courier {name} is taken for dead after failed probes by "
+                                    f"{len(suspicion.confirmers)} couriers and "
+                                    f"{(now_us - suspicion.since_us) / 1e6:.1f} s of suspicion"))
         return actions
 
-    def about_me(self, told: Member, now_us: int) -> list[Action]:
-        """What others say of this courier: it alone raises its incarnation, and does to speak up."""
+    def refute(self, update: Member, now_us: int) -> list[Action]:
+        """Handle an update about this courier: raise the incarnation to refute a wrong state, or report a duplicate."""
         mine = self.me
-        # Whatever its incarnation: they don't take what this one says while they hold that one alive.
-        self.other_me = told.address if told.address != mine.address and told.state is not State.GONE else ""
-        if self.other_me:
-            return self.twin(told.name, told.address, now_us)
-        if not mine.incarnation <= told.incarnation < INCARNATIONS - 1:
+        # At any incarnation: members ignore this courier while they consider the other one alive.
+        self.duplicate_address = (
+            update.address if update.address != mine.address and update.state is not State.GONE else "")
+        if self.duplicate_address:
+            return self.report_duplicate(update.name, update.address, now_us)
+        if not mine.incarnation <= update.incarnation < INCARNATION_LIMIT - 1:
             return []
-        if told.incarnation == mine.incarnation:
-            # A suspicion is answered also by one that leaves, which it does not overrule.
-            if told.state <= mine.state and told.state is not State.SUSPECT:
+        if update.incarnation == mine.incarnation:
+            # A LEAVING courier refutes a suspicion too, although SUSPECT does not overrule LEAVING.
+            if update.state <= mine.state and update.state is not State.SUSPECT:
                 return []
-            if told.state is not State.LEAVING:
-                self.worse(1)
-        self.me = msgspec.structs.replace(mine, incarnation=told.incarnation + 1)
+            if update.state is not State.LEAVING:
+                self.degrade_health(1)
+        self.me = msgspec.structs.replace(mine, incarnation=update.incarnation + 1)
         self.me_changed = True
         return []
 
-    def first(self, to: str) -> tuple[Member, ...]:
-        """What a packet to this courier begins with: oneself, and what it must hear to speak up (Lifeguard's buddy
-        system, 4.3)."""
+    def leading_members(self, to: str) -> tuple[Member, ...]:
+        """Return the first updates of a packet to `to`: this courier, and a suspicion or death of `to`, so that it can
+        refute it (Lifeguard's buddy system, 4.3)."""
         known = self.roster.get(to)
-        if known is None or (known.state in (State.ALIVE, State.LEAVING) and to not in self.doubts):
+        if known is None or (known.state in (State.ALIVE, State.LEAVING) and to not in self.suspicions):
             return (self.me,)
-        return (self.me, known if known.state is State.GONE else suspected(known))
+        return (self.me, known if known.state is State.GONE else as_suspect(known))
 
-    def tell(self, to: str) -> tuple[Member, ...]:
-        """The news of a packet to this courier."""
-        return self.news.pick(to, self.first(to), self.size())
+    def news_for(self, to: str) -> tuple[Member, ...]:
+        """Return the updates for a packet to `to`."""
+        return self.news.select(to, self.leading_members(to), self.member_count())
 
     def send(self, to: str, packet: Packet) -> list[Action]:
-        """Nothing for one whose address has been forgotten."""
+        """Return the packet addressed to `to`; no action if its address is unknown."""
         address = self.roster.address_of(to)
         return [SendPacket(address, packet)] if address else []
 
-    def hello(self, to: str) -> list[Action]:
-        """Ask one whose name is known for all members."""
-        return self.send(to, Hello(self.first(to)))
+    def send_hello(self, to: str) -> list[Action]:
+        """Ask a known member for its whole table."""
+        return self.send(to, Hello(self.leading_members(to)))
 
-    def contradict(self, to: str, told: list[Member], seq: int) -> list[Action]:
-        """It holds some alive that are gone here. They shall hear of that, and speak up if they are there: for that
-        they are told as suspects, since those that see them should not take them for gone on our word."""
+    def report_gone(self, to: str, roll: list[Member], seq: int) -> list[Action]:
+        """Tell `to` of members that are alive in its roll but gone here, so that they can refute it. They are sent as
+        suspects: a courier that reaches them must not declare them gone on the word of this one."""
         gone = []
-        room = self.limits.news_bytes - sum(len(msgspec.msgpack.encode(member)) for member in self.first(to))
-        for member in told:
+        room = self.limits.news_bytes - sum(len(msgspec.msgpack.encode(member)) for member in self.leading_members(to))
+        for member in roll:
             known = self.roster.get(member.name)
             if (known is not None and known.state is State.GONE and member.state is State.ALIVE
                     and member.incarnation <= known.incarnation):
                 room -= len(msgspec.msgpack.encode(known))
-                gone += [suspected(known)] if room >= 0 else []
-        return self.send(to, Ping(seq, (*self.first(to), *gone))) if gone else []
+                gone += [as_suspect(known)] if room >= 0 else []
+        return self.send(to, Ping(seq, (*self.leading_members(to), *gone))) if gone else []
 
-    def ask(self, address: str, news: tuple[Member, ...], now_us: int) -> list[Action]:
-        """Say Hello to one that is not known, taken for gone, or has another's name: it answers, or learns of it."""
-        if now_us - self._hello_us < HELLO_EVERY_US:
+    def send_hello_to(self, address: str, news: tuple[Member, ...], now_us: int) -> list[Action]:
+        """Send a `Hello` to the address of an unknown, gone or duplicate courier, at most one per `HELLO_EVERY_US`: it
+        answers, or learns what is known of it."""
+        if now_us - self._last_hello_us < HELLO_EVERY_US:
             return []
-        self._hello_us = now_us
+        self._last_hello_us = now_us
         return [SendPacket(address, Hello(news))]
 
-    def some(self, count: int, without: str = "") -> list[str]:
-        """So many at random that are not under suspicion."""
-        names = [name for name, member in self.roster.here().items()
+    def sample(self, count: int, without: str = "") -> list[str]:
+        """Return up to `count` random names of present members that are not suspects, except `without`."""
+        names = [name for name, member in self.roster.present().items()
                  if name != without and member.state is not State.SUSPECT]
         return self.rng.sample(names, min(count, len(names)))
 
-    def note(self, key: str, text: str, now_us: int, every_us: int = NOTE_EVERY_US) -> list[Action]:
-        """A line, at most so often for the same key."""
+    def rate_limited_note(self, key: str, text: str, now_us: int, every_us: int = NOTE_EVERY_US) -> list[Action]:
+        """Return a log line, at most one per `every_us` for the same key."""
         if key in self._noted_us and now_us - self._noted_us[key] < every_us:
             return []
         if len(self._noted_us) >= self.limits.members_most:
@@ -184,18 +187,19 @@
         self._noted_us[key] = now_us
         return [Note(text)]
 
-    def twin(self, name: str, address: str, now_us: int) -> list[Action]:
-        """Two couriers of one name."""
+    def report_duplicate(self, name: str, address: str, now_us: int) -> list[Action]:
+        """Log that a second courier at `address` uses the name; count it if the name is this courier's."""
         if name == self.me.name:
             self.roster.refused["twin"] += 1
-        here = self.me.address if name == self.me.name else self.roster.address_of(name)
-        return self.note(f"twin {name}", f"fleet: a second courier says that it is {name}, at {address}: refused, "
-                         f"expected the one at {here} alone", now_us, self.limits.gone_kept_us)
+        expected = self.me.address if name == self.me.name else self.roster.address_of(name)
+        return self.rate_limited_note(f"twin {name}", f"fleet: a second courier uses the name {name}, at {address}: "
+                                      f"refused, expected the one at {expected} only", now_us,
+                                      self.limits.gone_kept_us)
 
-    def twins(self, now_us: int) -> list[Action]:
-        """The lines for those that others told of."""
+    def report_duplicates(self, now_us: int) -> list[Action]:
+        """Log the duplicates that the member table has recorded."""
         actions: list[Action] = []
-        while self.roster.twins:
-            name, address = self.roster.twins.popitem()
-            actions += self.twin(name, address, now_us)
+        while self.roster.duplicates:
+            name, address = self.roster.duplicates.popitem()
+            actions += self.report_duplicate(name, address, now_us)
         return actions
