--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""Single steps of a courier's proposer; whole fleets are in `test_owner_fleets.py`."""
+"""Proposer and owner step by step; whole fleets are in `test_owner_fleets.py`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def play(owner: Owner, now_us: int, voters: str = "ab", holding: Holding | None = None) -> list[object]:
-    """Answer everything that these voters are asked, the others not at all, until there is nothing more to send."""
+    """Answer all batches to `voters`, time out the others, until nothing is left to send; return the events."""
     events: list[object] = owner.events(now_us)
     while batches := owner.tick(now_us):
         for voter, votes in batches:
@@ -33,14 +33,14 @@
 
 
 def upcoming(owner: Owner) -> tuple[int, list[tuple[str, Votes]]]:
-    """When it sends next, and what."""
+    """Return when the owner sends next, and the batches."""
     while (now_us := owner.next_us()) < NEVER_US:
         if batches := owner.tick(now_us):
             return now_us, batches
     return now_us, []
 
 
-def test_a_lease_counts_from_before_the_accept_went_out_less_drift_and_margin() -> None:
+def test_lease_starts_when_the_accept_is_sent_less_drift_and_margin() -> None:
     owner = alone_at()
     owner.want(2)
     for voter, votes in owner.tick(1_000):
@@ -55,18 +55,18 @@
     assert owner.holding(2) == owner.decided(2) == Holding(1, "me")
 
 
-def test_a_lease_is_renewed_at_a_third_and_from_the_second_latest_moment() -> None:
+def test_lease_is_renewed_at_a_third_and_extends_from_the_second_latest_send() -> None:
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
     assert owner.next_us() <= LEASE_US // 3
     assert play(owner, LEASE_US // 3 + 1, "a") == []
-    assert owner.until_us(0) == TERM_US  # one voter is no majority
+    assert owner.until_us(0) == TERM_US  # one of three voters is no majority
     play(owner, LEASE_US // 2, "b")
     assert owner.until_us(0) == LEASE_US // 3 + 1 + TERM_US
 
 
-def test_a_late_tick_loses_what_has_run_out_before_anything_else() -> None:
+def test_answer_after_a_stall_expires_leases_first() -> None:
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("late", [LEASE_US // 2, 20 * LEASE_US])
-def test_a_round_that_is_half_a_lease_old_is_heeded_no_more(late: int) -> None:
+def test_round_older_than_half_a_lease_is_abandoned(late: int) -> None:
     owner = alone_at()
     owner.want(0)
     for voter, votes in owner.tick(0):
@@ -89,12 +89,12 @@
     assert {type(ask) for _, votes in upcoming(owner)[1] for ask in votes.asks} == {Prepare}
 
 
-def test_the_answer_to_an_earlier_renewal_does_not_count_for_a_later_one() -> None:
+def test_answer_to_an_earlier_equal_renewal_does_not_extend_the_lease() -> None:
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
     first = owner.tick(LEASE_US // 3 + 1)
-    owner.tick(LEASE_US // 3 + 1 + owner.timeout_us)  # given up
+    owner.tick(LEASE_US // 3 + 1 + owner.timeout_us)  # timed out
     later, second = upcoming(owner)
     assert [votes for _, votes in first] == [votes for _, votes in second] and later > LEASE_US // 2
     for voter, votes in first:
@@ -102,7 +102,7 @@
     assert owner.until_us(0) == TERM_US
 
 
-def test_after_a_give_the_old_epoch_never_counts_again_and_the_outcome_is_found_out() -> None:
+def test_give_ends_the_old_epoch_and_retries_until_the_outcome_is_known() -> None:
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -111,7 +111,7 @@
     for voter, votes in owner.tick(100):
         owner.answered(200, voter, votes, yes(votes, Holding(1, "me")))
     accepts = owner.tick(300)
-    for _ in range(2):  # the accepts: nobody answers, and they are asked again
+    for _ in range(2):  # the accepts time out and are sent again
         assert {ask.holding for _, votes in accepts for ask in votes.asks} == {Holding(2, "other")}
         for voter, votes in accepts:
             owner.answered(400, voter, votes, None)
@@ -124,13 +124,13 @@
     at, batches = upcoming(owner)
     assert owner.epoch(0, at) is None
     assert {type(ask) for _, votes in batches for ask in votes.asks} == {Prepare}
-    for voter, votes in batches:  # one voter has it: it is completed, not passed over
+    for voter, votes in batches:  # one voter has accepted it, so it is completed
         owner.answered(at, voter, votes, yes(votes, Holding(2, "other") if voter == "a" else Holding(1, "me")))
     assert play(owner, at) == [Passed(0, 2, "other")]
     assert upcoming(owner) == (NEVER_US, [])
 
 
-def test_a_part_is_taken_back_under_an_epoch_above_all_that_was_seen() -> None:
+def test_part_taken_back_gets_an_epoch_above_all_reported() -> None:
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -142,14 +142,14 @@
     assert play(owner, 300) == [Gained(0, 3, 300 + TERM_US)]
 
 
-def test_it_waits_for_anothers_lease_and_backs_off_from_duels() -> None:
+def test_acquisition_waits_for_another_lease_and_backs_off_on_ballot_conflicts() -> None:
     owner = alone_at()
     owner.want(0)
     for voter, votes in owner.tick(0):
         owner.answered(10, voter, votes, Voted((Refused(0, "lease", None, 500_000, Holding(4, "x")),), 1))
     now_us, batches = upcoming(owner)
     assert 500_000 < now_us < 550_000
-    assert owner.decided(0) == Holding(4, "x")  # two voters have it
+    assert owner.decided(0) == Holding(4, "x")  # accepted by two voters
     waits = []
     for _ in range(5):
         for voter, votes in batches:
@@ -161,13 +161,13 @@
     assert waits[4] > 4 * waits[0] and len(set(waits)) == 5
 
 
-def test_batches_and_takeovers_have_a_bound() -> None:
+def test_batches_and_concurrent_acquisitions_are_bounded() -> None:
     owner = Owner("me", ["a", "b", "c"], 1000, LEASE_US, DRIFT, MARGIN_US, random.Random(1), 0)
     for part in range(1000):
         owner.want(part)
     first = owner.tick(0)
     assert [len(votes.asks) for _, votes in first] == [64, 64, 64]
-    assert owner.next_us() > 0  # the others wait without a busy loop
+    assert owner.next_us() > 0  # waiting parts cause no busy loop
     most = 0
     batches = first
     while batches:
@@ -181,7 +181,7 @@
     assert [len(votes.asks) for _, votes in batches] == [256, 256, 256]
 
 
-def test_bad_answers_are_counted_and_change_nothing() -> None:
+def test_invalid_answers_are_counted_and_ignored() -> None:
     owner = alone_at()
     owner.want(0)
     (voter, votes), (other, more), _ = owner.tick(0)
@@ -189,7 +189,7 @@
     assert owner.answered(1, other, more, Voted((Accepted(0, Ballot(1, "me")),), 9)) == []
     assert owner.answered(1, "nobody", votes, yes(votes)) == []
     assert (owner.bad, owner.seen("a"), owner.seen("nobody")) == (2, 0, 0)
-    with pytest.raises(ValueError, match="never me's to give"):
+    with pytest.raises(ValueError, match="part 3 was never owned by me"):
         owner.give(1, 3, "x")
     with pytest.raises(ValueError, match="too short"):
         Owner("me", ["a", "b", "c"], 1, 1000, 0.3, 300, random.Random(1), 0)
--- a/tests/test_owner_fleets.py
+++ b/tests/test_owner_fleets.py
@@ -1,4 +1,4 @@
-"""Couriers' leases: whole fleets in virtual time under trouble, and what the invariants catch in broken ones."""
+"""Leases of whole fleets in virtual time under faults; the invariants must detect each deliberately broken fleet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from tests.voting import Fleet
 from tests.voting_hosts import LEASE_US, PARTS, Violation
-from wheelstep.fleet.ballots import Part, Phase
+from wheelstep.fleet.ballots import PartState, Phase
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.register import Voter
 from wheelstep.fleet.rows import BEGUN, FLEET, Row, Rows
@@ -15,7 +15,7 @@
 # --- whole fleets ---
 
 @pytest.mark.parametrize("seed", range(8))
-def test_three_voters_under_trouble_keep_one_owner_and_find_one_again(seed: int) -> None:
+def test_three_voters_under_faults_keep_one_owner_and_recover(seed: int) -> None:
     fleet = Fleet(seed).run()
     assert fleet.gained and fleet.passed
 
@@ -24,15 +24,15 @@
     (0, 5, 5, {}), (1, 5, 4, {}), (2, 5, 3, {"forget": "all"}), (3, 3, 3, {"forget": "all"}),
     (4, 3, 4, {"forget": "all"}), (5, 3, 2, {"forget": "some"}), (6, 3, 4, {"forget": "some"}),
     (7, 3, 3, {"loss": 0.25}), (8, 3, 5, {"lag": "c0"})])
-def test_more_voters_lost_and_lying_disks_and_bad_links(seed: int, voters: int, couriers: int,
-                                                        kinds: dict[str, object]) -> None:
+def test_lost_or_outdated_disks_and_bad_links_keep_one_owner(seed: int, voters: int, couriers: int,
+                                                             kinds: dict[str, object]) -> None:
     Fleet(seed, voters, couriers, **kinds).run()
 
 
-# --- broken ones: each has to be caught ---
+# --- broken fleets: each violation must be detected ---
 
 def quiet(**kinds: object) -> Fleet:
-    """A fleet where nobody wants anything yet and nothing is lost."""
+    """Return a fleet without packet loss whose couriers acquire no parts."""
     fleet = Fleet(1, loss=0.0, **kinds)
     for host in fleet.couriers.values():
         for part in range(PARTS):
@@ -54,7 +54,7 @@
 
 
 def forgets_between_two_majorities(fleet: Fleet, keep: int | None) -> None:
-    """c0 takes the part by v0 and v1; v0 crashes at that moment; c1 wants it by v0 and v2."""
+    """c0 acquires part 0 at v0 and v1, v0 crashes then, and c1 asks for the part at v0 and v2."""
     fleet.cut = alone(fleet, "v2")
     take(fleet, "c0")
     assert fleet.epochs[0, 1] == "c0"
@@ -67,7 +67,7 @@
 
 
 def lapses_after_late_answers(fleet: Fleet) -> None:
-    """c0, who hears answers late, is cut off; c1 asks for the part again and again until it has it."""
+    """c0, which receives answers late, is partitioned; c1 requests the part until it owns it."""
     for host in [*fleet.couriers.values(), *fleet.voters.values()]:
         host.clock.rate = 1.0
     fleet.advance(2 * LEASE_US)
@@ -76,7 +76,7 @@
     fleet.cut = alone(fleet, "c0")
     owner = fleet.couriers["c1"].owner
     while fleet.owners(0) != ["c1"]:
-        if owner._parts[0].phase is Phase.REST:
+        if owner._parts[0].phase is Phase.IDLE:
             owner._parts[0].due_us = 0
             owner.want(0)
         fleet.advance(LEASE_US // 100)
@@ -88,9 +88,9 @@
 
 
 class CountsFromTheAnswer(Owner):
-    def _heed(self, now_us: int, voter: str, ask: Prepare | Accept, answer: Promise | Accepted | Refused,
+    def _on_answer(self, now_us: int, voter: str, ask: Prepare | Accept, answer: Promise | Accepted | Refused,
               sent_us: int) -> None:
-        super()._heed(now_us, voter, ask, answer, now_us)
+        super()._on_answer(now_us, voter, ask, answer, now_us)
 
 
 class VotesAtOnce(Voter):
@@ -99,11 +99,11 @@
         super().__init__(name, others, parts, lease_us, drift, rows or Rows({FLEET: Row(BEGUN)}), place, now_us)
 
 
-class IgnoringPart(Part):
+class IgnoringPart(PartState):
     __slots__ = ()
 
     def proposal(self, me: str, leased: bool) -> Holding:
-        return Holding(self.epoch + 1, self.goal or me)
+        return Holding(self.epoch + 1, self.transfer_to or me)
 
 
 class IgnoresWhatWasAccepted(Owner):
@@ -112,18 +112,18 @@
         self._parts = [IgnoringPart(number) for number in range(PARTS)]
 
 
-def test_a_voter_that_grants_during_a_lease_is_caught() -> None:
+def test_voter_that_grants_during_a_lease_is_detected() -> None:
     with pytest.raises(Violation, match="part . has"):
         Fleet(0, voter=GrantsDuringALease).run()
 
 
-def test_a_lease_counted_from_the_answer_is_caught() -> None:
+def test_lease_counted_from_the_answer_is_detected() -> None:
     with pytest.raises(Violation, match="part 0 has"):
         lapses_after_late_answers(quiet(couriers=2, lag="c0", owner=CountsFromTheAnswer))
     lapses_after_late_answers(quiet(couriers=2, lag="c0"))
 
 
-def test_a_voter_that_answers_before_its_record_is_saved_is_caught() -> None:
+def test_voter_that_answers_before_its_record_is_saved_is_detected() -> None:
     with pytest.raises(Violation, match="epoch 1 of part 0"):
         forgets_between_two_majorities(quiet(save_first=False), None)
     sound = quiet()
@@ -131,17 +131,17 @@
     assert sound.epochs[0, 2] == "c1"
 
 
-def test_a_blank_voter_that_votes_at_once_is_caught() -> None:
+def test_blank_voter_that_votes_at_once_is_detected() -> None:
     with pytest.raises(Violation, match="epoch 1 of part 0"):
         forgets_between_two_majorities(quiet(voter=VotesAtOnce), 0)
     sound = quiet()
     forgets_between_two_majorities(sound, 0)
-    assert sound.owners(0) == []  # it can't know: nobody gets the part
+    assert sound.owners(0) == []  # the blank voter cannot vote: no majority
     sound.cut = set()
     sound.advance(4 * LEASE_US)
     assert sound.owners(0) == ["c1"] and sound.epochs[0, 2] == "c1"
 
 
-def test_a_proposer_that_ignores_an_accepted_holding_is_caught() -> None:
+def test_proposer_that_ignores_an_accepted_holding_is_detected() -> None:
     with pytest.raises(Violation):
         Fleet(0, owner=IgnoresWhatWasAccepted).run()
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,4 +1,4 @@
-"""A voter: what it promises, accepts and refuses, what has to be on disk, and how it comes back after it forgot."""
+"""A voter: promises, grants and refusals, records saved before an answer, and recovery after state loss."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def holding(voter: Voter, owner: str = "x", epoch: int = 5, number: int = 3, now_us: int = BEGAN_US) -> Accept:
-    """The voter has granted this."""
+    """Have the voter accept a holding of part 0 and save it; return the request."""
     accept = Accept(0, Ballot(number, owner), Holding(epoch, owner))
     answers, records = say(voter, now_us, owner, accept)
     assert answers == [Accepted(0, accept.ballot)] and records
@@ -39,7 +39,7 @@
     return accept
 
 
-def test_nobody_but_the_owner_prepares_or_has_accepted_while_the_grant_runs_longer_by_the_drift() -> None:
+def test_only_the_owner_may_prepare_or_accept_during_a_grant_extended_by_the_drift() -> None:
     voter = begun()
     held = holding(voter)
     mine, other = Prepare(0, Ballot(9, "y")), Accept(0, Ballot(9, "y"), Holding(6, "y"))
@@ -52,7 +52,7 @@
     assert say(voter, BEGAN_US + 1, "x", owners)[0] == [Promise(0, owners.ballot, held.ballot, held.holding)]
 
 
-def test_a_renewal_runs_the_grant_anew_and_writes_nothing() -> None:
+def test_renewal_restarts_the_grant_and_writes_no_record() -> None:
     voter = begun()
     held = holding(voter)
     place = voter.place
@@ -62,7 +62,7 @@
     assert refused.left_us == 500_000
 
 
-def test_lower_and_equal_ballots_are_refused_and_one_ballot_has_one_holding() -> None:
+def test_lower_or_equal_ballots_and_a_second_holding_of_a_ballot_are_refused() -> None:
     voter = begun()
     say(voter, BEGAN_US, "x", Prepare(0, Ballot(7, "x")))
     for asker, ask in (("x", Prepare(0, Ballot(7, "x"))), ("a", Prepare(0, Ballot(7, "a"))),
@@ -75,14 +75,14 @@
 
 
 @pytest.mark.parametrize("lower", [Holding(4, "y"), Holding(5, "y")])
-def test_an_epoch_never_falls_and_has_one_owner(lower: Holding) -> None:
+def test_lower_epoch_or_second_owner_of_an_epoch_is_refused(lower: Holding) -> None:
     voter = begun()
     held = holding(voter)
     refused, = say(voter, BEGAN_US + GRANT_US, "y", Accept(0, Ballot(9, "y"), lower))[0]
     assert (refused.why, refused.holding) == ("ballot", held.holding)
 
 
-def test_after_a_start_everybody_waits_a_whole_lease_but_known_holdings_are_renewed() -> None:
+def test_after_a_start_only_known_holdings_are_renewed_for_a_whole_lease() -> None:
     first = begun()
     held = holding(first)
     again = begun(rows=replay(first.snapshot()))
@@ -94,20 +94,20 @@
     assert isinstance(say(again, GRANT_US, "y", Prepare(1, Ballot(9, "y")))[0][0], Promise)
 
 
-def test_an_answer_that_rests_on_an_unsaved_record_carries_it_again() -> None:
+def test_answer_depending_on_an_unsaved_record_returns_it_again() -> None:
     voter = begun()
     accept = Accept(0, Ballot(3, "x"), Holding(5, "x"))
     first = say(voter, BEGAN_US, "x", accept)[1]
     assert say(voter, BEGAN_US, "x", accept)[1] == first
-    assert say(voter, BEGAN_US, "y", Prepare(0, Ballot(1, "y")))[1] == first  # the refusal tells the holding
+    assert say(voter, BEGAN_US, "y", Prepare(0, Ballot(1, "y")))[1] == first  # the refusal contains the holding
     assert say(voter, BEGAN_US, "y", Prepare(1, Ballot(0, "y")))[1] == []
-    assert voter.heard(BEGAN_US, "z", Votes(()))[0].place == 1  # what is on disk, not what is on its way
+    assert voter.heard(BEGAN_US, "z", Votes(()))[0].place == 1  # only records on disk count
     voter.saved(voter.place)
     assert say(voter, BEGAN_US, "x", accept)[1] == []
     assert voter.heard(BEGAN_US, "z", Votes(()))[0].place == 2
 
 
-def test_records_give_back_the_state_that_they_were_made_from() -> None:
+def test_replayed_records_restore_the_state() -> None:
     voter = begun()
     records = []
     for part in range(3):
@@ -125,22 +125,22 @@
     Prepare(-1, Ballot(1, "x")), Prepare(4, Ballot(1, "x")), Prepare(0, Ballot(0, "x")), Prepare(0, Ballot(-4, "x")),
     Prepare(0, Ballot(1 << 60, "x")), Prepare(0, Ballot(1, "y")), Accept(0, Ballot(1, "x"), Holding(0, "x")),
     Accept(0, Ballot(1, "x"), Holding(1 << 50, "x")), Accept(0, Ballot(1, "x"), Holding(1, ""))])
-def test_bad_asks_are_refused_counted_and_change_nothing(ask: Prepare | Accept) -> None:
+def test_invalid_requests_are_refused_and_counted(ask: Prepare | Accept) -> None:
     voter = begun()
     assert say(voter, BEGAN_US, "x", ask) == ([Refused(ask.part, "ballot")], [])
     assert (voter.bad, voter.place) == (1, 1)
 
 
-def test_a_place_that_no_log_reaches_is_counted_and_not_believed() -> None:
+def test_out_of_range_place_is_counted_and_ignored() -> None:
     voter = begun()
     answers, _ = say(voter, BEGAN_US, "x", Prepare(0, Ballot(1, "x")), seen=1 << 60)
     assert isinstance(answers[0], Promise) and voter.bad == 1 and not voter.blank
 
 
-# --- a voter that forgot ---
+# --- recovery after state loss ---
 
 def meet(now_us: int, *voters: Voter) -> None:
-    """Each asks the others that it wants to ask."""
+    """Exchange the `Stand` requests due among these voters."""
     known = {voter.name: voter for voter in voters}
     for voter in voters:
         for name, _ in voter.recover(now_us):
@@ -149,7 +149,7 @@
                 voter.saved(voter.place)
 
 
-def test_a_voter_that_has_forgotten_votes_once_both_others_told_it_and_a_lease_has_passed() -> None:
+def test_voter_after_state_loss_votes_after_both_others_answered_and_a_lease_passed() -> None:
     b, c = begun("b", "ac"), begun("c", "ab")
     held = holding(b)
     say(c, BEGAN_US, "y", Prepare(0, Ballot(2, "y")), Prepare(2, Ballot(8, "y")))
@@ -158,11 +158,11 @@
     assert say(a, BEGAN_US, "x", held, seen=0)[0] == [Refused(0, "blank")]
     assert a.behind == 1 and a.stand("b").blank
     assert [name for name, _ in a.recover(BEGAN_US)] == ["b", "c"]
-    assert a.stood(BEGAN_US, "b", b.stand("a")) == [] and a.blank  # one other is not enough
-    assert a.stood(BEGAN_US, "c", Stood(True)) == [] and a.blank  # nor one that is blank itself
+    assert a.stood(BEGAN_US, "b", b.stand("a")) == [] and a.blank  # one other voter is not enough
+    assert a.stood(BEGAN_US, "c", Stood(True)) == [] and a.blank  # a blank one does not count
     state = replay(a.stood(BEGAN_US, "c", c.stand("a", 50)))
     assert not a.blank and a.place > 50 and state.place == a.place
-    assert say(a, BEGAN_US, "x", held, seen=90)[0] == [Accepted(0, held.ballot)]  # 90: of its earlier life
+    assert say(a, BEGAN_US, "x", held, seen=90)[0] == [Accepted(0, held.ballot)]  # 90 is from before the state loss
     assert (state.rows[0].promised, state.rows[0].holding) == (Ballot(3, "x"), held.holding)
     assert state.rows[2].promised == Ballot(8, "y")
     refused, = say(a, BEGAN_US + GRANT_US - 1, "x", Prepare(0, Ballot(20, "x")))[0]
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("order", ["bc", "cb"])
-def test_of_what_others_tell_the_higher_epoch_and_the_higher_promise_count(order: str) -> None:
+def test_recovery_keeps_the_higher_epoch_and_the_higher_promise(order: str) -> None:
     told = {"b": begun("b", "ac"), "c": begun("c", "ab")}
     held = holding(told["b"], "x", epoch=6, number=3)
     holding(told["c"], "y", epoch=5, number=9)
@@ -182,7 +182,7 @@
     assert (row.promised, row.accepted, row.holding) == (Ballot(9, "y"), held.ballot, held.holding)
 
 
-def test_of_five_voters_three_others_are_needed() -> None:
+def test_recovery_among_five_voters_needs_three_others() -> None:
     a = blank("a", "bcde")
     for name in "bc":
         assert a.stood(0, name, begun(name, "acde").stand("a")) == []
@@ -191,15 +191,15 @@
     assert a.stood(0, "e", begun("e", "abcd").stand("a")) != []
 
 
-def test_a_start_with_an_older_disk_is_noticed_by_what_another_voter_has_heard_of() -> None:
+def test_start_with_an_older_disk_is_detected_by_the_place_another_voter_knows() -> None:
     a, b = begun("a", "bc"), begun("b", "ac")
     held = holding(b)
     assert [name for name, _ in a.recover(0)] == ["b", "c"]
-    assert replay(a.stood(5, "b", b.stand("a", 1))).rows[0].holding == held.holding  # told what it may have forgotten
+    assert replay(a.stood(5, "b", b.stand("a", 1))).rows[0].holding == held.holding  # returned as the disk may lack it
     assert a.stood(5, "c", Stood(False, (), 30)) == [] and a.blank
 
 
-def test_a_courier_that_is_no_voter_is_told_who_has_what() -> None:
+def test_courier_that_is_no_voter_gets_the_holdings() -> None:
     voter = begun()
     held = holding(voter)
     stood = voter.stand("courier", 9)
@@ -207,7 +207,7 @@
     assert [row[3] for row in stood.rows if row[0] == 0] == [held.holding]
 
 
-def test_a_fleet_is_new_only_if_all_voters_say_so() -> None:
+def test_fleet_is_new_only_if_all_voters_agree() -> None:
     a, b, c = blank("a", "bc"), blank("b", "ac"), blank("c", "ab")
     for now_us in range(0, LEASE_US, LEASE_US // 10):
         meet(now_us, a, b)
@@ -218,10 +218,10 @@
         assert isinstance(say(voter, 2 * LEASE_US, "x", Prepare(0, Ballot(1, "x")))[0][0], Promise)
     late = blank("c", "ab")
     meet(2 * LEASE_US, a, late)
-    assert late.blank  # b may know more
+    assert late.blank  # b may have state
 
 
-def test_a_voter_that_had_agreed_that_the_fleet_is_new_votes_after_a_restart_too() -> None:
+def test_voter_that_agreed_the_fleet_is_new_votes_after_a_restart() -> None:
     a = blank("a", "bc")
     a.stood(0, "b", Stood(True))
     state = replay(a.stood(0, "c", Stood(True)))
--- a/tests/voting.py
+++ b/tests/voting.py
@@ -1,5 +1,5 @@
-"""Voters and couriers in virtual time: messages lost, late, twice and out of order; clocks fast or slow; processes
-that crash, stand still, and come back with their disk, an older one or none."""
+"""Voters and couriers in virtual time: lost, late, duplicated and reordered messages; clock drift; processes that
+crash, stall, and restart with their disk, an outdated one or none."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
         self.now = self._count = 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._voter, self._owner, self._save_first, self._forget = voter, owner, save_first, forget
-        self._lag, self.loss = lag, loss  # `lag`: a courier that hears answers late
+        self._lag, self.loss = lag, loss  # `lag`: a courier that receives answers late
         self.cut: set[frozenset[str]] = set()
         self.epochs: dict[tuple[int, int], str] = {}  # (part, epoch) -> owner
-        self.last = [0] * PARTS  # highest epoch that anybody had
+        self.last = [0] * PARTS  # highest epoch gained, by part
         self.gained = self.passed = 0
         self.voters = {f"v{place}": self._host(f"v{place}") for place in range(voters)}
         self.couriers = {f"c{place}": self._host(f"c{place}") for place in range(couriers)}
@@ -46,7 +46,7 @@
     # --- processes ---
 
     def start_voter(self, host: Host, keep: int | None = None) -> None:
-        """With so many records of its disk; none: all."""
+        """Start it with the first `keep` records of its disk, None for all."""
         if keep is not None:
             del host.disk[keep:]
         rows = replay(host.disk)
@@ -152,7 +152,7 @@
 
         self._send(host, voter, heard)
 
-    # --- what has to hold ---
+    # --- invariants ---
 
     def _heed(self, host: Host, events: list[object]) -> None:
         for event in events:
@@ -188,7 +188,7 @@
         self.now = end
 
     def _fault(self) -> None:
-        """Something goes wrong, or somebody wants something."""
+        """Inject a random fault or a random request of a courier."""
         rng = self.rng
         courier = rng.choice(list(self.couriers.values()))
         voter = rng.choice(list(self.voters.values()))
@@ -230,7 +230,7 @@
         self.after(self.rng.randrange(LEASE_US), lambda: self.start_voter(host, keep))
 
     def run(self, spans: int = 40) -> Fleet:
-        """Trouble for a while; then none, and every part must find an owner."""
+        """Run with faults, then without; then every part must get an owner. Raises `Violation`."""
         self.advance(LEASE_US)
         for _ in range(spans):
             self._fault()
--- a/tests/voting_hosts.py
+++ b/tests/voting_hosts.py
@@ -1,4 +1,4 @@
-"""What a run of voters and couriers in virtual time is made of."""
+"""Hosts, clocks and constants for runs of voters and couriers in virtual time."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 
 
 class Violation(AssertionError):
-    """An invariant does not hold."""
+    """A violated invariant."""
 
 
 @dataclass
 class Clock:
-    """A process's own: it starts anywhere and runs at its own rate."""
+    """The clock of a process, with its own offset and rate."""
 
     rate: float
     offset_us: int
 
     def at(self, true_us: int) -> int:
+        """Return the reading of the clock at a true time."""
         return self.offset_us + int(true_us * self.rate)
 
 
 @dataclass
 class Host:
-    """A machine with a voter or a courier."""
+    """A host that runs a voter or a courier."""
 
     name: str
     clock: Clock
-    life: int = 0  # 0: down; else which one
-    lives: int = 0
-    stopped_us: int = 0  # stands still until then
+    life: int = 0  # number of the current run; 0 while down
+    lives: int = 0  # runs started
+    stopped_us: int = 0  # stalled until then
     disk: list[bytes] = field(default_factory=list)
     voter: Voter | None = None
     owner: Owner | None = None
--- a/wheelstep/fleet/ballots.py
+++ b/wheelstep/fleet/ballots.py
@@ -1,4 +1,4 @@
-"""What a courier knows of one part's register, and the proposals that follow from it. No I/O."""
+"""Proposer state of one part: what the courier knows of its register, and the next proposal. No I/O."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Phase(Enum):
-    """Of a part at its proposer."""
+    """The phase of a part at its proposer."""
 
-    REST = "rest"
+    IDLE = "rest"
     PREPARE = "prepare"
     ACCEPT = "accept"
-    HELD = "held"  # a majority has accepted: the lease is renewed
+    HELD = "held"  # accepted by a majority; the lease is being renewed
 
 
 @dataclass(frozen=True, slots=True)
 class Gained:
-    """The part is this courier's under this epoch, for now until then. From the epoch `first` on nobody else can have
-    had it: a majority that has promised has seen holdings of this courier alone since."""
+    """This courier has gained the lease of the part under `epoch`, at first until `until_us`. No other courier can have
+    owned it in the epochs from `first` on: the majority that promised reported no other owner since."""
 
     part: int
     epoch: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """It no longer is: its lease has run out, or it goes on under another epoch."""
+    """This courier's lease under `epoch` has expired or ended, or goes on under another epoch."""
 
     part: int
     epoch: int
@@ -40,8 +40,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Passed:
-    """A majority has accepted this holding, and nothing older ever counts again. The owner may be this courier: by a
-    move to it, or by an earlier life; it has no lease by that."""
+    """A majority has accepted this holding, which supersedes all older ones. The owner may be this courier, by a move
+    to it or from an earlier run; that alone gives it no lease."""
 
     part: int
     epoch: int
@@ -52,93 +52,93 @@
 
 
 @dataclass(slots=True)
-class Part:
-    """One part. `yes`: when the ask went out that a voter said yes to, `no`: who refused or gave no answer, `mute`: who
-    is asked again, `left`: how long others' leases still run at voters; all of this round only. `told`: the newest
-    holding by voter."""
+class PartState:
+    """The state of one part. By voter, for the current phase only: `agreed_us` is when the request was sent that the
+    voter agreed to, `refused_by` are voters that refused or did not answer, `unanswered` those to ask again,
+    `lease_left_us` the time left of other couriers' leases. `reported` is the newest holding reported by each voter."""
 
     number: int
-    phase: Phase = Phase.REST
+    phase: Phase = Phase.IDLE
     wanted: bool = False
-    keep: bool = False  # it is held, or a round of its own is to go on with the lease
-    goal: str = ""  # to whom it is being given, or taken back
-    given: int = 0  # the epoch that `goal` ends
+    keep_lease: bool = False  # a lease is held, and is kept in the next round
+    transfer_to: str = ""  # new owner during a transfer; this courier to take it back
+    transfer_epoch: int = 0  # the epoch that the transfer ends
     ballot: Ballot = Ballot(0, "")
     target: Holding = Holding(0, "")
-    since: int = 0  # `first` when `target` was chosen
-    yes: dict[str, int] = field(default_factory=dict)
-    no: set[str] = field(default_factory=set)
-    mute: set[str] = field(default_factory=set)
-    left: dict[str, int] = field(default_factory=dict)
-    told: dict[str, Holding] = field(default_factory=dict)
+    target_first: int = 0  # `first_epoch` when `target` was chosen
+    agreed_us: dict[str, int] = field(default_factory=dict)
+    refused_by: set[str] = field(default_factory=set)
+    unanswered: set[str] = field(default_factory=set)
+    lease_left_us: dict[str, int] = field(default_factory=dict)
+    reported: dict[str, Holding] = field(default_factory=dict)
     decided: Holding = Holding(0, "")
-    epoch: int = 0  # the last one that this courier had
-    top: int = 0  # the highest ballot's number heard of
-    began_us: int = 0
+    epoch: int = 0  # the last epoch in which this courier held a lease
+    highest_number: int = 0  # highest ballot number seen
+    round_start_us: int = 0
     due_us: int = 0
-    tries: int = 0
+    failures: int = 0
 
     def newest(self) -> Holding:
-        """Of all heard of; a majority may not have it."""
-        return max([self.decided, *self.told.values()], key=lambda holding: holding.epoch)
+        """Return the holding with the highest epoch seen; it may not be decided."""
+        return max([self.decided, *self.reported.values()], key=lambda holding: holding.epoch)
 
-    def first(self, me: str) -> int:
-        """The first epoch since which no holding of another is known of. To be asked once a majority has promised: a
-        later one of another can't have been decided then, and none will be under a lower ballot."""
-        others = [holding.epoch for holding in self.told.values() if holding.owner != me]
+    def first_epoch(self, me: str) -> int:
+        """Return the first epoch from which no holding of another courier is known. Valid once a majority has promised:
+        then no later one can have been decided, or will be under a lower ballot."""
+        others = [holding.epoch for holding in self.reported.values() if holding.owner != me]
         return max([self.decided.epoch + (self.decided.owner != me), *(epoch + 1 for epoch in others)])
 
-    def hear(self, voter: str, holding: Holding | None) -> None:
-        """What a voter has accepted."""
-        if holding is not None and holding.epoch > self.told.get(voter, self.decided).epoch:
-            self.told[voter] = holding
+    def record_report(self, voter: str, holding: Holding | None) -> None:
+        """Record the holding that a voter has accepted; None if it has none."""
+        if holding is not None and holding.epoch > self.reported.get(voter, self.decided).epoch:
+            self.reported[voter] = holding
 
-    def settled(self, majority: int) -> Holding | None:
-        """A holding newer than the last one known that a majority has accepted. It is decided: voters' epochs only
-        rise, and no voter accepts an epoch for two owners."""
-        for holding in self.told.values():
+    def newly_decided(self, majority: int) -> Holding | None:
+        """Return a holding newer than `decided` that a majority has accepted, and store it there; None if none has.
+        It is final: the epochs of a voter only increase, and no voter accepts one epoch for two owners."""
+        for holding in self.reported.values():
             if holding.epoch > self.decided.epoch and \
-                    sum(other == holding for other in self.told.values()) >= majority:
+                    sum(other == holding for other in self.reported.values()) >= majority:
                 self.decided = holding
-                self.told = {voter: other for voter, other in self.told.items() if other.epoch > holding.epoch}
+                self.reported = {voter: other for voter, other in self.reported.items() if other.epoch > holding.epoch}
                 return holding
         return None
 
-    def begin(self, phase: Phase, now_us: int) -> None:
-        """A round's next phase."""
+    def enter_phase(self, phase: Phase, now_us: int) -> None:
+        """Enter a phase and clear the answers of the previous one."""
         self.phase = phase
         if phase is Phase.PREPARE:
-            self.began_us = now_us
-        self.yes.clear()
-        self.no.clear()
-        self.mute.clear()
-        self.left.clear()
+            self.round_start_us = now_us
+        self.agreed_us.clear()
+        self.refused_by.clear()
+        self.unanswered.clear()
+        self.lease_left_us.clear()
 
     def next_us(self, now_us: int, round_us: int) -> int:
-        """When there is something to do for it. What is at rest and was due waits for others to end (`AT_ONCE`)."""
+        """Return when action is due. An overdue idle part waits for other acquisitions (`MAX_ACQUISITIONS`)."""
         if self.phase in (Phase.PREPARE, Phase.ACCEPT):
-            return min(self.began_us + round_us, self.due_us if self.mute else NEVER_US)
-        return NEVER_US if self.phase is Phase.REST and self.due_us <= now_us else self.due_us
+            return min(self.round_start_us + round_us, self.due_us if self.unanswered else NEVER_US)
+        return NEVER_US if self.phase is Phase.IDLE and self.due_us <= now_us else self.due_us
 
-    def base_us(self, majority: int) -> int:
-        """The moment from which a majority has granted a whole lease."""
-        return sorted(self.yes.values(), reverse=True)[majority - 1]
+    def majority_us(self, majority: int) -> int:
+        """Return the time from which a majority has granted a full lease: the k-th latest send time, k a majority."""
+        return sorted(self.agreed_us.values(), reverse=True)[majority - 1]
 
     def proposal(self, me: str, leased: bool) -> Holding:
-        """What to propose once a majority has promised. An accepted value that was seen is never passed over: it is
-        completed where this courier gives the part away, and followed by a later epoch where it takes it."""
+        """Return the holding to propose once a majority has promised. A reported holding is never ignored: a transfer
+        completes it, an acquisition proposes a later epoch."""
         newest = self.newest()
-        if not self.goal or self.goal == me:
+        if not self.transfer_to or self.transfer_to == me:
             return newest if leased and newest == Holding(self.epoch, me) else Holding(newest.epoch + 1, me)
-        if newest.epoch > self.given and newest.owner != me:
+        if newest.epoch > self.transfer_epoch and newest.owner != me:
             return newest
-        return Holding(newest.epoch + 1, self.goal)
+        return Holding(newest.epoch + 1, self.transfer_to)
 
-    def ask(self, voter: str) -> Prepare | Accept | None:
-        """What there is to ask of a voter now, if anything."""
+    def request_for(self, voter: str) -> Prepare | Accept | None:
+        """Return the request to send to the voter now; None if there is none."""
         if self.phase is Phase.HELD:
             return Accept(self.number, self.ballot, self.target)
-        if self.phase is Phase.REST or voter in self.yes or voter in self.no:
+        if self.phase is Phase.IDLE or voter in self.agreed_us or voter in self.refused_by:
             return None
         if self.phase is Phase.PREPARE:
             return Prepare(self.number, self.ballot)
--- a/wheelstep/fleet/owner.py
+++ b/wheelstep/fleet/owner.py
@@ -1,8 +1,7 @@
-"""A courier's side of the registers: it asks for parts, renews its leases, and gives parts away. No I/O: answers and a
-clock go in, batches by voter and events come out.
+"""Ownership of parts by one courier: acquires, renews and transfers leases. No I/O: takes answers and the time, returns
+batches by voter, and events.
 
-Every call that has a clock first ends the leases that have run out, so that a process that stood still heeds no answer
-before that.
+Every call with a time first expires leases, so that a process that was stalled does so before it handles an answer.
 """
 
 from __future__ import annotations
@@ -15,83 +14,83 @@
 
 
 class Owner(Proposer):
-    """The proposer of one courier for all parts. Call `tick` when `next_us` has come and after every `answered`, send
-    what it gives, and tell the outcome of each batch once, with the very `Votes` that went out: `answered(..., None)`
-    after `timeout_us` at the latest."""
+    """The proposer of one courier for all parts. Call `tick` at `next_us` and after every `answered`, and send the
+    batches it returns. Report the outcome of each batch once, with the same `Votes` object: `answered(..., None)` after
+    `timeout_us` at the latest."""
 
-    # --- what is wished ---
+    # --- requests ---
 
     def want(self, part: int, at_once: bool = False) -> None:
-        """Ask for it whenever it is free, until `unwant`. `at_once`: it is free now, whatever was heard before."""
-        this = self._parts[part]
-        this.wanted = True
-        if this.phase is Phase.REST and part not in self._leased:
-            self._due(this, 0 if at_once else max(this.due_us, 0))
+        """Acquire the part whenever it is free, until `unwant`. `at_once`: it is free now; skip the scheduled wait."""
+        state = self._parts[part]
+        state.wanted = True
+        if state.phase is Phase.IDLE and part not in self._leased:
+            self._schedule(state, 0 if at_once else max(state.due_us, 0))
 
     def unwant(self, part: int) -> None:
-        """Ask no more. What is held is renewed all the same."""
-        this = self._parts[part]
-        this.wanted = False
-        if this.phase in (Phase.PREPARE, Phase.ACCEPT) and not this.goal and not this.keep:
-            self._rest(this)
+        """Stop acquiring the part. A lease that is held is still renewed."""
+        state = self._parts[part]
+        state.wanted = False
+        if state.phase in (Phase.PREPARE, Phase.ACCEPT) and not state.transfer_to and not state.keep_lease:
+            self._end_round(state)
 
     def release(self, part: int) -> None:
-        """Renew no more, and ask no more: the lease runs out."""
-        this = self._parts[part]
-        this.wanted = this.keep = False
-        this.goal = ""
-        self._rest(this)
+        """Stop renewing and acquiring the part: its lease expires."""
+        state = self._parts[part]
+        state.wanted = state.keep_lease = False
+        state.transfer_to = ""
+        self._end_round(state)
 
     def give(self, now_us: int, part: int, to: str) -> None:
-        """Have the register say that the next epoch is another's, or (`to` being this courier) that it goes on under a
-        new one. From now on the old epoch counts no more here, whatever comes of it; it asks until it knows
-        (`Passed`, or `Gained`). `ValueError` for a part that this life has never had."""
+        """Transfer the part to another courier, or, if `to` is this one, continue it under a new epoch. The old epoch
+        ends here at once, whatever the outcome; rounds continue until it is known (`Passed` or `Gained`). Raises
+        `ValueError` for a part that this run has never owned."""
         self._expire(now_us)
-        this = self._parts[part]
-        if to != self.me and not this.epoch:
-            raise ValueError(f"part {part} was never {self.me}'s to give")
-        self._void(part)
-        this.given = max(this.epoch, this.given)
-        this.goal = to
-        this.wanted = to == self.me
-        this.tries = 0
-        self._rest(this)
-        self._due(this, now_us)
-
-    # --- what is known ---
+        state = self._parts[part]
+        if to != self.me and not state.epoch:
+            raise ValueError(f"part {part} was never owned by {self.me}, cannot transfer it")
+        self._drop_lease(part)
+        state.transfer_epoch = max(state.epoch, state.transfer_epoch)
+        state.transfer_to = to
+        state.wanted = to == self.me
+        state.failures = 0
+        self._end_round(state)
+        self._schedule(state, now_us)
+
+    # --- state ---
 
     def epoch(self, part: int, now_us: int) -> int | None:
-        """Of the lease, if it surely still runs."""
+        """Return the epoch of the lease; None if it may have expired or there is none."""
         return self._epoch[part] if now_us < self._until_us[part] else None
 
     def leased(self) -> bool:
-        """Does it hold any lease, as far as the clock was last told?"""
+        """Return whether any lease is held, as of the last call with a time."""
         return bool(self._leased)
 
     def until_us(self, part: int) -> int:
-        """When the lease ends; 0 without one."""
+        """Return when the lease ends; 0 without one."""
         return self._until_us[part]
 
     def holding(self, part: int) -> Holding | None:
-        """The newest heard of from any voter; a majority may not have it."""
+        """Return the newest holding reported by any voter, perhaps undecided; None if there is none."""
         newest = self._parts[part].newest()
         return newest if newest.epoch else None
 
     def decided(self, part: int) -> Holding | None:
-        """The newest that a majority is known to have accepted."""
+        """Return the newest holding known to be accepted by a majority; None if there is none."""
         decided = self._parts[part].decided
         return decided if decided.epoch else None
 
     def seen(self, voter: str) -> int:
-        """The highest place of a voter's log heard of."""
+        """Return the highest log position known of a voter; 0 if none."""
         return self._batches.seen.get(voter, 0)
 
     def next_us(self) -> int:
-        """When to call `tick` next."""
-        return min(self._wake_us, self._lapse_us, self._batches.next_us())
+        """Return when to call `tick` next."""
+        return min(self._wake_us, self._first_expiry_us, self._batches.next_us())
 
     def events(self, now_us: int) -> list[Event]:
-        """What has happened since last asked; `answered` gives it as well."""
+        """Return the events since the last call or the last `answered`, which returns them too."""
         self._expire(now_us)
         events, self._events = self._events, []
         return events
--- a/wheelstep/fleet/proposer.py
+++ b/wheelstep/fleet/proposer.py
@@ -1,7 +1,7 @@
-"""Rounds at the voters for one courier: prepare, accept, renew. `Owner` says what for. No I/O.
+"""The CASPaxos proposer of one courier: prepare, accept and renewal. `Owner` adds the interface to it. No I/O.
 
-A lease counts from the moment before the `Accept` went out that a majority answered: the k-th latest of the voters'
-moments, k being a majority. A round is given up after half a lease: a voter that forgot its promises relies on that.
+A lease starts when its `Accept` was sent: at the k-th latest send time among the voters that answered, k being a
+majority. A round is abandoned after half a lease; recovery of a voter that lost its promises relies on that.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 import random
 from collections.abc import Sequence
 
-from wheelstep.fleet.ballots import NEVER_US, Event, Gained, Lost, Part, Passed, Phase
+from wheelstep.fleet.ballots import NEVER_US, Event, Gained, Lost, PartState, Passed, Phase
 from wheelstep.fleet.batches import Batches, matching
 from wheelstep.fleet.types import Accept, Accepted, Ballot, Prepare, Promise, Refused, Voted, Votes
 
-AT_ONCE = 64  # parts being taken over at once
+MAX_ACQUISITIONS = 64  # parts acquired concurrently
 
 
 class Proposer:
-    """All parts' ballots and leases of one courier."""
+    """Ballots and leases of one courier for all parts."""
 
     def __init__(self, me: str, voters: Sequence[str], parts: int, lease_us: int, drift: float, margin_us: int,
                  rng: random.Random, now_us: int) -> None:
@@ -27,223 +27,224 @@
         self._majority = len(voters) // 2 + 1
         self._rng = rng
         self._drift = drift
-        self._third_us = max(lease_us // 3, 1)
+        self._renewal_us = max(lease_us // 3, 1)
         self._round_us = max(lease_us // 2, 1)
-        self._pause_us = max(lease_us // 100, 1)
+        self._backoff_us = max(lease_us // 100, 1)
         self._term_us = int(lease_us * (1 - drift)) - margin_us
         if self._term_us <= self._round_us:
             raise ValueError(f"a lease of {lease_us} us leaves {self._term_us} us after drift and margin: too short")
-        self._parts = [Part(number, due_us=now_us) for number in range(parts)]
+        self._parts = [PartState(number, due_us=now_us) for number in range(parts)]
         self._epoch = [0] * parts
-        self._until_us = [0] * parts  # 0: no lease
+        self._until_us = [0] * parts  # by part; 0 without a lease
         self._leased: set[int] = set()
-        self._active: set[int] = set()  # in a round, renewed, or to be asked for
-        self._taking: set[int] = set()  # of these, in a round to take over
-        self._wake_us = NEVER_US  # nothing is due before
-        self._lapse_us = NEVER_US  # no lease ends before
+        self._active: set[int] = set()  # in a round, being renewed, or scheduled
+        self._acquiring: set[int] = set()  # those of `_active` in a round to acquire a lease
+        self._wake_us = NEVER_US  # earliest time at which a part is due
+        self._first_expiry_us = NEVER_US  # earliest expiry of a lease
         self._batches = Batches(voters, self.timeout_us)
         self._events: list[Event] = []
-        self.bad = 0  # answers that no voter in order gives
+        self.bad = 0  # invalid answers
 
     # --- time ---
 
     def tick(self, now_us: int) -> list[tuple[str, Votes]]:
-        """What to send now, one batch a voter at a time. Ask for `events` too: leases may have ended."""
+        """Return the batches to send now by voter. Read `events` after it: leases may have expired."""
         self._expire(now_us)
-        for voter, votes in self._batches.overdue(now_us):
-            self._unanswered(now_us, voter, votes)
+        for voter, votes in self._batches.drop_overdue(now_us):
+            self._on_no_answer(now_us, voter, votes)
         if now_us >= self._wake_us:
-            self._work(now_us)
-        return self._batches.ready(now_us, lambda part, voter: self._parts[part].ask(voter))
+            self._run_due(now_us)
+        return self._batches.start_batches(now_us, lambda part, voter: self._parts[part].request_for(voter))
 
     def _expire(self, now_us: int) -> None:
-        if now_us < self._lapse_us:
+        if now_us < self._first_expiry_us:
             return
         for part in sorted(self._leased):
             if self._until_us[part] <= now_us:
-                this = self._parts[part]
+                state = self._parts[part]
                 self._events.append(Lost(part, self._epoch[part]))
-                self._void(part)
-                self._rest(this)
-                if this.wanted:
-                    self._due(this, now_us)
-        self._lapse_us = min((self._until_us[part] for part in self._leased), default=NEVER_US)
-
-    def _work(self, now_us: int) -> None:
-        """Do what is due."""
+                self._drop_lease(part)
+                self._end_round(state)
+                if state.wanted:
+                    self._schedule(state, now_us)
+        self._first_expiry_us = min((self._until_us[part] for part in self._leased), default=NEVER_US)
+
+    def _run_due(self, now_us: int) -> None:
+        """Process the parts that are due: time out, resend, renew or start rounds."""
         for part in sorted(self._active):
-            this = self._parts[part]
-            if this.phase in (Phase.PREPARE, Phase.ACCEPT):
-                if this.began_us + self._round_us <= now_us:
-                    self._fail(this, now_us)
-                elif this.mute and this.due_us <= now_us:
-                    self._batches.ask(part, this.mute)
-                    this.mute.clear()
-            elif this.due_us > now_us:
+            state = self._parts[part]
+            if state.phase in (Phase.PREPARE, Phase.ACCEPT):
+                if state.round_start_us + self._round_us <= now_us:
+                    self._fail_round(state, now_us)
+                elif state.unanswered and state.due_us <= now_us:
+                    self._batches.queue_round(part, state.unanswered)
+                    state.unanswered.clear()
+            elif state.due_us > now_us:
                 continue
-            elif this.phase is Phase.HELD and not this.no:
-                old_us = now_us - self._third_us // 2
-                self._batches.renew(part, [voter for voter in self._voters if this.yes.get(voter, old_us) <= old_us])
-                this.due_us = now_us + self._third_us
-            elif not (this.goal or this.wanted or this.keep):
+            elif state.phase is Phase.HELD and not state.refused_by:
+                old_us = now_us - self._renewal_us // 2
+                self._batches.queue_renewal(part, [voter for voter in self._voters
+                                                   if state.agreed_us.get(voter, old_us) <= old_us])
+                state.due_us = now_us + self._renewal_us
+            elif not (state.transfer_to or state.wanted or state.keep_lease):
                 self._active.discard(part)
-            elif this.goal or this.keep or len(self._taking) < AT_ONCE:
-                self._start(this, now_us)
+            elif state.transfer_to or state.keep_lease or len(self._acquiring) < MAX_ACQUISITIONS:
+                self._start_round(state, now_us)
         self._wake_us = min((self._parts[part].next_us(now_us, self._round_us) for part in self._active),
                             default=NEVER_US)
 
-    def _due(self, this: Part, at_us: int) -> None:
-        this.due_us = at_us
-        self._active.add(this.number)
+    def _schedule(self, state: PartState, at_us: int) -> None:
+        state.due_us = at_us
+        self._active.add(state.number)
         self._wake_us = min(self._wake_us, at_us)
 
-    def _rest(self, this: Part) -> None:
-        """End what is going on, if anything is."""
-        this.begin(Phase.REST, 0)
-        self._taken(this.number)
+    def _end_round(self, state: PartState) -> None:
+        """End the current round, if any."""
+        state.enter_phase(Phase.IDLE, 0)
+        self._end_acquisition(state.number)
 
-    def _taken(self, part: int) -> None:
-        if part in self._taking and len(self._taking) >= AT_ONCE:
-            self._wake_us = 0  # another one may begin
-        self._taking.discard(part)
+    def _end_acquisition(self, part: int) -> None:
+        if part in self._acquiring and len(self._acquiring) >= MAX_ACQUISITIONS:
+            self._wake_us = 0  # another acquisition may start
+        self._acquiring.discard(part)
 
-    def _void(self, part: int) -> None:
+    def _drop_lease(self, part: int) -> None:
         self._epoch[part] = self._until_us[part] = 0
         self._leased.discard(part)
-        self._parts[part].keep = False
-
-    def _start(self, this: Part, now_us: int) -> None:
-        this.ballot = Ballot(this.top + 1, self.me)
-        this.top += 1
-        this.begin(Phase.PREPARE, now_us)
-        if not this.goal and not this.keep:
-            self._taking.add(this.number)
-        self._batches.ask(this.number, self._voters)
-
-    def _fail(self, this: Part, now_us: int) -> None:
-        """The round came to nothing: wait for others' leases, or a random while that grows."""
-        short = self._majority - (len(self._voters) - len(this.left))
-        lefts = sorted(this.left.values())
+        self._parts[part].keep_lease = False
+
+    def _start_round(self, state: PartState, now_us: int) -> None:
+        state.ballot = Ballot(state.highest_number + 1, self.me)
+        state.highest_number += 1
+        state.enter_phase(Phase.PREPARE, now_us)
+        if not state.transfer_to and not state.keep_lease:
+            self._acquiring.add(state.number)
+        self._batches.queue_round(state.number, self._voters)
+
+    def _fail_round(self, state: PartState, now_us: int) -> None:
+        """End a failed round; retry after other couriers' leases, else after a random, exponential backoff."""
+        short = self._majority - (len(self._voters) - len(state.lease_left_us))
+        lefts = sorted(state.lease_left_us.values())
         wait_us = 0
         if short > 0:
             wait_us = int(lefts[short - 1] * (1 + 2 * self._drift))
         else:
-            this.tries = min(this.tries + 1, 5)
-        pause_us = int(self._pause_us * 2 ** this.tries * self._rng.uniform(0.5, 1.5))
-        self._rest(this)
-        self._due(this, now_us + wait_us + pause_us)
+            state.failures = min(state.failures + 1, 5)
+        pause_us = int(self._backoff_us * 2 ** state.failures * self._rng.uniform(0.5, 1.5))
+        self._end_round(state)
+        self._schedule(state, now_us + wait_us + pause_us)
 
     # --- answers ---
 
     def answered(self, now_us: int, voter: str, votes: Votes, voted: Voted | None) -> list[Event]:
-        """A voter's answers to a batch; None if none came in time. Later ones are passed over."""
+        """Handle a voter's answers to a batch, None after a timeout. Answers to a batch not in flight are ignored."""
         self._expire(now_us)
-        sent_us = self._batches.take(voter, votes)
+        sent_us = self._batches.complete(voter, votes)
         if sent_us is not None:
             if voted is None or not matching(votes, voted):
                 self.bad += voted is not None
-                self._unanswered(now_us, voter, votes)
+                self._on_no_answer(now_us, voter, votes)
             else:
-                self._batches.heard(voter, voted)
+                self._batches.record_place(voter, voted)
                 for ask, answer in zip(votes.asks, voted.answers, strict=True):
-                    self._heed(now_us, voter, ask, answer, sent_us)
+                    self._on_answer(now_us, voter, ask, answer, sent_us)
         events, self._events = self._events, []
         return events
 
-    def _unanswered(self, now_us: int, voter: str, votes: Votes) -> None:
+    def _on_no_answer(self, now_us: int, voter: str, votes: Votes) -> None:
         for ask in votes.asks:
-            this = self._parts[ask.part]
-            if this.ballot != ask.ballot:
+            state = self._parts[ask.part]
+            if state.ballot != ask.ballot:
                 continue
-            if this.phase is Phase.HELD and this.base_us(self._majority) + self._third_us <= now_us:
-                self._due(this, min(this.due_us, now_us + self._third_us // 4))
-            elif self._current(this, ask, now_us):
-                if this.phase is Phase.PREPARE:
-                    self._no(this, now_us, voter)
-                else:  # what one voter may have accepted is better asked again than under a new ballot
-                    this.mute.add(voter)
-                    self._due(this, now_us + 2 * self._pause_us)
-
-    def _current(self, this: Part, ask: Prepare | Accept, now_us: int) -> bool:
-        """Does this ask belong to a round that goes on?"""
-        return this.ballot == ask.ballot and now_us < this.began_us + self._round_us and this.phase is (
+            if state.phase is Phase.HELD and state.majority_us(self._majority) + self._renewal_us <= now_us:
+                self._schedule(state, min(state.due_us, now_us + self._renewal_us // 4))
+            elif self._in_round(state, ask, now_us):
+                if state.phase is Phase.PREPARE:
+                    self._on_refusal(state, now_us, voter)
+                else:  # the voter may have accepted it, so resend instead of using a new ballot
+                    state.unanswered.add(voter)
+                    self._schedule(state, now_us + 2 * self._backoff_us)
+
+    def _in_round(self, state: PartState, ask: Prepare | Accept, now_us: int) -> bool:
+        """Return whether the request belongs to the current phase of a round that has not timed out."""
+        return state.ballot == ask.ballot and now_us < state.round_start_us + self._round_us and state.phase is (
             Phase.PREPARE if isinstance(ask, Prepare) else Phase.ACCEPT)
 
-    def _heed(self, now_us: int, voter: str, ask: Prepare | Accept, answer: Promise | Accepted | Refused,
-              sent_us: int) -> None:
-        this = self._parts[ask.part]
+    def _on_answer(self, now_us: int, voter: str, ask: Prepare | Accept, answer: Promise | Accepted | Refused,
+                   sent_us: int) -> None:
+        state = self._parts[ask.part]
         if isinstance(answer, Refused | Promise):
-            this.hear(voter, answer.holding)
+            state.record_report(voter, answer.holding)
         elif isinstance(ask, Accept):
-            this.hear(voter, ask.holding)
-        self._settle(this, now_us)
+            state.record_report(voter, ask.holding)
+        self._update_decided(state, now_us)
         if isinstance(answer, Refused):
             if answer.promised is not None:
-                this.top = max(this.top, answer.promised.number)
-            if self._current(this, ask, now_us):
+                state.highest_number = max(state.highest_number, answer.promised.number)
+            if self._in_round(state, ask, now_us):
                 if answer.left_us > 0:
-                    this.left[voter] = answer.left_us
-                self._no(this, now_us, voter)
-            elif this.phase is Phase.HELD and answer.promised is not None and answer.promised > this.ballot:
-                this.no.add(voter)  # a promise to another: a new ballot is needed there
-                self._due(this, min(this.due_us, now_us + self._pause_us))
-        elif self._current(this, ask, now_us):
-            this.yes[voter] = sent_us
-            if len(this.yes) >= self._majority:
-                self._propose(this, now_us) if this.phase is Phase.PREPARE else self._win(this, now_us)
-        elif this.phase is Phase.HELD and this.ballot == ask.ballot and isinstance(ask, Accept):
-            this.yes[voter] = max(this.yes.get(voter, 0), sent_us)
-            self._until_us[ask.part] = max(self._until_us[ask.part], this.base_us(self._majority) + self._term_us)
-
-    def _no(self, this: Part, now_us: int, voter: str) -> None:
-        this.no.add(voter)
-        if len(this.no) > len(self._voters) - self._majority:
-            self._fail(this, now_us)
-
-    def _propose(self, this: Part, now_us: int) -> None:
-        # After a failure under the same epoch a new one: a voter may have taken that epoch for another's.
-        this.since = max(this.first(self.me), 1)
-        this.target = this.proposal(self.me, this.number in self._leased and this.tries == 0)
-        this.begin(Phase.ACCEPT, now_us)
-        self._batches.ask(this.number, self._voters)
-
-    def _win(self, this: Part, now_us: int) -> None:
-        """A majority has accepted."""
-        if this.target.owner != self.me:  # `_settle` will say so, or another round
-            self._rest(this)
-            self._due(this, now_us)
+                    state.lease_left_us[voter] = answer.left_us
+                self._on_refusal(state, now_us, voter)
+            elif state.phase is Phase.HELD and answer.promised is not None and answer.promised > state.ballot:
+                state.refused_by.add(voter)  # it promised a higher ballot, so a new one is needed
+                self._schedule(state, min(state.due_us, now_us + self._backoff_us))
+        elif self._in_round(state, ask, now_us):
+            state.agreed_us[voter] = sent_us
+            if len(state.agreed_us) >= self._majority:
+                self._start_accept(state, now_us) if state.phase is Phase.PREPARE else self._on_lease(state, now_us)
+        elif state.phase is Phase.HELD and state.ballot == ask.ballot and isinstance(ask, Accept):
+            state.agreed_us[voter] = max(state.agreed_us.get(voter, 0), sent_us)
+            self._until_us[ask.part] = max(self._until_us[ask.part], state.majority_us(self._majority) + self._term_us)
+
+    def _on_refusal(self, state: PartState, now_us: int, voter: str) -> None:
+        state.refused_by.add(voter)
+        if len(state.refused_by) > len(self._voters) - self._majority:
+            self._fail_round(state, now_us)
+
+    def _start_accept(self, state: PartState, now_us: int) -> None:
+        # After a failure a new epoch is used: a voter may have accepted the old one for another courier.
+        state.target_first = max(state.first_epoch(self.me), 1)
+        state.target = state.proposal(self.me, state.number in self._leased and state.failures == 0)
+        state.enter_phase(Phase.ACCEPT, now_us)
+        self._batches.queue_round(state.number, self._voters)
+
+    def _on_lease(self, state: PartState, now_us: int) -> None:
+        """Handle acceptance by a majority: take the lease, or end the round if the target is another courier."""
+        if state.target.owner != self.me:  # reported by `_update_decided`, or by another round
+            self._end_round(state)
+            self._schedule(state, now_us)
             return
-        until_us = this.base_us(self._majority) + self._term_us  # to come yet: a round is shorter than that
-        part = this.number
+        until_us = state.majority_us(self._majority) + self._term_us  # in the future: a round is shorter than a lease
+        part = state.number
         held = self._epoch[part]
-        if held and held != this.target.epoch:
+        if held and held != state.target.epoch:
             self._events.append(Lost(part, held))
-        if held != this.target.epoch:
-            self._events.append(Gained(part, this.target.epoch, until_us, this.since))
-        self._taken(part)
-        this.phase, this.goal, this.keep, this.tries = Phase.HELD, "", True, 0
-        this.no.clear()
-        this.epoch = self._epoch[part] = this.target.epoch
+        if held != state.target.epoch:
+            self._events.append(Gained(part, state.target.epoch, until_us, state.target_first))
+        self._end_acquisition(part)
+        state.phase, state.transfer_to, state.keep_lease, state.failures = Phase.HELD, "", True, 0
+        state.refused_by.clear()
+        state.epoch = self._epoch[part] = state.target.epoch
         self._until_us[part] = max(until_us, self._until_us[part])
         self._leased.add(part)
-        self._lapse_us = min(self._lapse_us, self._until_us[part])
-        self._due(this, now_us + self._third_us)
+        self._first_expiry_us = min(self._first_expiry_us, self._until_us[part])
+        self._schedule(state, now_us + self._renewal_us)
 
-    def _settle(self, this: Part, now_us: int) -> None:
-        """Say what has been decided since, and heed it."""
-        holding = this.settled(self._majority)
+    def _update_decided(self, state: PartState, now_us: int) -> None:
+        """Report a newly decided holding, and end a lease or transfer that it supersedes."""
+        holding = state.newly_decided(self._majority)
         if holding is None:
             return
-        part = this.number
+        part = state.number
         mine = holding.owner == self.me
-        if not (mine and this.phase is Phase.ACCEPT and holding == this.target):
+        if not (mine and state.phase is Phase.ACCEPT and holding == state.target):
             self._events.append(Passed(part, holding.epoch, holding.owner))
         if mine:
             return
         if part in self._leased and holding.epoch > self._epoch[part]:
             self._events.append(Lost(part, self._epoch[part]))
-            self._void(part)
-            self._rest(this)
-        if this.goal and holding.epoch > this.given:
-            this.goal, this.wanted = "", False
-            self._rest(this)
+            self._drop_lease(part)
+            self._end_round(state)
+        if state.transfer_to and holding.epoch > state.transfer_epoch:
+            state.transfer_to, state.wanted = "", False
+            self._end_round(state)
--- a/wheelstep/fleet/rows.py
+++ b/wheelstep/fleet/rows.py
@@ -1,4 +1,4 @@
-"""What a voter keeps of each part, and the records that it is kept in. No I/O; imports msgspec."""
+"""The state of a voter by part, and its log records. No I/O; imports msgspec."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from wheelstep.fleet.types import Ballot, Holding
 
-FLEET = -1  # a row of its own: has the fleet begun?
-NEW = Ballot(0, "")  # this voter has heard that all others have nothing either
-BEGUN = Ballot(1, "")  # it votes
+FLEET = -1  # pseudo-part whose row says whether the fleet has begun
+NEW = Ballot(0, "")  # all other voters have reported that they are blank too
+BEGUN = Ballot(1, "")  # this voter votes
 
 
 @dataclass(slots=True)
 class Row:
-    """The highest ballot promised, and what was accepted last. `place`: of the record that has it."""
+    """The highest ballot promised, and the last holding accepted. `place` is the log position of its record."""
 
     promised: Ballot
     accepted: Ballot | None = None
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Rows:
-    """A voter's state as its log has it, by part. `FLEET not in rows` where the voter is blank."""
+    """The state of a voter as read from its log, by part. A blank voter has no `FLEET` row."""
 
     rows: dict[int, Row] = field(default_factory=dict)
     place: int = 0
@@ -45,12 +45,12 @@
 
 
 def record(place: int, part: int, row: Row) -> bytes:
-    """A row as it goes into the log."""
+    """Return the log record of a row."""
     return _ENCODER.encode(_Record(place, part, row.promised, row.accepted, row.holding))
 
 
 def replay(records: Iterable[bytes]) -> Rows:
-    """The state that records leave, the last of a part counting. `msgspec.DecodeError` for what is no record."""
+    """Return the state after the records; the last record of a part wins. Raises `msgspec.DecodeError` for bad data."""
     state = Rows()
     for data in records:
         read = _DECODER.decode(data)
@@ -60,7 +60,7 @@
 
 
 def higher(row: Row | None, other: Row) -> Row | None:
-    """Both together, the higher promise and the higher epoch; None if `other` adds nothing."""
+    """Merge two rows: the higher promise and the holding of the higher epoch; None if `other` adds nothing."""
     if row is None:
         return other
     promised = max(row.promised, other.promised)
