--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -1,4 +1,4 @@
-"""Who should own what: even, least moves, the same everywhere; and what a courier asks for and gives away."""
+"""Assignment of parts: proportional, fewest moves, deterministic; and the plan of one courier."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def fewest(parts: int, weights: dict[str, float], owners: dict[int, str]) -> int:
-    """The least moves of any even assignment, by trying all of them."""
+    """Return the fewest moves to any even assignment, by exhaustive search."""
     names = [name for name, weight in weights.items() if weight > 0]
     tries = (dict(enumerate(each)) for each in itertools.product(names, repeat=parts))
     return min(sum(owners.get(part) != owner for part, owner in each.items())
@@ -36,7 +36,7 @@
 
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(st.integers(1, 6), weights_of, st.data())
-def test_it_is_even_by_weight_with_no_more_moves_than_any_even_assignment_needs(
+def test_assignment_is_proportional_with_the_fewest_moves(
         parts: int, weights: dict[str, float], data: st.DataObject) -> None:
     owners = data.draw(st.dictionaries(st.integers(0, parts - 1), st.sampled_from([*NAMES, "gone"])))
     result = assign(parts, weights, owners)
@@ -52,17 +52,17 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(1, 300), st.dictionaries(st.text(max_size=4), st.floats(0.01, 100), min_size=1, max_size=40))
-def test_large_ones_are_even_whatever_the_weights(parts: int, weights: dict[str, float]) -> None:
+def test_large_assignments_are_proportional_for_any_weights(parts: int, weights: dict[str, float]) -> None:
     assert even(assign(parts, weights, {}), parts, weights)
 
 
-def test_a_share_that_is_whole_but_for_rounding_is_whole() -> None:
-    weights = {"a": 0.7, "b": 0.1, "c": 0.1, "d": 0.6}  # of 20 parts "d" has 8, computed a little less
+def test_share_that_is_integral_except_for_rounding_is_exact() -> None:
+    weights = {"a": 0.7, "b": 0.1, "c": 0.1, "d": 0.6}  # "d" has 8 of 20, computed slightly lower
     owners = dict(enumerate("daabbadbdddacabaacba"))
     assert list(assign(20, weights, owners).values()).count("d") == 8
 
 
-def test_views_that_differ_in_one_courier_agree_on_most_free_parts() -> None:
+def test_views_differing_in_one_courier_agree_on_most_free_parts() -> None:
     weights = {f"courier-{number}": 1.0 for number in range(12)}
     whole = assign(1024, weights, {})
     less = assign(1024, {name: weight for name, weight in weights.items() if name != "courier-3"}, {})
@@ -70,14 +70,14 @@
     assert same > 0.6 * 1024
 
 
-# --- a courier's own plan ---
+# --- the plan of one courier ---
 
 def member(name: str, state: State = State.ALIVE, version: int = 1, weight: float = 1.0) -> Member:
     return Member(name, 1, state, "", "", weight, "", version)
 
 
 def placement(me: str = "a", parts: int = 12, at_once: int = 2, pace_us: int = 0, now_us: int = 0) -> Placement:
-    """All four there, since long."""
+    """Return the placement of `me`, with all four couriers alive since `now_us`."""
     place = Placement(me, parts, at_once, pace_us, PROBATION_US)
     for name in NAMES:
         place.saw(now_us, member(name))
@@ -87,13 +87,13 @@
 NOW_US = 10 * PROBATION_US
 
 
-def test_free_parts_are_asked_for_by_exactly_one_courier_each() -> None:
+def test_each_free_part_is_acquired_by_exactly_one_courier() -> None:
     plans = [placement(name).plan(NOW_US, ()) for name in NAMES]
     assert sorted(part for plan in plans for part in plan.free) == list(range(12))
     assert not any(plan.away for plan in plans)
 
 
-def test_parts_of_a_dead_courier_are_free_and_those_of_a_suspect_are_not() -> None:
+def test_parts_of_a_gone_courier_are_free_and_of_a_suspect_not() -> None:
     for state, free in ((State.SUSPECT, 0), (State.GONE, 3)):
         plans = []
         for me in "abc":
@@ -106,7 +106,7 @@
         assert not any(plan.away for plan in plans)
 
 
-def test_a_leaving_courier_gives_all_to_those_that_stay_at_its_bound_and_pace() -> None:
+def test_leaving_courier_gives_all_parts_to_staying_ones_within_bound_and_pace() -> None:
     place = placement(at_once=2, pace_us=SECOND_US)
     for part in range(12):
         place.owned(part, NAMES[part % 4])
@@ -118,7 +118,7 @@
         assert to in ("c", "d")
         place.began(now_us)
         assert place.plan(now_us, [*moving, part]).away == {}
-        assert place.plan(now_us + SECOND_US, [part, 99]).away == {}  # two are under way
+        assert place.plan(now_us + SECOND_US, [part, 99]).away == {}  # two moves are in progress
         place.owned(part, to)
         gone.append(to)
         now_us = place.next_us(now_us)
@@ -126,7 +126,7 @@
     assert place.plan(now_us, ()).free == frozenset()
 
 
-def test_who_is_on_probation_is_given_nothing_and_keeps_what_it_has() -> None:
+def test_courier_on_probation_keeps_its_parts_and_is_given_none() -> None:
     place = placement()
     for part in range(12):
         place.owned(part, "abc"[part % 3])
@@ -141,7 +141,7 @@
     assert set(place.plan(after, ()).away.values()) <= {"d", "e"} and place.plan(after, ()).away
 
 
-def test_probation_doubles_with_each_flap_within_an_hour_to_a_bound() -> None:
+def test_probation_doubles_with_each_flap_within_an_hour_up_to_a_bound() -> None:
     place = placement()
     now_us = NOW_US
     waits = []
@@ -157,11 +157,11 @@
     now_us += 2 * 3600 * SECOND_US
     place.saw(now_us, member("d", State.LEAVING))
     place.saw(now_us, member("d", State.GONE))
-    place.saw(now_us, member("d"))  # it left in order: that is no flap
+    place.saw(now_us, member("d"))  # an orderly leave is no flap
     assert not place.on_probation(now_us + PROBATION_US, "d")
 
 
-def test_with_nobody_else_there_free_parts_go_to_who_is_on_probation() -> None:
+def test_if_all_couriers_are_on_probation_free_parts_are_assigned() -> None:
     place = Placement("a", 12, 2, 0, PROBATION_US)
     place.saw(0, member("a"))
     place.saw(0, member("b"))
@@ -177,7 +177,7 @@
     return Placement("a", 12, 2, 0, 0).plan(0, ())
 
 
-def test_nothing_is_placed_on_an_older_version_than_its_owners() -> None:
+def test_part_is_not_placed_on_an_older_version_than_its_owner() -> None:
     place = placement(at_once=12)
     place.saw(NOW_US, member("a", State.LEAVING, version=2))
     place.saw(NOW_US, member("c", version=2))
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_swap_in_waves_needs_hardly_more_moves_than_the_least(seed: int) -> None:
+def test_rolling_replacement_needs_at_most_ten_percent_more_moves(seed: int) -> None:
     rng = random.Random(seed)
     owners: dict[int, str] = {}
     weights = {f"old-{number}": 1.0 for number in range(12)}
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -1,4 +1,4 @@
-"""The fleet's log over a disk that crashes, loses power, fails and flips bits."""
+"""The fleet log on a disk with crashes, power loss, I/O errors and flipped bits."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 
 import pytest
 
-from wheelstep.fleet.log import NAME, SLACK, Log, LogBrokenError, LogDamagedError
+from wheelstep.fleet.log import COMPACT_SLACK_BYTES, NAME, Log, LogBrokenError, LogDamagedError
 from wheelstep.rehearsal.faulty_disk import CrashError, FaultyDisk
 
 
-def written(disk: FaultyDisk, said: list[list[bytes]], safe: list[int]) -> None:
-    """Three starts, appends of several sizes with and without a sync, and compactions; `safe` is how many batches of
-    `said` must be found again. A compaction keeps everything, as one batch."""
+def write_and_compact(disk: FaultyDisk, appended: list[list[bytes]], synced_count: list[int]) -> None:
+    """Run three starts with appends, syncs and a compaction. `appended` receives the batches, `synced_count` the number
+    of them that must survive. A compaction keeps all records."""
     for start in range(3):
         log, _ = Log.open(disk)
         for place in range(4):
             batch = [bytes([65 + start, place]) * size for size in (1, 40, 700)]
-            said.append(batch)
+            appended.append(batch)
             log.append(batch)
             if place % 2:
                 log.sync()
-                safe[0] = len(said)
+                synced_count[0] = len(appended)
         log.sync()
-        safe[0] = len(said)
-        log.compact([record for batch in said for record in batch])
+        synced_count[0] = len(appended)
+        log.compact([record for batch in appended for record in batch])
         log.close()
 
 
-def test_a_power_loss_or_crash_at_any_operation_loses_nothing_that_was_synced_and_invents_nothing() -> None:
+def test_crash_or_power_loss_at_any_operation_keeps_synced_records_and_adds_none() -> None:
     whole = FaultyDisk(0)
-    written(whole, [], [0])
+    write_and_compact(whole, [], [0])
     assert whole.count > 40
     for crash_at in range(1, whole.count + 1):
         for power in (True, False):
             for seed in range(4):
-                disk, said, safe = FaultyDisk(seed), [], [0]
+                disk, appended, synced_count = FaultyDisk(seed), [], [0]
                 disk.crash_at = crash_at
                 with pytest.raises(CrashError):
-                    written(disk, said, safe)
+                    write_and_compact(disk, appended, synced_count)
                 log, found = Log.open(disk.after_crash(power))
-                possible = [[record for batch in said[:count] for record in batch]
-                            for count in range(safe[0], len(said) + 1)]
+                possible = [[record for batch in appended[:count] for record in batch]
+                            for count in range(synced_count[0], len(appended) + 1)]
                 assert found in possible, (crash_at, power, seed)
                 assert log.boot >= 1
 
 
-def test_the_boot_number_rises_at_each_start_and_after_a_damaged_log_too() -> None:
+def test_boot_number_increases_at_each_start_and_after_damage() -> None:
     disk = FaultyDisk(1)
     boots = []
     for _ in range(3):
@@ -68,12 +68,12 @@
     assert (log.boot, found) == (502, [])
 
 
-def test_a_flipped_bit_is_found_wherever_it_is_but_in_the_last_frame_that_it_costs() -> None:
+def test_flipped_bit_is_detected_except_in_the_last_frame_which_is_dropped() -> None:
     disk = FaultyDisk(2)
     log, _ = Log.open(disk)
-    said = [[bytes([place]) * 30] for place in range(6)]
+    appended = [[bytes([place]) * 30] for place in range(6)]
     ends = []
-    for batch in said:
+    for batch in appended:
         log.append(batch)
         log.sync()
         ends.append(len(disk.files[NAME].data))
@@ -89,10 +89,10 @@
         else:
             log, found = Log.open(disk)
             log.close()
-            assert found == [record for batch in said[:-1] for record in batch]
+            assert found == [record for batch in appended[:-1] for record in batch]
 
 
-def test_the_size_is_bounded_by_what_is_live_also_over_restarts() -> None:
+def test_size_is_bounded_by_the_compacted_size_across_restarts() -> None:
     disk = FaultyDisk(3)
     live, most = [b"r" * 100] * 50, 0
     for _ in range(20):
@@ -104,10 +104,10 @@
             if log.bloated:
                 log.compact(live)
         log.close()
-    assert SLACK < most < 2 * 6_000 + SLACK + 1_000
+    assert COMPACT_SLACK_BYTES < most < 2 * 6_000 + COMPACT_SLACK_BYTES + 1_000
 
 
-def test_a_full_disk_is_an_error_and_does_no_lasting_harm() -> None:
+def test_full_disk_raises_and_the_log_stays_usable() -> None:
     disk = FaultyDisk(4, room=4096)
     log, _ = Log.open(disk)
     log.append([b"first"])
@@ -122,7 +122,7 @@
     assert Log.open(disk)[1] == [b"first", b"second"]
 
 
-def test_after_a_failed_sync_nothing_more_is_written() -> None:
+def test_after_a_failed_sync_every_write_raises() -> None:
     disk = FaultyDisk(5)
     log, _ = Log.open(disk)
     log.append([b"first"])
--- a/wheelstep/fleet/log.py
+++ b/wheelstep/fleet/log.py
@@ -1,9 +1,8 @@
-"""The fleet's durable log: a voter's records and this courier's boot number. All I/O goes through a `Disk`, and
-blocks.
+"""The durable log of the fleet: the voter's records and the courier's boot number. Blocking I/O, through a `Disk`.
 
-One file of frames, each an `append`: a head (bytes of the body, the frame's number, how many frames were synced
-before it was written, the boot number, and a checksum), the body, and a checksum chained to the frame before. A frame
-that says that `k` were synced proves that damage before the k-th is no torn tail. A torn tail is cut.
+The file is a sequence of frames, one per `append`: a header (body size, frame number, number of frames synced before it
+was written, boot number, checksum), the body, and a checksum chained to the previous frame. A frame with a synced count
+of `k` proves that damage before frame `k` is no torn tail. A torn tail is truncated.
 """
 
 from __future__ import annotations
@@ -17,18 +16,18 @@
 
 from wheelstep.journal.disk import Disk
 
-NAME, FRESH, ASIDE = "fleet.log", "fleet.new", "fleet.damaged"
-HEAD = struct.Struct("<IIIQ")  # bytes of the body, number, synced before, boot
+NAME, NEW_NAME, DAMAGED_NAME = "fleet.log", "fleet.new", "fleet.damaged"
+HEAD = struct.Struct("<IIIQ")  # body size, frame number, frames synced before, boot number
 SUM = struct.Struct("<I")
-SLACK = 64 * 1024
-LARGEST = 64 * 1024 * 1024  # of a body
+COMPACT_SLACK_BYTES = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(list[bytes])
 
 
 class LogDamagedError(Exception):
-    """What was synced can't be read; `boot` is the highest boot number that can."""
+    """Synced data is unreadable; `boot` is the highest boot number that could be read."""
 
     def __init__(self, text: str, boot: int) -> None:
         super().__init__(text)
@@ -36,34 +35,34 @@
 
 
 class LogBrokenError(Exception):
-    """A write or a sync has failed before: what is on disk is unknown until the log is opened anew."""
+    """An earlier write or sync failed: the state on disk is unknown until the log is reopened."""
 
 
 @dataclass(slots=True)
-class _Read:
-    """What is sound of a file."""
+class _Parsed:
+    """The valid prefix of a file."""
 
     records: list[bytes]
     size: int = 0
-    live: int = 0  # of them the first frame's: what the last `compact` left
+    compacted_size: int = 0  # size of the first frame, written by the last `compact`
     number: int = 0
     boot: int = 0
     chain: int = 0
 
 
 def _head(data: bytes, at: int) -> tuple[int, int, int, int] | None:
-    """A sound head, or None."""
+    """Return the header at this offset; None if it is invalid."""
     if len(data) < at + HEAD.size + SUM.size:
         return None
     if SUM.unpack_from(data, at + HEAD.size)[0] != crc32(data[at:at + HEAD.size]):
         return None
     size, number, synced, boot = HEAD.unpack_from(data, at)
-    return (size, number, synced, boot) if size <= LARGEST else None
+    return (size, number, synced, boot) if size <= MAX_BODY_BYTES else None
 
 
-def _parse(data: bytes) -> _Read:
-    """All sound frames from the start. `LogDamagedError` if one that was synced is not."""
-    read = _Read([])
+def _parse(data: bytes) -> _Parsed:
+    """Read the valid frames from the start. Raises `LogDamagedError` if a synced one is damaged."""
+    read = _Parsed([])
     while (head := _head(data, read.size)) is not None:
         size, number, _, boot = head
         body = read.size + HEAD.size + SUM.size
@@ -78,7 +77,7 @@
         except msgspec.DecodeError:
             break
         read.records += records
-        read.live = read.live or end
+        read.compacted_size = read.compacted_size or end
         read.size, read.number, read.boot, read.chain = end, number + 1, boot, chain
     if read.size < len(data):
         heads = [head for at in range(read.size, len(data)) if (head := _head(data, at)) is not None]
@@ -91,22 +90,23 @@
 
 
 class Log:
-    """An open log. Errors of the disk are raised; after one, nothing more is written until it is opened anew."""
+    """An open log. Disk errors are raised; after a failed sync or truncation nothing is written until reopened."""
 
     def __init__(self, disk: Disk, boot: int) -> None:
         self.boot = boot
         self._disk = disk
         self._handle: int | None = None
-        self._number = self._synced = self._size = self._live = self._chain = 0
+        self._number = self._synced = self._size = self._compacted_size = self._chain = 0
         self._broken = False
 
     @classmethod
     def open(cls, disk: Disk, least_boot: int = 1) -> tuple[Log, list[bytes]]:
-        """Read and cut the tail if it is torn. The boot number is above all earlier ones and `least_boot` or more, and
-        on disk when this returns. `LogDamagedError`: call `anew` and be blank. `OSError` from the disk."""
+        """Open the log, truncate a torn tail, and return the log and its records. The boot number exceeds all earlier
+        ones, is at least `least_boot`, and is on disk on return. Raises `OSError`, and `LogDamagedError`: then call
+        `anew` and start as a blank voter."""
         names = disk.names()
-        if FRESH in names:
-            disk.unlink(FRESH)
+        if NEW_NAME in names:
+            disk.unlink(NEW_NAME)
         if NAME not in names:
             return cls._create(disk, least_boot), []
         read = _parse(disk.read(NAME))
@@ -116,7 +116,7 @@
             disk.truncate(log._handle, read.size)
             disk.sync(log._handle)
             log._number, log._synced, log._chain = read.number, read.number, read.chain
-            log._size, log._live = read.size, read.live
+            log._size, log._compacted_size = read.size, read.compacted_size
             log._append([])
             log.sync()
         except BaseException:
@@ -126,11 +126,11 @@
 
     @classmethod
     def anew(cls, disk: Disk, least_boot: int) -> Log:
-        """Put a damaged log aside and begin an empty one."""
+        """Rename a damaged log to `DAMAGED_NAME` and create an empty one."""
         if NAME in disk.names():
-            disk.rename(NAME, ASIDE)
-        if FRESH in disk.names():
-            disk.unlink(FRESH)
+            disk.rename(NAME, DAMAGED_NAME)
+        if NEW_NAME in disk.names():
+            disk.unlink(NEW_NAME)
         return cls._create(disk, least_boot)
 
     @classmethod
@@ -141,52 +141,52 @@
 
     @property
     def bloated(self) -> bool:
-        """Is it time to `compact`?"""
-        return self._size > 2 * self._live + SLACK
+        """Whether the log should be compacted."""
+        return self._size > 2 * self._compacted_size + COMPACT_SLACK_BYTES
 
     def append(self, records: Sequence[bytes]) -> None:
-        """All of them or none will be read again; for sure only after `sync`."""
+        """Append the records atomically. They are durable only after `sync`."""
         if records:
             self._append(records)
 
     def _append(self, records: Iterable[bytes]) -> None:
         frame, chain = self._frame(records, self._number, self._synced, self._chain)
-        self._write(self._usable(), frame)
+        self._write(self._checked_handle(), frame)
         self._number += 1
         self._chain = chain
         self._size += len(frame)
 
     def sync(self) -> None:
-        """What was appended is on disk once this returns."""
-        handle = self._usable()
-        self._guard(lambda: self._disk.sync(handle))
+        """Sync all appended records to disk."""
+        handle = self._checked_handle()
+        self._break_on_error(lambda: self._disk.sync(handle))
         self._synced = self._number
 
     def compact(self, records: Iterable[bytes]) -> None:
-        """Begin a new file that holds these alone, synced, in place of the old one."""
+        """Atomically replace the file by a synced one with only these records."""
         if self._broken:
             raise LogBrokenError(NAME)
         frame, chain = self._frame(records, 0, 0, 0)
-        if FRESH in self._disk.names():
-            self._disk.unlink(FRESH)
-        fresh = self._disk.create(FRESH)
+        if NEW_NAME in self._disk.names():
+            self._disk.unlink(NEW_NAME)
+        new_handle = self._disk.create(NEW_NAME)
         try:
-            self._write_all(fresh, frame)
-            self._disk.sync(fresh)
-            self._disk.rename(FRESH, NAME)
+            self._write_all(new_handle, frame)
+            self._disk.sync(new_handle)
+            self._disk.rename(NEW_NAME, NAME)
         except OSError:
-            self._disk.close(fresh)
-            raise  # the old file is as it was, and goes on
-        old, self._handle = self._handle, fresh
+            self._disk.close(new_handle)
+            raise  # the old file is unchanged and stays in use
+        old, self._handle = self._handle, new_handle
         self._number = self._synced = 1
-        self._size = self._live = len(frame)
+        self._size = self._compacted_size = len(frame)
         self._chain = chain
         if old is not None:
             self._disk.close(old)
-        self._guard(self._disk.sync_folder)
+        self._break_on_error(self._disk.sync_folder)
 
     def close(self) -> None:
-        """Give the file back."""
+        """Close the file."""
         if self._handle is not None:
             handle, self._handle = self._handle, None
             self._disk.close(handle)
@@ -198,7 +198,7 @@
         chain = crc32(data, chain)
         return data + SUM.pack(chain), chain
 
-    def _usable(self) -> int:
+    def _checked_handle(self) -> int:
         if self._broken or self._handle is None:
             raise LogBrokenError(NAME)
         return self._handle
@@ -207,8 +207,8 @@
         try:
             self._write_all(handle, data)
         except OSError:
-            # A part of it may be there: cut it, so that a disk that was full for a moment does no lasting harm.
-            self._guard(lambda: self._disk.truncate(handle, self._size))
+            # Truncate a partial frame, so that the log stays usable after a full disk.
+            self._break_on_error(lambda: self._disk.truncate(handle, self._size))
             raise
 
     def _write_all(self, handle: int, data: bytes) -> None:
@@ -216,9 +216,9 @@
         while view:
             view = view[self._disk.write(handle, bytes(view)):]
 
-    def _guard(self, act: Callable[[], None]) -> None:
+    def _break_on_error(self, act: Callable[[], None]) -> None:
         try:
             act()
         except OSError:
-            self._broken = True  # after a failed sync the pages' state is unknown
+            self._broken = True  # after a failed sync the state of the page cache is unknown
             raise
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -1,4 +1,4 @@
-"""What a courier asks for and gives away, by its own view of members and registers. No I/O."""
+"""Applies the placement plan: acquires parts and starts moves, by the view of members and registers. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """The same at all couriers of a fleet: voters, parts, lease and drift. Spans in microseconds."""
+    """Settings of a node. Voters, parts, lease and drift must be equal at all couriers. Durations in microseconds."""
 
     voters: tuple[str, ...]
     parts: int = 64
@@ -36,7 +36,7 @@
 
 
 class Placing:
-    """Plans every tenth of a lease, and at once where a member has changed."""
+    """Plans every tenth of a lease, and at once after a change of a member."""
 
     def __init__(self, me: Member, settings: NodeSettings, membership: Membership, owner: Owner, tenure: Tenure,
                  errands: Errands, rng: random.Random, now_us: int) -> None:
@@ -45,80 +45,80 @@
         self._placement = Placement(me.name, settings.parts, settings.at_once, settings.pace_us, settings.probation_us)
         self._placement.saw(now_us, me)
         self._swap: Swap | None = None
-        self._plan_us = now_us
-        self._ask_us = now_us  # when a voter is asked next how the registers stand
-        self._owners: dict[int, Holding] = {}  # by a voter's word
-        self._known = False  # has any voter told?
+        self._next_plan_us = now_us
+        self._next_query_us = now_us  # next query of a voter for the registers
+        self._reported: dict[int, Holding] = {}  # holdings reported by voters; not known to be decided
+        self._has_report = False  # whether any voter has reported its registers
 
     def holding(self, part: int) -> Holding | None:
-        """Who has it since which epoch, as far as is known here."""
-        decided, told = self._tenure.decided(part), self._owners.get(part)
-        return told if decided is None or (told is not None and told.epoch > decided.epoch) else decided
+        """Return the newest known holding of the part; None if there is none."""
+        decided, reported = self._tenure.decided(part), self._reported.get(part)
+        return reported if decided is None or (reported is not None and reported.epoch > decided.epoch) else decided
 
     def owner_of(self, part: int) -> str | None:
-        """Who has it, as far as is known here."""
+        """Return the known owner of the part; None if there is none."""
         holding = self.holding(part)
         return holding.owner if holding is not None else None
 
     @property
     def leaving(self) -> bool:
-        """Is everything being given away?"""
+        """Whether this courier is giving all its parts away."""
         return self._swap is not None
 
     @property
     def left(self) -> bool:
-        """Has it been, or is there no time left for it? A part that was handed here and is not opened yet has to be
-        given away first."""
-        if self._swap is None or self._tenure.givers or not self._swap.over(self._plan_us):
+        """Whether all parts are given away or the time for it is over. Parts received but not opened yet must be given
+        away first."""
+        if self._swap is None or self._tenure.givers or not self._swap.over(self._next_plan_us):
             return False
-        late = self._swap.progress(self._plan_us).state == "late"
+        late = self._swap.progress(self._next_plan_us).state == "late"
         return late or not (self._owner.leased() or self._tenure.opening or self._tenure.taker.whole())
 
     def leave(self, now_us: int) -> None:
-        """Give everything away."""
+        """Start giving all parts away."""
         self._swap = Swap(self._settings.leaving, now_us)
         self._tenure.taker.leaving = True
-        self._plan_us = now_us
+        self._next_plan_us = now_us
 
     def saw(self, now_us: int, members: Iterable[Member]) -> None:
-        """These have changed."""
+        """Record changed members and plan at once."""
         for member in members:
             self._placement.saw(now_us, member)
-            self._plan_us = now_us
+            self._next_plan_us = now_us
 
     def next_us(self) -> int:
-        """When `tick` has something to do."""
-        return min(self._plan_us, self._ask_us)
+        """Return when to call `tick` next."""
+        return min(self._next_plan_us, self._next_query_us)
 
     def tick(self, now_us: int, stand: Callable[[str], Stood]) -> list[Action]:
-        """What is due; `stand` is this courier's own voter's word."""
+        """Do what is due. `stand` returns the registers of this courier's own voter."""
         actions: list[Action] = []
-        if now_us >= self._ask_us:
-            self._ask_us = now_us + self._settings.lease_us // (1 if self._known else 10)
-            actions += self._look(stand)
-        if now_us >= self._plan_us:
-            self._plan_us = now_us + self._settings.lease_us // 10
-            actions += self._place(now_us)
+        if now_us >= self._next_query_us:
+            self._next_query_us = now_us + self._settings.lease_us // (1 if self._has_report else 10)
+            actions += self._query_voter(stand)
+        if now_us >= self._next_plan_us:
+            self._next_plan_us = now_us + self._settings.lease_us // 10
+            actions += self._apply_plan(now_us)
         return actions
 
-    def _look(self, stand: Callable[[str], Stood]) -> list[Action]:
-        """Ask a voter, one by chance, how the registers stand: a hint of whose the parts are, not a decision."""
+    def _query_voter(self, stand: Callable[[str], Stood]) -> list[Action]:
+        """Query a random voter for its registers: a hint of the owners, not a decision."""
         voter = self._rng.choice(self._settings.voters)
         if voter == self._me:
-            return self._hint(0, stand(""))
-        return [self._errands.call(voter, Stand(), self._owner.timeout_us, self._hint)]
+            return self._on_stood(0, stand(""))
+        return [self._errands.call(voter, Stand(), self._owner.timeout_us, self._on_stood)]
 
-    def _hint(self, _: int, answer: Answer | None) -> list[Action]:
+    def _on_stood(self, _: int, answer: Answer | None) -> list[Action]:
         if isinstance(answer, Stood) and not answer.blank:
-            self._known = True
+            self._has_report = True
             for part, _promised, _accepted, holding in answer.rows:
-                known = self._owners.get(part)
+                known = self._reported.get(part)
                 if holding is not None and (known is None or holding.epoch > known.epoch):
-                    self._owners[part] = holding
+                    self._reported[part] = holding
         return []
 
-    def _place(self, now_us: int) -> list[Action]:
-        """Ask for what this courier should have, and give away what it should not."""
+    def _apply_plan(self, now_us: int) -> list[Action]:
+        """Acquire the parts that this courier should own, and start moving the others."""
         for part, done, why in self._tenure.ended:
             if self._swap is not None:
                 self._swap.ended(now_us, part, done, why)
@@ -127,8 +127,8 @@
         for part in parts:
             self._placement.owned(part, self.owner_of(part))
         if self._swap is not None:
-            return self._give_all(now_us, self._swap)
-        if not self._known or self._membership.doubled:
+            return self._give_away_all(now_us, self._swap)
+        if not self._has_report or self._membership.doubled:
             return []
         plan = self._placement.plan(now_us, self._tenure.givers)
         for part in parts:
@@ -145,12 +145,12 @@
         member = self._membership.members().get(name)
         return member is not None and member.state is State.ALIVE
 
-    def _give_all(self, now_us: int, swap: Swap) -> list[Action]:
+    def _give_away_all(self, now_us: int, swap: Swap) -> list[Action]:
         mine = {part: self._tenure.weight(part) for part in range(self._settings.parts)
                 if self._owner.epoch(part, now_us) is not None}
         target = self._placement.target(now_us)
         staying = [name for name in self._membership.members() if self._alive(name) and name != self._me]
-        takers = {part: sorted(staying, key=lambda name, part=part: (name != target.get(part), name))  # type: ignore[misc]
+        ranked = {part: sorted(staying, key=lambda name, part=part: (name != target.get(part), name))  # type: ignore[misc]
                   for part in mine}
-        return [action for start in swap.tick(now_us, mine, takers)
+        return [action for start in swap.tick(now_us, mine, ranked)
                 for action in self._tenure.give(now_us, start.part, start.to)]
