--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -1,4 +1,4 @@
-"""A fleet's sockets and its table in the operator's file: what is off costs nothing, what is wrong is told at once."""
+"""The sockets of a fleet and the `[fleet]` table: nothing is imported if it is off, and errors are reported at load."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 LIMIT_S = 20
 
 
-def test_without_a_fleet_nothing_of_it_is_imported() -> None:
+def test_without_a_fleet_its_modules_are_not_imported() -> None:
     code = ("import sys, wheelstep.courier.__main__; "
             "print([name for name in sys.modules if name.startswith(('wheelstep.fleet', 'wheelstep.channels', "
             "'wheelstep.moves', 'msgspec', 'xxhash', 'pydantic'))])")
@@ -28,7 +28,7 @@
 
 
 def written(folder: Path, fleet: str, more: str = "") -> Path:
-    """An operator's file with this in `[fleet]`, beside a key."""
+    """Write an operator's file with this `[fleet]` table, and a key file."""
     (folder / "fleet.key").write_text(KEY.hex() + "\n")
     path = folder / "operator.toml"
     path.write_text(f"[fleet]\n{fleet}\n{more}")
@@ -38,7 +38,7 @@
 GOOD = 'on = true\nkey_file = "fleet.key"\nlisten = "127.0.0.1:0"\nvoters = ["a", "b", "c"]'
 
 
-def test_a_table_that_is_right_is_read_and_one_that_is_off_is_nothing(tmp_path: Path) -> None:
+def test_valid_table_is_read_and_a_disabled_one_gives_none(tmp_path: Path) -> None:
     fleet = load(str(written(tmp_path, GOOD, '[[contract]]\nname = "updates"\norder = "strict"\n'))).fleet
     assert fleet.keys == [KEY] and fleet.contracts.names() == ["updates"] and fleet.part.parts == 64
     assert load(str(written(tmp_path, "on = false"))).fleet is None
@@ -58,13 +58,13 @@
     ("on = false", '[[contract]]\nname = "x"\norder = "strict"\n', "contract: declared while fleet.on is false"),
     (GOOD, "[workers]\ncount = 2\n", "workers.count: 2 beside fleet.on = true"),
 ])
-def test_a_table_that_is_wrong_is_told_in_one_line(tmp_path: Path, fleet: str, more: str, told: str) -> None:
+def test_invalid_table_is_reported_in_one_line(tmp_path: Path, fleet: str, more: str, told: str) -> None:
     with pytest.raises(OperatorError) as error:
         load(str(written(tmp_path, fleet, more)))
     assert told in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_key_that_is_short_or_no_key_is_refused(tmp_path: Path) -> None:
+def test_short_or_invalid_key_is_refused(tmp_path: Path) -> None:
     path = written(tmp_path, GOOD)
     for text in ("abc", "00" * 31, "no key"):
         (tmp_path / "fleet.key").write_text(text)
@@ -73,7 +73,7 @@
 
 
 class Side:
-    """One courier's sockets, and what they told."""
+    """The sockets of one courier, and what they received."""
 
     def __init__(self, name: str, key: bytes = KEY) -> None:
         self.name, self.asks = name, 0
@@ -88,14 +88,14 @@
         return Stood(False, (), 7)
 
     async def start(self) -> str:
-        """Listen; where."""
+        """Listen and return the address."""
         await self.peers.start(Address("127.0.0.1", 0))
         assert self.peers._transport is not None
         host, port = self.peers._transport.get_extra_info("sockname")
         return f"{host}:{port}"
 
 
-def test_peers_hear_and_answer_each_other_and_a_stranger_changes_nothing() -> None:
+def test_peers_exchange_packets_and_an_unknown_key_is_refused() -> None:
     async def scene() -> None:
         a, b, stranger = Side("a"), Side("b"), Side("a", OTHER)
         sides = (a, b, stranger)
@@ -103,7 +103,7 @@
             _, at_b, _ = [await side.start() for side in sides]
             assert await a.peers.ask(at_b, "b", Stand(), 5) == Stood(False, (), 7)
             assert await stranger.peers.ask(at_b, "b", Stand(), 5) is None
-            assert await a.peers.ask(at_b, "c", Stand(), 5) is None  # meant for another
+            assert await a.peers.ask(at_b, "c", Stand(), 5) is None  # addressed to another courier
             assert b.asks == 1
             stranger.peers.send(at_b, "b", Ping(1))
             host, port = at_b.rsplit(":", 1)
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -1,5 +1,5 @@
-"""The seal of packets between couriers: honest ones open once in any order; all else is refused for the right reason
-and changes nothing."""
+"""The seal of packets between couriers: valid ones open once in any order; others are refused with the right reason and
+change no state."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from wheelstep.fleet.packets import (
     DATAGRAM,
     DATAGRAM_BYTES,
+    MAX_SENDERS,
     NOTE_EVERY_US,
-    SENDERS,
     STREAM,
     STREAM_BYTES,
-    WINDOW,
+    WINDOW_SIZE,
     Elder,
     PacketError,
     Reason,
@@ -33,7 +33,7 @@
 
 
 def refusal(receiver: Seal, data: bytes) -> Reason:
-    """Why it was refused; it was counted once."""
+    """Return why the packet is refused, after checking that it was counted once."""
     before = receiver.refused.total()
     with pytest.raises(PacketError) as refused:
         receiver.open(data, DATAGRAM)
@@ -43,7 +43,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.randoms(use_true_random=False), st.integers(1, 40))
-def test_honest_packets_open_once_in_any_order(rng: random.Random, count: int) -> None:
+def test_valid_packets_open_once_in_any_order(rng: random.Random, count: int) -> None:
     sender, receiver = seal("a"), seal("b")
     packets = [(number, sender.pack("b", Ping(number))) for number in range(count)]
     rng.shuffle(packets)
@@ -56,7 +56,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.data())
-def test_a_damaged_packet_is_refused_and_the_whole_one_still_opens(data: st.DataObject) -> None:
+def test_damaged_packet_is_refused_and_the_intact_one_still_opens(data: st.DataObject) -> None:
     packet = seal("a").pack("b", Ping(7, (Member("a", 1, State.ALIVE, "127.0.0.1:1", "http://127.0.0.1:2"),)))
     receiver = seal("b")
     place = data.draw(st.integers(0, len(packet) - 1))
@@ -78,7 +78,7 @@
     (lambda: b"\x02" + seal("a").pack("b", Ping(1))[1:], Reason.VERSION),
     (lambda: bytes(DATAGRAM_BYTES + 1), Reason.SIZE),
     (lambda: b"", Reason.SEAL)])
-def test_each_refusal_has_its_reason_and_changes_nothing(made: Callable[[], bytes], reason: Reason) -> None:
+def test_each_refusal_has_its_reason_and_changes_no_state(made: Callable[[], bytes], reason: Reason) -> None:
     sender, receiver = seal("a"), seal("b")
     receiver.open(sender.pack("b", Ping(1)), DATAGRAM)
     assert refusal(receiver, made()) is reason
@@ -86,7 +86,7 @@
     assert receiver.refused == {reason: 1}
 
 
-def test_a_later_life_replaces_an_earlier_one() -> None:
+def test_higher_boot_number_replaces_a_lower_one() -> None:
     early, late, receiver = seal("a", 5), seal("a", 6), seal("b")
     first, held = early.pack("b", Ping(1)), early.pack("b", Ping(2))
     receiver.open(first, DATAGRAM)
@@ -95,23 +95,23 @@
     assert refusal(receiver, first) is Reason.OLD_BOOT
 
 
-def test_a_window_remembers_a_bounded_number() -> None:
+def test_replay_window_is_bounded() -> None:
     sender, receiver = seal("a"), seal("b")
-    packets = [sender.pack("b", Ping(number)) for number in range(WINDOW + 2)]
+    packets = [sender.pack("b", Ping(number)) for number in range(WINDOW_SIZE + 2)]
     receiver.open(packets[-1], DATAGRAM)
-    assert refusal(receiver, packets[0]) is Reason.REPLAY  # never seen, and too old to tell
+    assert refusal(receiver, packets[0]) is Reason.REPLAY  # not received, but older than the window
     receiver.open(packets[2], DATAGRAM)
     assert refusal(receiver, packets[2]) is Reason.REPLAY
 
 
-def test_only_a_hello_may_have_no_receiver() -> None:
+def test_only_a_hello_may_have_an_unknown_receiver() -> None:
     sender, receiver = seal("a"), seal("b")
     assert receiver.open(sender.pack("", Hello()), DATAGRAM).payload == Hello()
     with pytest.raises(ValueError, match="unknown receiver"):
         sender.pack("", Ping(1))
 
 
-def test_a_key_is_replaced_while_both_are_known() -> None:
+def test_key_can_be_replaced_while_both_are_known() -> None:
     old, both, new = seal("a", key=KEY), seal("b", key=[KEY, OTHER]), seal("c", key=[OTHER, KEY])
     both.open(old.pack("b", Ping(1)), DATAGRAM)
     both.open(new.pack("b", Ping(1)), DATAGRAM)
@@ -119,7 +119,7 @@
     old.open(both.pack("a", Ping(1)), DATAGRAM)
 
 
-def test_an_emptied_disk_is_told_of_its_elder_life() -> None:
+def test_courier_with_an_emptied_disk_learns_its_higher_boot_number() -> None:
     receiver, again = seal("b"), seal("a", boot=1)
     receiver.open(seal("a", boot=9).pack("b", Ping(1)), DATAGRAM)
     assert refusal(receiver, again.pack("b", Ping(1))) is Reason.OLD_BOOT
@@ -129,23 +129,23 @@
     elder = again.open(told, DATAGRAM).payload
     assert isinstance(elder, Elder) and again.heard_elder(elder, 0) and again.boot == 10
     assert receiver.open(again.pack("b", Ping(1)), DATAGRAM).boot == 10
-    # Neither what is known nor more than one in ten seconds raises it.
+    # A known boot number, or a second one within ten seconds, does not raise it.
     assert not again.heard_elder(Elder(10), 20_000_000)
     assert not again.heard_elder(Elder(99), NOTE_EVERY_US - 1) and again.heard_elder(Elder(99), NOTE_EVERY_US)
     assert not again.heard_elder(Elder(1 << 62), 40_000_000)
 
 
-def test_the_table_of_senders_is_bounded_and_needs_a_good_seal() -> None:
+def test_sender_table_is_bounded_and_needs_a_valid_seal() -> None:
     receiver = seal("b")
-    for number in range(SENDERS + 5):
+    for number in range(MAX_SENDERS + 5):
         refusal(receiver, seal(f"forged{number}", key=OTHER).pack("b", Ping(1)))
     assert not receiver._windows
-    for number in range(SENDERS + 5):
+    for number in range(MAX_SENDERS + 5):
         receiver.open(seal(f"s{number}").pack("b", Ping(1)), DATAGRAM)
-    assert len(receiver._windows) == SENDERS
+    assert len(receiver._windows) == MAX_SENDERS
 
 
-def test_lines_come_once_a_reason_in_ten_seconds() -> None:
+def test_log_lines_are_limited_to_one_per_reason_in_ten_seconds() -> None:
     receiver = seal("b")
     for _ in range(3):
         refusal(receiver, b"x" * 100)
--- a/wheelstep/fleet/clocks.py
+++ b/wheelstep/fleet/clocks.py
@@ -6,10 +6,10 @@
 
 
 def now_us() -> int:
-    """The clock of leases: it goes on while the process stands still, and while the machine sleeps."""
+    """Return the time of leases in microseconds. It advances while the process is stopped or the machine sleeps."""
     return int(time.clock_gettime(time.CLOCK_BOOTTIME) * 1e6)
 
 
 def now_ms() -> int:
-    """The same in milliseconds, for channels."""
+    """Return the same time in milliseconds, for channels."""
     return now_us() // 1000
--- a/wheelstep/fleet/content.py
+++ b/wheelstep/fleet/content.py
@@ -1,4 +1,4 @@
-"""What decides about parts asks of whoever holds their content: a daemon's journal and channels, or a simulation's."""
+"""Interface to the content of parts: the journal and channels of a daemon, or those of a simulation."""
 
 from __future__ import annotations
 
@@ -9,41 +9,42 @@
 
 
 class Content(Protocol):
-    """A courier's channels and messages, by part. Pieces are told apart by name: "m:" a message, "c:" a position."""
+    """Channels and messages of a courier by part. The name of a piece starts with "m:" for a message, "c:" for a
+    position."""
 
-    version: int  # of the state that pieces are written in
+    version: int  # of the format of the pieces
 
     def pieces(self, part: int) -> list[Piece]:
-        """All of a part as it stands; from now on `changed` tells what is different."""
+        """Return all pieces of a part, and start recording its changes for `changed`."""
 
     def changed(self, part: int) -> list[Piece]:
-        """What has changed since it was last asked; empty data for what is gone."""
+        """Return the pieces changed since the last call; empty data for removed ones."""
 
     def weight(self, part: int) -> int:
-        """About how many pieces there are of it."""
+        """Return the approximate number of pieces of the part."""
 
     def under_way(self, part: int) -> int:
-        """Calls of the part that have begun and have no outcome yet."""
+        """Return the number of calls of the part without an outcome yet."""
 
     def shut(self, part: int) -> None:
-        """Take no 202 and begin no attempt for the part until `open`."""
+        """Accept no message and begin no attempt for the part until `open`."""
 
     def open(self, part: int, epoch: int, first: int = 0) -> None:
-        """The part is this courier's under this epoch, and nobody else can have had it since `first` (0: since this
-        epoch): serve it, what it holds of it included. Where an epoch lies between that and the last that it had or
-        adopted, another may have had the part: then positions are missing here."""
+        """Serve the part under this epoch, including what is stored of it. No other courier can have owned it since
+        `first` (0: since this epoch). If an epoch lies between `first` and the last one owned or adopted here, another
+        courier may have owned the part, and positions are missing here."""
 
     def adopt(self, part: int, epoch: int, pieces: Iterable[Piece]) -> None:
-        """Take the pieces of a part that was handed over into this courier's journal; again does no harm."""
+        """Store the pieces of a part that was handed over in the journal. Idempotent."""
 
     def drop(self, part: int) -> None:
-        """Forget the part without telling anybody of its ends: another owes them now."""
+        """Drop the part without reporting outcomes: another courier owes them now."""
 
     def orphans(self, part: int) -> list[Piece]:
-        """Messages of a part that is another's, found on this disk or kept when the lease was lost."""
+        """Return messages of a part owned by another courier that are stored here or were kept when the lease ended."""
 
     def settle(self, part: int, verdicts: Mapping[str, bool]) -> None:
-        """What the owner said of orphans, by message: True, it owes them now; False, they end here by a notice."""
+        """Apply the owner's answers by message: True, the owner owes it now; False, it ends here with a notice."""
 
     def late(self, part: int, message: str, outcome: str, piece: bytes) -> bool:
-        """A former owner tells of a call's outcome, or has found a message: does this courier take it?"""
+        """Handle a call's outcome or a message from a former owner. Return whether it is accepted."""
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -1,7 +1,7 @@
-"""A courier of a fleet: the node's decisions on sockets, a clock and a log on disk, and its channels before the client
-server.
+"""The daemon of a fleet courier: runs the node on sockets, a clock and a log on disk, and connects its channels to the
+client server.
 
-Only imported where the operator's file has `[fleet]` with `on = true`.
+Imported only if the operator's file has `[fleet]` with `on = true`.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 from wheelstep.journal.disk import Folder
 
 _NOTES_S = 5.0
-_SOON_S = 0.02  # a move's pause is some tens of milliseconds
-_ASKED_S = 10.0  # for an answer to a peer's ask, its save included
+_SOON_S = 0.02  # retry delay during a move, which pauses a part for some tens of milliseconds
+_ASKED_S = 10.0  # timeout of the answer to a peer's request, including its save
 
 log = logging.getLogger("wheelstep.fleet")
 
 
 class FleetDaemon:
-    """`kept` goes beneath the core in the journal's place. Raises `ConfigError`."""
+    """The fleet daemon. The core uses `kept` in place of the journal. Raises `ConfigError`."""
 
-    lists = False  # which endpoints there are comes from discovery
+    lists = False  # endpoints come from discovery
 
     def __init__(self, config: Config, fleet: Fleet, journal: Journal) -> None:
         self.config, self._fleet, self._part = config, fleet, fleet.part
@@ -63,13 +63,13 @@
         try:
             return Log.open(self._disk, least)
         except LogDamagedError as error:
-            log.error("%s: put aside; this courier's vote begins blank", error)
+            log.error("%s: renamed; this courier's voter starts blank", error)
             return Log.anew(self._disk, max(least, error.boot + 1)), ()
         except OSError as error:
             raise ConfigError(f"{self.config.state / 'fleet'}: {error}") from error
 
     def join(self, core: Core) -> tuple[Desk, Front | None, Callable[[int], Desk] | None]:
-        """The parts that need the core: what the client server asks."""
+        """Create what needs the core, and return the interfaces for the client server."""
         part, config = self._part, self.config
         self._core = core
         self.content = ChannelContent(core, self.kept, self.book, now_ms)
@@ -88,21 +88,21 @@
         return self.desk, front, None
 
     def restore(self) -> None:
-        """Take up what the journal holds. Messages of channels wait until their part is this courier's again."""
+        """Restore the journal's state. Channel messages wait until this courier owns their part again."""
         self._core.restore(self.kept.marks, self.content.restore(self.kept.marks))
         for message in self.kept.messages.values():
             if message.channel is not None and message.notice is None:
                 self.desk.expect(message)
 
     def _owner(self, part: int) -> tuple[str, float]:
-        """Where to go for a part that is not served here, and in how many seconds to come again."""
+        """Return the client address for a part not served here ("" if unknown), and the retry delay in seconds."""
         serves = self.node.serves(part)
         if serves != self.node.membership.me.serves and serves:
             return serves, _SOON_S
         return "", _SOON_S if self.node.moving(part) else self._part.lease / 4e6
 
     async def start(self) -> None:
-        """Listen to peers and begin. Raises `ConfigError`."""
+        """Listen for peers and start the node. Raises `ConfigError`."""
         try:
             await self.peers.start(Address.parse(self._part.listen or ""))
         except OSError as error:
@@ -111,20 +111,20 @@
         self.desk.wake()
 
     async def run(self) -> None:
-        """Tell operators what was refused, for good."""
+        """Log refused packets periodically, forever."""
         while True:
             await asyncio.sleep(_NOTES_S)
             for line in self.peers.notes():
                 log.warning("%s", line)
 
     def renew(self, fleet: Fleet) -> None:
-        """The operator's file was read again: contracts change, all else at the next start."""
+        """Apply a reloaded operator's file: only contracts change; all else takes effect at the next start."""
         for line in changes(self.book.contracts, fleet.contracts):
             log.info("%s", line)
         self.book.contracts = fleet.contracts
 
     async def leave(self) -> None:
-        """Give the parts away, if the operator wants that, within the time for it."""
+        """Give the parts away within `give_away_within`, if `give_away` is set."""
         if not self._part.give_away:
             return
         log.info("leaving: %d parts to give away, %d messages owed", len(self.node.owned(now_us())),
@@ -133,11 +133,11 @@
         until = asyncio.get_running_loop().time() + self._part.give_away_within / 1e6
         while not (self.node.left and not self.content.owed()) and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
-        log.info("left: %d parts and %d messages are here still", len({*self.node.owned(now_us()),
+        log.info("left: %d parts and %d messages remain here", len({*self.node.owned(now_us()),
                  *self.node.taker.whole()}), self.content.owed())
 
     async def close(self) -> None:
-        """The process ends: what is served here is not, from now on."""
+        """Stop serving all parts, and close the sockets and the log."""
         for number in range(self._part.parts):
             self.content.shut(number)
         if self._part.give_away:
@@ -206,7 +206,7 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("an errand of the fleet failed", exc_info=error)
+            log.error("a background task of the fleet failed", exc_info=error)
 
     async def _call(self, call: Call) -> None:
         address = self.node.membership.address_of(call.member) or self._part.peers.get(call.member, "")
@@ -216,8 +216,8 @@
         self._do(self.node.answered(now_us(), call.token, answer))
 
     async def _save(self) -> None:
-        """All that waits in one write and one sync, again until nothing waits. The journal's own first: what the
-        content has written is explained by these records."""
+        """Write all pending saves with one write and one sync, until none are left. The journal is synced first: these
+        records refer to what the content has written there."""
         while self._saves:
             saves, self._saves = self._saves, []
             records = [record for save in saves for record in save.records]
@@ -228,14 +228,14 @@
                 await asyncio.get_running_loop().run_in_executor(self._thread, self._write, records, whole)
                 self._broken = False
             except (OSError, LogBrokenError, LogDamagedError, NoRoomError) as error:
-                log.error("the fleet's log: %s; nothing that rests on it is said", error)
+                log.error("the fleet's log: %s; answers that depend on it are withheld", error)
                 self._broken = True
             for save in saves:
                 self._do(self.node.saved(now_us(), save.token, not self._broken))
         self._saving = None
 
     def _write(self, records: Sequence[bytes], whole: Sequence[bytes] | None) -> None:
-        """In the log's own thread: a disk that hangs stops no more than what has to be on it."""
+        """Write to the log, in its own thread: a hanging disk blocks only what must be saved."""
         if self._broken:
             boot = self._log.boot
             self._log.close()
--- a/wheelstep/fleet/datagrams.py
+++ b/wheelstep/fleet/datagrams.py
@@ -1,4 +1,4 @@
-"""Sealed datagrams between members: packed, opened, and the word of a later life heeded. No sockets."""
+"""Sealed datagrams between members: sending, opening and `Elder` handling. No sockets."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class Datagrams:
-    """`sendto` sends bytes to an address and may raise `OSError`; `heard` gets what was sealed well (sender, address,
-    packet); `elder` hears that the fleet knows a later life of this courier."""
+    """`sendto` sends bytes to an address and may raise `OSError`. `heard` gets valid packets (sender, address, packet).
+    `elder` is called if the fleet knows a higher boot number of this courier."""
 
     def __init__(self, seal: Seal, now_us: Callable[[], int], sendto: Callable[[bytes, str], None],
                  heard: Callable[[str, str, Packet], None], elder: Callable[[Elder], None]) -> None:
         self._seal, self._now_us, self._sendto, self._heard, self._elder = seal, now_us, sendto, heard, elder
-        self.dropped = 0  # could not be sent
+        self.dropped = 0  # datagrams that could not be sent
 
     def send(self, address: str, name: str, packet: Packet) -> None:
-        """To the member `name` ("" if it is not known) at an address; may be lost."""
+        """Send to the member `name` ("" if unknown) at an address. The datagram may be lost."""
         try:
             self._sendto(self._seal.pack(name, packet), address)
         except (ValueError, OSError) as error:
             self.dropped += 1
-            log.debug("a datagram to %s could not be sent: %s", address, error)
+            log.debug("sending a datagram to %s failed: %s", address, error)
 
     def received(self, data: bytes, address: str) -> None:
-        """From an address. What is not sealed well is counted by the seal and goes no further."""
+        """Handle a datagram from an address. An invalid one is counted by the seal and dropped."""
         try:
             opened = self._seal.open(data, DATAGRAM)
         except PacketError as error:
@@ -43,5 +43,5 @@
             return
         try:
             self._heard(opened.sender, address, opened.payload)
-        except Exception:  # guards the socket: one packet that can't be used may not end it
-            log.exception("a packet of %s could not be used", opened.sender)
+        except Exception:  # a failing handler must not close the socket
+            log.exception("handling a packet from %s failed", opened.sender)
--- a/wheelstep/fleet/node.py
+++ b/wheelstep/fleet/node.py
@@ -1,5 +1,5 @@
-"""One courier's part in the fleet: membership, its vote, what it owns, and what it gives and takes. No I/O: a daemon or
-a simulation hands in packets, asks, answers and a clock, and carries out the actions.
+"""The node of one courier: membership, voter, ownership and moves of parts. No I/O: a daemon or a simulation passes in
+packets, requests, answers and the time, and executes the actions.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 )
 from wheelstep.moves.taker import Taker
 
-VOTE = b"vote:"  # before a voter's records in the fleet's log; moves have a mark of their own
+VOTE = b"vote:"  # prefix of voter records in the fleet's log; records of moves have their own
 
 
 class Node:
-    """`stored`: the records of the fleet's log; `seeds`: peers' addresses by name."""
+    """The node. `stored` are the records of the fleet's log, `seeds` the addresses of peers by name."""
 
     def __init__(self, me: Member, settings: NodeSettings, seeds: Mapping[str, str], content: Content,
                  stored: Sequence[bytes], rng: random.Random, now_us: int) -> None:
@@ -61,26 +61,26 @@
             if self.taker.sealed(part) is not None:
                 self.owner.want(part)
 
-    # --- what is asked from outside ---
+    # --- queries and commands ---
 
     def epoch(self, part: int, now_us: int) -> int | None:
-        """May anything be sent for the part right now, and under which epoch? To be asked before each first byte."""
+        """Return the epoch under which the part may be served now; None if it may not. Call before each first byte."""
         return None if self.membership.doubled else self.owner.epoch(part, now_us)
 
     def owned(self, now_us: int) -> list[int]:
-        """The parts that this courier has the lease of."""
+        """Return the parts for which this courier holds a lease."""
         return [part for part in range(self.settings.parts) if self.owner.epoch(part, now_us) is not None]
 
     def owner_of(self, part: int) -> str | None:
-        """Who has it, as far as is known here."""
+        """Return the known owner of the part; None if there is none."""
         return self.placing.owner_of(part)
 
     def moving(self, part: int) -> bool:
-        """Is it on its way from or to this courier?"""
+        """Return whether the part is moving from or to this courier."""
         return part in self.tenure.givers or part in self.tenure.opening or self.taker.sealed(part) is not None
 
     def serves(self, part: int) -> str:
-        """Where the part's owner takes clients, or is about to; "" if that is not known or it is not there."""
+        """Return the client address of the present or next owner of the part; "" if it is unknown or gone."""
         giver = self.tenure.givers.get(part)
         name = giver.to if giver is not None else self.placing.owner_of(part)
         member = self.membership.member(name) if name else None
@@ -88,109 +88,109 @@
 
     @property
     def left(self) -> bool:
-        """After `leave`: nothing is owned or moving any more, or no time is left for it."""
+        """Whether, after `leave`, no part is owned or moving, or the time for it is over."""
         return self.placing.left
 
     def snapshot(self) -> list[bytes]:
-        """All that the fleet's log has to hold."""
+        """Return all records that the fleet's log must contain."""
         votes = [VOTE + record for record in self.voter.snapshot()] if self.voter is not None else []
         return votes + self.taker.snapshot()
 
     def leave(self, now_us: int) -> list[Action]:
-        """Give everything away."""
+        """Start giving all parts away."""
         if self.placing.leaving:
             return []
         self.placing.leave(now_us)
         return [*self.membership.leave(now_us), *self.tick(now_us)]
 
     def end(self, now_us: int) -> list[Action]:
-        """The process ends: say so."""
+        """Announce the end of the process."""
         return self.membership.left(now_us)
 
-    # --- the clock ---
+    # --- timers ---
 
     def next_us(self) -> int:
-        """When `tick` is wanted."""
+        """Return when to call `tick` next."""
         return min(self.membership.next_us(), self.owner.next_us(), self.tenure.next_us(), self.placing.next_us())
 
     def tick(self, now_us: int) -> list[Action]:
-        """What is due."""
+        """Do what is due."""
         actions = self.membership.tick(now_us)
         self.placing.saw(now_us, self.membership.changed())
         if self.membership.doubled:
             for part in self.owned(now_us):
                 self.owner.release(part)
                 self._content.shut(part)
-        actions += self._votes(now_us)
+        actions += self._run_owner(now_us)
         actions += self.tenure.tick(now_us, self.membership.members(), self.placing.holding)
         if self.voter is not None:
             for name, stand in self.voter.recover(now_us):
                 actions.append(self._errands.call(
-                    name, stand, self.owner.timeout_us, partial(self._stood, name)))
-        actions += self.placing.tick(now_us, self._stand)
-        return [*actions, *self._votes(now_us)]
+                    name, stand, self.owner.timeout_us, partial(self._on_stood, name)))
+        actions += self.placing.tick(now_us, self._registers)
+        return [*actions, *self._run_owner(now_us)]
 
     # --- members ---
 
     def packet(self, now_us: int, sender: str, address: str, packet: Packet) -> list[Action]:
-        """A datagram that this member has sealed for us."""
+        """Handle a datagram that `sender` sealed for this courier."""
         actions = self.membership.heard(now_us, sender, address, packet)
         self.placing.saw(now_us, self.membership.changed())
         return actions
 
     def asked(self, now_us: int, token: int, sender: str, ask: Ask) -> list[Action]:
-        """Over a member's stream."""
+        """Handle a request over a member's stream."""
         if isinstance(ask, Votes):
             if self.voter is None:
                 return []
             voted, records = self.voter.heard(now_us, sender, ask)
             return self._voted(now_us, voted, records, lambda _: [Reply(token, voted)])
         if isinstance(ask, Stand):
-            return [Reply(token, self._stand(sender))]
-        return [*self.tenure.asked(now_us, token, sender, ask), *self._votes(now_us)]
+            return [Reply(token, self._registers(sender))]
+        return [*self.tenure.asked(now_us, token, sender, ask), *self._run_owner(now_us)]
 
     def answered(self, now_us: int, token: int, answer: Answer | None) -> list[Action]:
-        """To a `Call`; None where none came in time."""
-        return [*self._errands.answered(now_us, token, answer), *self._votes(now_us)]
+        """Handle the answer to a `Call`, None after a timeout."""
+        return [*self._errands.answered(now_us, token, answer), *self._run_owner(now_us)]
 
     def saved(self, now_us: int, token: int, ok: bool) -> list[Action]:
-        """Of a `Save`: on disk, or not."""
-        return [*self._errands.saved(now_us, token, ok), *self._votes(now_us)]
+        """Handle the completion of a `Save`; `ok` is whether it is on disk."""
+        return [*self._errands.saved(now_us, token, ok), *self._run_owner(now_us)]
 
     # --- votes ---
 
-    def _votes(self, now_us: int) -> list[Action]:
-        """Ask the voters for what the owner's side wants, and heed what it has learnt."""
+    def _run_owner(self, now_us: int) -> list[Action]:
+        """Send the owner's batches to the voters and handle its events."""
         actions: list[Action] = []
         for voter, votes in self.owner.tick(now_us):
             if voter == self._me and self.voter is not None:
                 voted, records = self.voter.heard(now_us, self._me, votes)
-                actions += self._voted(now_us, voted, records, partial(self._heed, voter, votes, answer=voted))
+                actions += self._voted(now_us, voted, records, partial(self._on_votes, voter, votes, answer=voted))
             else:
                 actions.append(self._errands.call(
-                    voter, votes, self.owner.timeout_us, partial(self._heed, voter, votes)))
+                    voter, votes, self.owner.timeout_us, partial(self._on_votes, voter, votes)))
         return [*actions, *self.tenure.heed(now_us, self.owner.events(now_us))]
 
-    def _heed(self, voter: str, votes: Votes, now_us: int, answer: Answer | None) -> list[Action]:
+    def _on_votes(self, voter: str, votes: Votes, now_us: int, answer: Answer | None) -> list[Action]:
         voted = answer if isinstance(answer, Voted) else None
         return self.tenure.heed(now_us, self.owner.answered(now_us, voter, votes, voted))
 
     def _voted(self, now_us: int, voted: Voted, records: Sequence[bytes], then: Saved) -> list[Action]:
-        """A voter's answer leaves once what it rests on is on disk."""
+        """Call `then` with the voter's answer once the records it depends on are on disk."""
         def saved(at_us: int) -> list[Action]:
             assert self.voter is not None
             self.voter.saved(voted.place)
             return then(at_us)
         return self._errands.save(now_us, [VOTE + record for record in records], saved)
 
-    def _stand(self, asker: str) -> Stood:
-        """How the registers stand, for another voter, or for a courier that wants to know who has what."""
+    def _registers(self, asker: str) -> Stood:
+        """Return the registers of this voter, for another voter or a courier that needs the owners."""
         if self.voter is None:
             return Stood(True)
         return self.voter.stand(asker, self.owner.seen(asker))
 
-    def _stood(self, name: str, now_us: int, answer: Answer | None) -> list[Action]:
-        """To this voter, from another."""
+    def _on_stood(self, name: str, now_us: int, answer: Answer | None) -> list[Action]:
+        """Handle another voter's registers; None after a timeout."""
         assert self.voter is not None
         records = self.voter.stood(now_us, name, answer if isinstance(answer, Stood) else None)
         place = self.voter.place
@@ -200,5 +200,5 @@
         def saved(_: int) -> list[Action]:
             assert self.voter is not None
             self.voter.saved(place)
-            return [Note(f"voter: {'still learns' if self.voter.blank else 'knows'} where the registers stand")]
+            return [Note(f"voter: {'still recovering' if self.voter.blank else 'knows'} the registers")]
         return self._errands.save(now_us, [VOTE + record for record in records], saved)
--- a/wheelstep/fleet/packets.py
+++ b/wheelstep/fleet/packets.py
@@ -1,12 +1,12 @@
 """Sealed packets between the couriers of a fleet. No I/O; imports msgspec and the fleet's types.
 
 A packet is a version byte, HMAC-SHA-256 (RFC 2104) over that byte and the rest, and the rest in msgpack: lane, fleet,
-sender, receiver, the sender's boot number, its counter and the payload. Boot numbers of a courier rise with each of its
-lives (the larger of what it kept plus one and the wall clock's seconds does). Under a sender's highest boot number a
-window of counters tells what has been there already, as in IPsec (RFC 4303, 3.4.3).
+sender, receiver, the sender's boot number, its counter and the payload. The boot number of a courier increases with
+each run: it is the larger of the stored one plus one and the wall clock's seconds. Under the highest boot number of a
+sender, a sliding window of counters detects replays, as in IPsec (RFC 4303, 3.4.3).
 
-Datagrams and streams are two lanes with a `Seal` each: a packet of one is nothing in the other, and a stream that
-stalls does not fall out of the window that datagrams have moved on.
+Datagrams and streams are two lanes with a `Seal` each: a packet of one is refused in the other, and a stalled stream
+does not fall out of the window that datagrams advance.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 DATAGRAM_BYTES = 1_200
 STREAM_BYTES = 4 << 20
-WINDOW = 1_024  # counters
-SENDERS = 2_048
-NAME_BYTES = 64  # of a fleet or courier, at most
-KEY_BYTES = 16  # at least
-BOOTS = 1 << 62  # boot numbers are below this
+WINDOW_SIZE = 1_024  # counters
+MAX_SENDERS = 2_048
+NAME_BYTES = 64  # maximum, of a fleet or courier
+KEY_BYTES = 16  # minimum
+BOOTS = 1 << 62  # exclusive upper bound of boot numbers
 NOTE_EVERY_US = 10_000_000
 ELDER_EVERY_US = 1_000_000
 MAC_BYTES = 32
@@ -41,25 +41,25 @@
 class Reason(StrEnum):
     """Why a packet was refused."""
 
-    VERSION = "version"  # newer than ours
-    FLEET = "fleet"  # another fleet's, or another lane's
-    RECEIVER = "receiver"  # meant for another courier
-    SEAL = "seal"  # forged, damaged, cut, or under another key
-    REPLAY = "replay"  # was here already, or is too old to tell
-    OLD_BOOT = "old-boot"  # of an earlier life of its sender
-    MALFORMED = "malformed"  # its seal is good and its payload nothing that we know
+    VERSION = "version"  # newer than this courier's
+    FLEET = "fleet"  # of another fleet or lane
+    RECEIVER = "receiver"  # addressed to another courier
+    SEAL = "seal"  # forged, damaged, truncated, or with an unknown key
+    REPLAY = "replay"  # received before, or older than the window
+    OLD_BOOT = "old-boot"  # of an earlier run of its sender
+    MALFORMED = "malformed"  # validly sealed, but with an invalid payload
     SIZE = "size"
 
 
 EXPECTED = {
     Reason.VERSION: f"version {VERSION} or older", Reason.FLEET: "our fleet's name",
     Reason.RECEIVER: "our own name", Reason.SEAL: "a seal by one of our keys",
-    Reason.REPLAY: f"a new counter within {WINDOW} of the highest", Reason.OLD_BOOT: "the sender's present life",
+    Reason.REPLAY: f"a new counter within {WINDOW_SIZE} of the highest", Reason.OLD_BOOT: "the sender's present life",
     Reason.MALFORMED: "a payload of this version", Reason.SIZE: "fewer bytes"}
 
 
 class PacketError(Exception):
-    """A packet that was refused; it has changed nothing. `sender` is known where the seal was good."""
+    """A refused packet, which has changed no state. `sender` is known if the seal was valid."""
 
     def __init__(self, reason: Reason, sender: str = "") -> None:
         self.reason, self.sender = reason, sender
@@ -67,16 +67,16 @@
 
 
 class Elder(msgspec.Struct, frozen=True, array_like=True, tag=30):
-    """To a courier whose boot number is lower than one that it has had: the highest known of it."""
+    """Tells a courier with an outdated boot number the highest one known of it."""
 
     boot: int
 
 
 class Decoder(Protocol[T_co]):
-    """Such as `msgspec.msgpack.Decoder`: bytes to a value, or `msgspec.DecodeError`."""
+    """A payload decoder, such as `msgspec.msgpack.Decoder`."""
 
     def decode(self, data: bytes, /) -> T_co:
-        """The value."""
+        """Return the value. Raises `msgspec.DecodeError`."""
         ...
 
 
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened(Generic[T]):
-    """A packet whose seal, addressing and freshness were good."""
+    """A packet with a valid seal, receiver and counter."""
 
     sender: str
     boot: int
@@ -105,27 +105,27 @@
 
 @dataclass(slots=True)
 class _Window:
-    """Of one sender: bit n of `seen` stands for the counter `highest - n`."""
+    """Replay window of one sender: bit n of `bitmap` is set if counter `highest - n` was received."""
 
     boot: int
     highest: int = 0
-    seen: int = 0
+    bitmap: int = 0
 
-    def fresh(self, counter: int) -> bool:
-        behind = self.highest - counter
-        return behind < 0 or (behind < WINDOW and not self.seen >> behind & 1)
+    def is_new(self, counter: int) -> bool:
+        offset = self.highest - counter
+        return offset < 0 or (offset < WINDOW_SIZE and not self.bitmap >> offset & 1)
 
-    def note(self, counter: int) -> None:
+    def mark(self, counter: int) -> None:
         if counter > self.highest:
-            # A jump beyond the window empties it; shifting by it would cost memory by its size.
-            self.seen = self.seen << min(counter - self.highest, WINDOW) & ((1 << WINDOW) - 1)
+            # The shift is capped: a large jump empties the window, and an uncapped shift would allocate that many bits.
+            self.bitmap = self.bitmap << min(counter - self.highest, WINDOW_SIZE) & ((1 << WINDOW_SIZE) - 1)
             self.highest = counter
-        self.seen |= 1 << (self.highest - counter)
+        self.bitmap |= 1 << (self.highest - counter)
 
 
 class Seal:
-    """Seals with the first key, opens with any: a key is replaced by adding the new one as last everywhere, then
-    making it first everywhere, then taking the old one away. ValueError for short keys and long names."""
+    """Seals with the first key and opens with any. To replace a key, append the new one at all couriers, then make it
+    the first at all, then remove the old one. Raises `ValueError` for short keys and long or empty names."""
 
     def __init__(self, keys: bytes | Sequence[bytes], fleet: str, me: str, boot: int, *, lane: str = "datagram",
                  most_bytes: int = DATAGRAM_BYTES) -> None:
@@ -135,41 +135,41 @@
         for name in (fleet, me):
             if not 0 < len(name.encode()) <= NAME_BYTES:
                 raise ValueError(f"name {name!r}: expected 1 to {NAME_BYTES} bytes")
-        self._fleet, self._me, self._lane, self._most = fleet, me, lane, most_bytes
+        self._fleet, self._me, self._lane, self._max_bytes = fleet, me, lane, most_bytes
         self.boot = boot
         self._counter = 0
-        self._windows: OrderedDict[str, _Window] = OrderedDict()  # the one heard last is last
-        self._elders: OrderedDict[str, int] = OrderedDict()  # when we last told whom
+        self._windows: OrderedDict[str, _Window] = OrderedDict()  # least recently heard first
+        self._elder_sent_us: OrderedDict[str, int] = OrderedDict()  # by receiver, when an `Elder` was last sent
         self._raised_us: int | None = None
         self.refused: Counter[str] = Counter()
-        self._noted: dict[Reason, tuple[int, int]] = {}  # when a line was given, and the count then
-        self._last: dict[Reason, PacketError] = {}
+        self._logged: dict[Reason, tuple[int, int]] = {}  # time of the last log line, and the count then
+        self._last_errors: dict[Reason, PacketError] = {}
 
     def pack(self, to: str, payload: object) -> bytes:
-        """Sealed for the courier `to`, which may only be unknown ("") for a `Hello`. ValueError where it gets too
-        large; that counter is not used."""
+        """Return the payload sealed for courier `to`, which may be unknown ("") only for a `Hello`. Raises `ValueError`
+        if it is too large; the counter is then not used up."""
         if not to and not isinstance(payload, Hello):
             raise ValueError("a packet to an unknown receiver: expected a Hello")
         raw = msgspec.Raw(msgspec.msgpack.encode(payload))
         body = msgspec.msgpack.encode(_Sealed(self._lane, self._fleet, self._me, to, self.boot, self._counter + 1, raw))
-        if 1 + MAC_BYTES + len(body) > self._most:
+        if 1 + MAC_BYTES + len(body) > self._max_bytes:
             raise ValueError(f"{type(payload).__name__} of {1 + MAC_BYTES + len(body)} bytes sealed: "
-                             f"expected {self._most} at most")
+                             f"expected {self._max_bytes} at most")
         self._counter += 1
         version = bytes((VERSION,))
         return version + _mac(self._keys[0], version, body) + body
 
     def open(self, data: bytes, decoder: Decoder[T]) -> Opened[T]:
-        """What another courier packed for us, once. PacketError, counted, for all else."""
+        """Verify and decode a packet, once. Raises `PacketError`, counted in `refused`."""
         try:
             return self._open(data, decoder)
         except PacketError as error:
             self.refused[error.reason] += 1
-            self._last[error.reason] = error
+            self._last_errors[error.reason] = error
             raise
 
     def _open(self, data: bytes, decoder: Decoder[T]) -> Opened[T]:
-        if len(data) > self._most:
+        if len(data) > self._max_bytes:
             raise PacketError(Reason.SIZE)
         version, mac, body = data[:1], data[1:1 + MAC_BYTES], data[1 + MAC_BYTES:]
         if version > bytes((VERSION,)):
@@ -192,7 +192,7 @@
             raise PacketError(Reason.OLD_BOOT, sender)
         if window is None or sealed.boot > window.boot:
             window = _Window(sealed.boot)
-        if not window.fresh(sealed.counter):
+        if not window.is_new(sealed.counter):
             raise PacketError(Reason.REPLAY, sender)
         try:
             payload = decoder.decode(bytes(sealed.payload))
@@ -200,27 +200,27 @@
             raise PacketError(Reason.MALFORMED, sender) from None
         if not sealed.receiver and not isinstance(payload, Hello):
             raise PacketError(Reason.RECEIVER, sender)
-        window.note(sealed.counter)
+        window.mark(sealed.counter)
         self._windows[sender] = window
         self._windows.move_to_end(sender)
-        if len(self._windows) > SENDERS:
+        if len(self._windows) > MAX_SENDERS:
             self._windows.popitem(last=False)
         return Opened(sender, sealed.boot, payload)
 
     def stale_boot(self, sender: str, now_us: int) -> bytes | None:
-        """After an `old-boot`: the packet that tells the sender so, at most one a second to each."""
-        window, told_us = self._windows.get(sender), self._elders.get(sender)
-        if window is None or (told_us is not None and now_us - told_us < ELDER_EVERY_US):
+        """Return the `Elder` packet for a sender refused with `old-boot`; None if one was sent within a second."""
+        window, sent_us = self._windows.get(sender), self._elder_sent_us.get(sender)
+        if window is None or (sent_us is not None and now_us - sent_us < ELDER_EVERY_US):
             return None
-        self._elders[sender] = now_us
-        self._elders.move_to_end(sender)
-        if len(self._elders) > SENDERS:
-            self._elders.popitem(last=False)
+        self._elder_sent_us[sender] = now_us
+        self._elder_sent_us.move_to_end(sender)
+        if len(self._elder_sent_us) > MAX_SENDERS:
+            self._elder_sent_us.popitem(last=False)
         return self.pack(sender, Elder(window.boot))
 
     def heard_elder(self, elder: Elder, now_us: int) -> bool:
-        """Somebody knows a later life of ours than this one (our disk was emptied): from now on ours is above it, to
-        be kept on disk. At most once in 10 seconds; False where nothing changed."""
+        """Raise the boot number above the one known to others, after a loss of the disk; the caller saves it. At most
+        once in 10 seconds. Return False if nothing changed."""
         raised_us = self._raised_us
         if (not self.boot < elder.boot < BOOTS - 1
                 or (raised_us is not None and now_us - raised_us < NOTE_EVERY_US)):
@@ -230,14 +230,14 @@
         return True
 
     def notes(self, now_us: int) -> list[str]:
-        """Lines for the operators about what was refused: one a reason in 10 seconds."""
+        """Return log lines about refused packets, at most one per reason in 10 seconds."""
         lines = []
-        for reason, error in self._last.items():
-            last_us, told = self._noted.get(reason, (now_us - NOTE_EVERY_US, 0))
+        for reason, error in self._last_errors.items():
+            last_us, logged_count = self._logged.get(reason, (now_us - NOTE_EVERY_US, 0))
             count = self.refused[reason]
-            if count > told and now_us - last_us >= NOTE_EVERY_US:
-                self._noted[reason] = (now_us, count)
-                lines.append(f"fleet {self._fleet}, {self._lane}: {error}; {count - told} since the last line")
+            if count > logged_count and now_us - last_us >= NOTE_EVERY_US:
+                self._logged[reason] = (now_us, count)
+                lines.append(f"fleet {self._fleet}, {self._lane}: {error}; {count - logged_count} since the last line")
         return lines
 
 
--- a/wheelstep/fleet/peers.py
+++ b/wheelstep/fleet/peers.py
@@ -1,5 +1,5 @@
-"""The sockets of a fleet: sealed datagrams, and sealed asks over HTTP. Everything that is not a good seal is counted
-and told now and then; nothing of it goes further.
+"""The sockets of a fleet: sealed datagrams, and sealed requests over HTTP. Packets without a valid seal are counted,
+logged at intervals, and dropped.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from wheelstep.moves.types import Moved
 
 _PATH = "/fleet"
-_MOST_ASKS = 256  # of peers, under way at once
+_MAX_REQUESTS = 256  # concurrent, of all peers
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 
 
 class Peers(asyncio.DatagramProtocol):
-    """`heard` gets datagrams (sender, address, packet), `asked` answers asks (sender, ask)."""
+    """`heard` gets datagrams (sender, address, packet); `asked` answers requests (sender, ask)."""
 
     def __init__(self, keys: Sequence[bytes], fleet: str, me: str, boot: int, now_us: Callable[[], int], heard: Heard,
                  asked: Asked) -> None:
@@ -39,23 +39,23 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._runner: web.AppRunner | None = None
         self._session: aiohttp.ClientSession | None = None
-        self._open = 0
-        self._dropped = 0  # datagrams that the system could not send, asks beyond the bound
+        self._active_requests = 0
+        self._dropped = 0  # datagrams that the system could not send, requests beyond the limit
 
     @property
     def dropped(self) -> int:
-        """Datagrams that could not be sent, asks beyond the bound."""
+        """Number of datagrams that could not be sent and of requests beyond the limit."""
         return self._dropped + self._packets.dropped
 
     async def start(self, listen: Address) -> None:
-        """Listen. Raises `OSError`."""
+        """Listen on UDP and TCP. Raises `OSError`."""
         app = web.Application(client_max_size=STREAM_BYTES + 1024)
         app.router.add_post(_PATH, self._serve)
         self._runner = web.AppRunner(app, access_log=None, handle_signals=False)
         await self._runner.setup()
-        stream = socket.create_server((listen.host, listen.port))
-        port = stream.getsockname()[1]
-        await web.SockSite(self._runner, stream).start()
+        listener = socket.create_server((listen.host, listen.port))
+        port = listener.getsockname()[1]
+        await web.SockSite(self._runner, listener).start()
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=(listen.host, port))
         self._session = aiohttp.ClientSession(
@@ -63,7 +63,7 @@
             auto_decompress=False, trust_env=False)
 
     async def close(self) -> None:
-        """End all of it."""
+        """Close all sockets and connections."""
         if self._transport is not None:
             self._transport.close()
         if self._session is not None:
@@ -74,7 +74,7 @@
     # --- datagrams ---
 
     def send(self, address: str, name: str, packet: Packet) -> None:
-        """To the member `name` ("" if it is not known) at an address; may be lost."""
+        """Send to the member `name` ("" if unknown) at an address. The datagram may be lost."""
         self._packets.send(address, name, packet)
 
     def _sendto(self, data: bytes, address: str) -> None:
@@ -83,20 +83,22 @@
             self._transport.sendto(data, (host, int(port)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Handle a datagram from the socket."""
         self._packets.received(data, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
+        """Count a send error that the system reported."""
         self._dropped += 1
 
     def _elder(self, elder: Elder) -> None:
         for seal in (self.datagrams, self.streams):
             if seal.heard_elder(elder, self._now_us()):
-                log.warning("the fleet knows a later life of this courier: boot %d from now on", seal.boot)
+                log.warning("the fleet knows a higher boot number of this courier: now using boot %d", seal.boot)
 
     # --- streams ---
 
     async def ask(self, address: str, name: str, ask: Ask, timeout_s: float) -> Answer | None:
-        """A member's answer, or None."""
+        """Send a request to a member and return its answer; None on any failure."""
         if self._session is None:
             return None
         try:
@@ -115,10 +117,10 @@
         return opened.payload if isinstance(opened.payload, Voted | Stood | Moved) else None
 
     async def _serve(self, request: web.Request) -> web.Response:
-        if self._open >= _MOST_ASKS:
+        if self._active_requests >= _MAX_REQUESTS:
             self._dropped += 1
             return web.Response(status=503)
-        self._open += 1
+        self._active_requests += 1
         try:
             opened = self.streams.open(await request.read(), STREAM)
             if isinstance(opened.payload, Elder | Voted | Stood | Moved):
@@ -130,12 +132,12 @@
                 elder = self.streams.stale_boot(error.sender, self._now_us())
             return web.Response(status=409, body=elder) if elder is not None else web.Response(status=400)
         finally:
-            self._open -= 1
+            self._active_requests -= 1
         if answer is None:
             return web.Response(status=503)
         return web.Response(body=self.streams.pack(opened.sender, answer))
 
     def notes(self) -> list[str]:
-        """Lines for operators about what was refused."""
+        """Return log lines about refused packets."""
         now_us = self._now_us()
         return [*self.datagrams.notes(now_us), *self.streams.notes(now_us)]
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -1,4 +1,4 @@
-"""`[fleet]` of the operator's file. Only imported where the file has it."""
+"""The `[fleet]` table of the operator's file. Imported only if the file has it."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from wheelstep.moves.steps import Limits
 from wheelstep.moves.swap import Pace
 
-KEY_BYTES = 32  # at least, of a fleet's key
+KEY_BYTES = 32  # minimum length of a fleet key
 
 Address = Annotated[str, Field(pattern=r"^[^\s:]+:\d{1,5}$")]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 
 
 class FleetError(Exception):
-    """`[fleet]` can't be used; one line with place and expectation."""
+    """Invalid `[fleet]` table. The message is one line with the place, the value found and the value expected."""
 
 
 class ShardsPart(Part):
-    """Destinations divided among the couriers (wheelstep.shards)."""
+    """Sharding of destinations among the couriers (wheelstep.shards)."""
 
     on: bool = False
-    count: Annotated[int, Field(ge=1, le=1 << 20)] = 16_384  # the same at all, for good
-    regions: Annotated[int, Field(ge=1, le=16)] = 1  # each has a home of its own for every destination
-    control: Annotated[dict[Name, Address], Field(max_length=256)] = {}  # machines that tell the list by shard
-    load: Annotated[float, Field(ge=1.05, le=4)] = 1.25  # a courier's shards over its part by weight, at most
+    count: Annotated[int, Field(ge=1, le=1 << 20)] = 16_384  # equal at all couriers, and fixed
+    regions: Annotated[int, Field(ge=1, le=16)] = 1  # each has its own home for every destination
+    control: Annotated[dict[Name, Address], Field(max_length=256)] = {}  # control machines, which send lists by shard
+    load: Annotated[float, Field(ge=1.05, le=4)] = 1.25  # maximum ratio of a courier's shards to its share by weight
     guests: Annotated[int, Field(ge=1, le=4_096)] = 64
     guest_idle: Annotated[Time, Field(ge=100_000, le=3_600_000_000)] = 30_000_000
     opens_within: Annotated[Time, Field(ge=0, le=5_000_000)] = 300_000
@@ -40,15 +40,15 @@
 
 
 class FleetPart(Part):
-    """The couriers that share work with this one."""
+    """Settings of the fleet that this courier belongs to."""
 
     on: bool = False
     name: Name = "fleet"
     key_file: Path | None = None
-    old_key_files: Annotated[tuple[Path, ...], Field(max_length=4)] = ()  # opened, never sealed with
+    old_key_files: Annotated[tuple[Path, ...], Field(max_length=4)] = ()  # used only for opening
     listen: Address | None = None  # peers, UDP and TCP
-    address: Address | None = None  # where peers reach it, if that is not `listen`
-    serves: Address | None = None  # where clients reach it, if that is not the courier's own address
+    address: Address | None = None  # where peers reach it, if different from `listen`
+    serves: Address | None = None  # where clients reach it, if different from the courier's own address
     peers: Annotated[dict[Name, Address], Field(max_length=2_000)] = {}
     voters: Annotated[tuple[Name, ...], Field(max_length=5)] = ()
     parts: Annotated[int, Field(ge=1, le=1024)] = 64
@@ -68,7 +68,7 @@
 
 
 def settings_of(part: FleetPart) -> NodeSettings:
-    """The node's, of the operator's table."""
+    """Return the node settings for the operator's table."""
     return NodeSettings(
         part.voters, part.parts, part.lease, part.clock_drift, margin_us=part.lease // 30, at_once=part.moves_at_once,
         pace_us=part.move_pace, probation_us=part.probation, members=MemberLimits(period_us=part.probe_every),
@@ -77,14 +77,14 @@
 
 
 class Fleet:
-    """What a courier of a fleet is told: its table, the fleet's keys, and the contracts."""
+    """The configuration of a fleet: its table, keys and contracts."""
 
     def __init__(self, part: FleetPart, keys: list[bytes], contracts: Contracts) -> None:
         self.part, self.keys, self.contracts = part, keys, contracts
 
 
 def read(table: Any, contracts: Any, folder: Path) -> Fleet | None:
-    """Check the tables `fleet` and `contract` of a file in this folder; None where the fleet is off. Raises
+    """Return the checked tables `fleet` and `contract` of a file in `folder`; None if the fleet is off. Raises
     `FleetError`."""
     try:
         part = FleetPart.model_validate(table if table is not None else {})
@@ -120,7 +120,7 @@
 
 
 def read_key(path: Path) -> bytes:
-    """A key from a file of hexadecimal digits. Raises `ValueError` with what was found and expected."""
+    """Read a key from a file of hexadecimal digits. Raises `ValueError` with what was found and expected."""
     try:
         key = bytes.fromhex(path.read_text(encoding="ascii").strip())
     except (OSError, ValueError) as error:
