--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -20,6 +20,7 @@
 
 
 def even(result: dict[int, str], parts: int, weights: dict[str, float]) -> bool:
+    """Return whether each courier's count is less than one part off its share."""
     total = sum(weights.values())
     return len(result) == parts and all(
         abs(sum(owner == name for owner in result.values()) - parts * weight / total) < 1 - 1e-9
@@ -38,6 +39,7 @@
 @given(st.integers(1, 6), weights_of, st.data())
 def test_assignment_is_proportional_with_the_fewest_moves(
         parts: int, weights: dict[str, float], data: st.DataObject) -> None:
+    """Also independent of the order of its inputs, and stable when applied to its own result."""
     owners = data.draw(st.dictionaries(st.integers(0, parts - 1), st.sampled_from([*NAMES, "gone"])))
     result = assign(parts, weights, owners)
     if not any(weights.values()):
@@ -53,16 +55,19 @@
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(1, 300), st.dictionaries(st.text(max_size=4), st.floats(0.01, 100), min_size=1, max_size=40))
 def test_large_assignments_are_proportional_for_any_weights(parts: int, weights: dict[str, float]) -> None:
+    """Rounding must not accumulate over many couriers."""
     assert even(assign(parts, weights, {}), parts, weights)
 
 
 def test_share_that_is_integral_except_for_rounding_is_exact() -> None:
+    """Floating-point error must not cost a part."""
     weights = {"a": 0.7, "b": 0.1, "c": 0.1, "d": 0.6}  # "d" has 8 of 20, computed slightly lower
     owners = dict(enumerate("daabbadbdddacabaacba"))
     assert list(assign(20, weights, owners).values()).count("d") == 8
 
 
 def test_views_differing_in_one_courier_agree_on_most_free_parts() -> None:
+    """Couriers with different views must rarely compete for a part."""
     weights = {f"courier-{number}": 1.0 for number in range(12)}
     whole = assign(1024, weights, {})
     less = assign(1024, {name: weight for name, weight in weights.items() if name != "courier-3"}, {})
@@ -73,6 +78,7 @@
 # --- the plan of one courier ---
 
 def member(name: str, state: State = State.ALIVE, version: int = 1, weight: float = 1.0) -> Member:
+    """Return a member with the given state, version and weight."""
     return Member(name, 1, state, "", "", weight, "", version)
 
 
@@ -88,12 +94,14 @@
 
 
 def test_each_free_part_is_acquired_by_exactly_one_courier() -> None:
+    """Couriers with equal views must not compete or leave parts unowned."""
     plans = [placement(name).plan(NOW_US, ()) for name in NAMES]
     assert sorted(part for plan in plans for part in plan.free) == list(range(12))
     assert not any(plan.away for plan in plans)
 
 
 def test_parts_of_a_gone_courier_are_free_and_of_a_suspect_not() -> None:
+    """A suspect may still hold its leases."""
     for state, free in ((State.SUSPECT, 0), (State.GONE, 3)):
         plans = []
         for me in "abc":
@@ -107,6 +115,7 @@
 
 
 def test_leaving_courier_gives_all_parts_to_staying_ones_within_bound_and_pace() -> None:
+    """Moves that start all at once would overload couriers."""
     place = placement(at_once=2, pace_us=SECOND_US)
     for part in range(12):
         place.owned(part, NAMES[part % 4])
@@ -127,6 +136,7 @@
 
 
 def test_courier_on_probation_keeps_its_parts_and_is_given_none() -> None:
+    """A courier that restarts repeatedly must not attract parts."""
     place = placement()
     for part in range(12):
         place.owned(part, "abc"[part % 3])
@@ -142,6 +152,7 @@
 
 
 def test_probation_doubles_with_each_flap_within_an_hour_up_to_a_bound() -> None:
+    """Orderly leaves do not count as flaps."""
     place = placement()
     now_us = NOW_US
     waits = []
@@ -162,6 +173,7 @@
 
 
 def test_if_all_couriers_are_on_probation_free_parts_are_assigned() -> None:
+    """A new fleet must not wait for the probation to end."""
     place = Placement("a", 12, 2, 0, PROBATION_US)
     place.saw(0, member("a"))
     place.saw(0, member("b"))
@@ -174,10 +186,12 @@
 
 
 def placement_none() -> object:
+    """Return the empty plan."""
     return Placement("a", 12, 2, 0, 0).plan(0, ())
 
 
 def test_part_is_not_placed_on_an_older_version_than_its_owner() -> None:
+    """An older courier may not understand the part's content."""
     place = placement(at_once=12)
     place.saw(NOW_US, member("a", State.LEAVING, version=2))
     place.saw(NOW_US, member("c", version=2))
@@ -194,6 +208,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_rolling_replacement_needs_at_most_ten_percent_more_moves(seed: int) -> None:
+    """Replacing couriers one by one must move each part about once."""
     rng = random.Random(seed)
     owners: dict[int, str] = {}
     weights = {f"old-{number}": 1.0 for number in range(12)}
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -30,6 +30,7 @@
 
 
 def test_crash_or_power_loss_at_any_operation_keeps_synced_records_and_adds_none() -> None:
+    """A voter that loses a synced record may grant a second lease."""
     whole = FaultyDisk(0)
     write_and_compact(whole, [], [0])
     assert whole.count > 40
@@ -48,6 +49,7 @@
 
 
 def test_boot_number_increases_at_each_start_and_after_damage() -> None:
+    """Receivers refuse packets with a boot number lower than the highest seen."""
     disk = FaultyDisk(1)
     boots = []
     for _ in range(3):
@@ -69,6 +71,7 @@
 
 
 def test_flipped_bit_is_detected_except_in_the_last_frame_which_is_dropped() -> None:
+    """Damage to synced frames must not pass for a torn tail."""
     disk = FaultyDisk(2)
     log, _ = Log.open(disk)
     appended = [[bytes([place]) * 30] for place in range(6)]
@@ -93,21 +96,23 @@
 
 
 def test_size_is_bounded_by_the_compacted_size_across_restarts() -> None:
+    """The compaction threshold must survive a restart."""
     disk = FaultyDisk(3)
-    live, most = [b"r" * 100] * 50, 0
+    live, max_size = [b"r" * 100] * 50, 0
     for _ in range(20):
         log, _ = Log.open(disk)
         for _ in range(200):
             log.append([b"c" * 200])
             log.sync()
-            most = max(most, len(disk.files[NAME].data))
+            max_size = max(max_size, len(disk.files[NAME].data))
             if log.bloated:
                 log.compact(live)
         log.close()
-    assert COMPACT_SLACK_BYTES < most < 2 * 6_000 + COMPACT_SLACK_BYTES + 1_000
+    assert COMPACT_SLACK_BYTES < max_size < 2 * 6_000 + COMPACT_SLACK_BYTES + 1_000
 
 
 def test_full_disk_raises_and_the_log_stays_usable() -> None:
+    """A partial frame left by the failed write would hide later records."""
     disk = FaultyDisk(4, room=4096)
     log, _ = Log.open(disk)
     log.append([b"first"])
@@ -123,6 +128,7 @@
 
 
 def test_after_a_failed_sync_every_write_raises() -> None:
+    """After a failed sync the state on disk is unknown until the log is reopened."""
     disk = FaultyDisk(5)
     log, _ = Log.open(disk)
     log.append([b"first"])
--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -20,6 +20,7 @@
 
 
 def test_without_a_fleet_its_modules_are_not_imported() -> None:
+    """A courier without a fleet must not need its dependencies."""
     code = ("import sys, wheelstep.courier.__main__; "
             "print([name for name in sys.modules if name.startswith(('wheelstep.fleet', 'wheelstep.channels', "
             "'wheelstep.moves', 'msgspec', 'xxhash', 'pydantic'))])")
@@ -39,6 +40,7 @@
 
 
 def test_valid_table_is_read_and_a_disabled_one_gives_none(tmp_path: Path) -> None:
+    """`on = false` must have no effect on the courier."""
     fleet = load(str(written(tmp_path, GOOD, '[[contract]]\nname = "updates"\norder = "strict"\n'))).fleet
     assert fleet.keys == [KEY] and fleet.contracts.names() == ["updates"] and fleet.part.parts == 64
     assert load(str(written(tmp_path, "on = false"))).fleet is None
@@ -59,12 +61,14 @@
     (GOOD, "[workers]\ncount = 2\n", "workers.count: 2 beside fleet.on = true"),
 ])
 def test_invalid_table_is_reported_in_one_line(tmp_path: Path, fleet: str, more: str, told: str) -> None:
+    """The message names the key, the value found and the value expected."""
     with pytest.raises(OperatorError) as error:
         load(str(written(tmp_path, fleet, more)))
     assert told in str(error.value) and "\n" not in str(error.value)
 
 
 def test_short_or_invalid_key_is_refused(tmp_path: Path) -> None:
+    """A weak key would allow forged packets."""
     path = written(tmp_path, GOOD)
     for text in ("abc", "00" * 31, "no key"):
         (tmp_path / "fleet.key").write_text(text)
@@ -96,6 +100,7 @@
 
 
 def test_peers_exchange_packets_and_an_unknown_key_is_refused() -> None:
+    """Each refused packet is counted under its reason and reaches no handler."""
     async def scene() -> None:
         a, b, stranger = Side("a"), Side("b"), Side("a", OTHER)
         sides = (a, b, stranger)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,6 +17,7 @@
 
 
 def member(name: str, incarnation: int = 0, state: State = State.ALIVE, address: str = "") -> Member:
+    """Return a member with an address derived from its name."""
     return Member(name, incarnation, state, address or f"@{name}", f"http://{name}")
 
 
@@ -42,6 +43,7 @@
 @pytest.mark.parametrize("count", [3, 30])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_at_20_percent_loss_no_member_is_declared_gone_and_a_death_is_detected(count: int, seed: int) -> None:
+    """Lost probes must be covered by indirect probes and refutation."""
     world = World(count, seed, loss=0.2)
     world.form()
     world.run(240 if count == 3 else 60)  # 480 and 120 periods
@@ -53,6 +55,7 @@
 
 @pytest.mark.parametrize("count", [3, 30])
 def test_with_a_one_way_link_no_member_is_declared_gone(count: int) -> None:
+    """A member whose packets are lost only towards one courier must be reached through others."""
     world = World(count, 1)
     world.form()
     world.cut = lambda sender, receiver: (sender, receiver) == ("c0", "c1")
@@ -62,6 +65,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_stalled_courier_suspects_nobody_and_rejoins(seed: int) -> None:
+    """Packets missed during a stall must not count as failures of others."""
     world = World(12, seed)
     world.form()
     world.run(5)
@@ -81,6 +85,7 @@
 
 
 def test_partition_heals() -> None:
+    """Members declared gone on both sides must be retried, or the halves stay apart."""
     world = World(20, 5)
     world.form()
     world.run(3)
@@ -96,6 +101,7 @@
 
 
 def test_duplicate_name_is_refused_until_the_first_courier_is_dead() -> None:
+    """Two couriers with one name would share leases."""
     world = World(5, 1)
     world.form()
     world.run(3)
@@ -140,6 +146,7 @@
 
 
 def test_gone_member_returns_only_with_a_higher_incarnation() -> None:
+    """Delayed updates of the same incarnation must not revive a gone member."""
     courier = alone()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     for told in (member("a", 1), member("a", 0), member("a", 1, State.SUSPECT), member("a", 1, State.LEAVING)):
@@ -150,6 +157,7 @@
 
 
 def test_gone_member_is_informed_and_its_updates_of_others_are_ignored() -> None:
+    """A member that returns from a partition has outdated views of others."""
     courier = alone()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     actions = courier.heard(2, "a", "@a", Ping(9, (member("a", 1), member("b", 1, State.GONE))))
@@ -159,6 +167,7 @@
 
 @pytest.mark.parametrize("state", [State.SUSPECT, State.GONE])
 def test_suspected_courier_refutes_with_a_higher_incarnation(state: State) -> None:
+    """A live member that does not refute is declared gone."""
     courier = alone()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("me", 3, state))))
     assert (courier.me.incarnation, courier.me.state, courier.health) == (4, State.ALIVE, 1)
@@ -171,6 +180,7 @@
 
 
 def test_unknown_sender_gets_a_hello_and_its_updates_are_ignored() -> None:
+    """A forged name must not bring members into the table."""
     courier = alone()
     told = (member("x"), member("y"))
     assert courier.heard(1, "x", "@x", Ping(1, told)) == [SendPacket("@x", Hello((courier.me,)))]
@@ -232,6 +242,7 @@
 
 
 def test_late_tick_worsens_own_health_and_suspects_nobody() -> None:
+    """A tick 10 s late is a stall of this courier, not a failure of its probe target."""
     courier = alone()
     courier.tick(courier.next_us())  # sends a probe
     actions = courier.tick(10_000_000)
--- a/tests/test_membership_news.py
+++ b/tests/test_membership_news.py
@@ -17,10 +17,12 @@
 
 
 def size(*members: Member) -> int:
+    """Return the encoded size of the members."""
     return sum(len(msgspec.msgpack.encode(one)) for one in members)
 
 
 def test_least_sent_update_goes_first_and_most_sent_is_dropped_when_full() -> None:
+    """Else a new update could wait behind ones that are widely known."""
     each = size(member("m0"))
     news = News(Limits(news_bytes=2 * each, news_most=4))
     for number in range(4):
@@ -40,6 +42,7 @@
 
 
 def test_rolls_list_each_member_once_at_a_bounded_rate_and_size() -> None:
+    """The answer to a hello must not be one unlimited burst, nor omit a member."""
     head, everybody = [member("me")], [member(f"m{number:03}") for number in range(60)]
     limits = Limits(rolls_most=8)
     rolls, rng = Rolls(limits), random.Random(1)
@@ -64,6 +67,7 @@
 
 
 def test_sender_of_a_roll_with_gone_members_gets_them_as_suspects() -> None:
+    """Views that differ after a partition must converge: the members refute if alive."""
     courier = alone()
     gone = [member(f"g{number}", 1, GONE) for number in range(40)]
     for one in gone:
@@ -80,6 +84,7 @@
 
 
 def test_roll_update_of_a_known_member_is_gossiped() -> None:
+    """Such an update may be new to other members too."""
     courier = alone()
     courier.heard(1, "b", "@b", Roll(0, (member("b", 1), member("a", 2), member("new"))))
     (action,) = courier.heard(2, "b", "@b", Ping(1, (member("b", 1),)))
@@ -87,6 +92,7 @@
 
 
 def test_leaving_and_gone_are_announced_and_a_gone_courier_is_silent() -> None:
+    """After GONE the courier must neither send nor answer."""
     courier = alone()
     assert {(one.address, one.packet.news[0].state) for one in courier.leave(1)} == {  # type: ignore[union-attr]
         ("@a", State.LEAVING), ("@b", State.LEAVING)}
@@ -97,6 +103,7 @@
 
 
 def test_leaving_member_is_informed_of_its_suspicion() -> None:
+    """LEAVING overrules SUSPECT in its state, but it must still learn of it to refute it."""
     courier = alone()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1, State.LEAVING),)))
     courier._view.suspect(courier.members()["a"], 1)
@@ -105,6 +112,7 @@
 
 
 def test_ack_from_a_gone_member_is_answered_by_a_hello() -> None:
+    """The hello tells the member that it is considered gone."""
     courier = alone()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, GONE))))
     assert courier.heard(2, "a", "@a", Ack(1, (member("a", 1),))) == [
@@ -112,6 +120,7 @@
 
 
 def test_refutation_exceeds_the_update_and_stays_below_the_incarnation_limit() -> None:
+    """A forged update at the limit must not use up the incarnations."""
     courier = alone()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("me", 7, SUSPECT))))
     assert courier.me.incarnation == 8
@@ -120,6 +129,7 @@
 
 
 def test_duplicate_gets_a_hello_and_its_updates_are_ignored() -> None:
+    """The hello tells the duplicate which courier holds the name."""
     courier = alone()
     actions = courier.heard(1, "a", "@z", Ping(1, (member("a", 9, address="@z"), member("b", 1, GONE))))
     assert [one for one in actions if not isinstance(one, Note)] == [
@@ -132,6 +142,7 @@
 
 
 def test_roster_keeps_the_overruling_update() -> None:
+    """Precedence is by incarnation, then state; updates of a duplicate are refused."""
     roster = Roster("me", {}, Limits())
     assert roster.merge(member("a", 1), 0) and not roster.merge(member("a", 1), 0)
     assert roster.merge(msgspec.structs.replace(member("a", 1, SUSPECT), weight=9.0, serves="x"), 0)
@@ -147,11 +158,13 @@
 
 @pytest.mark.parametrize("weight", [-1.0, float("inf"), float("nan")])
 def test_negative_or_infinite_weight_is_malformed(weight: float) -> None:
+    """Such a weight would break the assignment of parts."""
     roster = Roster("me", {}, Limits())
     assert not roster.merge(msgspec.structs.replace(member("a"), weight=weight), 0) and roster.refused["malformed"] == 1
 
 
 def test_gone_members_are_evicted_when_full_and_release_their_address() -> None:
+    """Gone members must not block new ones or shadow a reused address."""
     roster = Roster("me", {"s": "@s"}, Limits(members_most=3, gone_kept_us=100))
     roster.merge(member("a", 1), 0)
     roster.merge(member("b", 1, address="@a"), 0)  # another name at the same address
--- a/tests/test_membership_rules.py
+++ b/tests/test_membership_rules.py
@@ -24,6 +24,7 @@
 
 
 def packets(at_us: int, actions: list[Action]) -> Sent:
+    """Return the packets among the actions, with the time and the receiver's name."""
     return [(at_us, one.address[1:], one.packet) for one in actions if isinstance(one, SendPacket)]
 
 
@@ -43,14 +44,17 @@
 
 
 def mute(to: str, packet: Packet) -> None:
+    """Answer nothing."""
     return None
 
 
 def acks(to: str, packet: Packet) -> Packet | None:
+    """Answer pings with acks."""
     return Ack(packet.seq, (member(to, 1),)) if isinstance(packet, Ping) else None
 
 
 def of(kind: type, sent: Sent) -> Sent:
+    """Return the sent packets of one type."""
     return [one for one in sent if isinstance(one[2], kind)]
 
 
@@ -64,6 +68,7 @@
 
 
 def test_probe_rounds_are_shuffled_and_a_new_member_gets_a_random_place() -> None:
+    """Each member is probed once per round, or detection time is unbounded."""
     names = [f"c{number}" for number in range(12)]
     sent = of(Ping, play(amid(12), 36 * S // 2, acks))
     rounds = [[to for _, to, _ in sent[start:start + 12]] for start in (0, 12, 24)]
@@ -72,6 +77,7 @@
 
 
 def test_bad_health_lengthens_periods_and_timeouts() -> None:
+    """A slow courier must allow more time before it suspects others."""
     courier = amid(6)
     courier.tick(10 * S)
     assert courier.health == 2
@@ -81,6 +87,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_indirect_probe_asks_three_members_that_are_not_suspects(seed: int) -> None:
+    """Suspects are unlikely to answer for others."""
     courier = amid(6, seed=seed)
     courier.heard(1, "c0", "@c0", Ping(9, (member("c0", 1), member("c1", 1, State.SUSPECT))))
     at_us = courier.next_us()
@@ -99,6 +106,7 @@
 
 
 def test_health_depends_on_acks_and_nacks_of_helpers_and_is_bounded() -> None:
+    """Missing nacks point to a fault of this courier."""
     def nacks(to: str, packet: Packet) -> Packet | None:
         return Nack(packet.seq, (member(to, 1),)) if isinstance(packet, PingReq) else None
 
@@ -117,6 +125,7 @@
 
 
 def test_failed_probe_without_helpers_worsens_health() -> None:
+    """Without helpers the fault may be this courier's own."""
     courier = alone()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("b", 1, State.GONE))))
     play(courier, 2 * S, mute)
@@ -124,6 +133,7 @@
 
 
 def test_tick_drops_members_gone_for_gone_kept_us() -> None:
+    """Gone members must not fill the table."""
     courier = alone(Limits(gone_kept_us=2 * S))
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     play(courier, 3 * S, acks)
@@ -131,6 +141,7 @@
 
 
 def test_stall_extends_suspicions_and_starts_a_new_period() -> None:
+    """A suspect could not refute during the stall."""
     courier = alone(Limits(hello_periods=1_000))
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("b", 1, State.SUSPECT))))
     courier.tick(courier.next_us())
@@ -143,6 +154,7 @@
 
 
 def test_suspects_are_pinged_three_at_a_time_longest_waiting_first() -> None:
+    """Every suspect must hear of its suspicion in time to refute it."""
     courier = amid(8, Limits(awareness_most=0))
     play(courier, 5 * S, mute)
     sent = of(Ping, play(courier, 6 * S, mute))
@@ -152,6 +164,7 @@
 
 
 def test_hello_each_period_until_no_new_member_then_every_hello_periods() -> None:
+    """A starting courier must learn of all members soon."""
     def rolls(to: str, packet: Packet) -> Packet | None:
         return Roll(0, (member(to, 1),)) if isinstance(packet, Hello) else acks(to, packet)
 
@@ -162,6 +175,7 @@
 
 
 def test_indirect_probes_for_others_are_bounded_answered_and_expire() -> None:
+    """Requests of others must not use unbounded memory."""
     courier = alone(Limits(errands_most=1))
     ping = courier.heard(0, "a", "@a", PingReq(7, "b", (member("a", 1),)))
     (_, to, sent), = packets(0, ping)
@@ -178,6 +192,7 @@
 
 
 def test_probe_ignores_answers_of_members_not_asked() -> None:
+    """Else any member could answer for a dead one."""
     probes = Probes(Limits())
     seq = probes.begin("a", 0, 0)
     assert probes.probe is not None
@@ -191,6 +206,7 @@
 
 
 def test_requester_of_an_indirect_probe_confirms_and_new_incarnation_restarts_suspicion() -> None:
+    """Both decide when a member is declared gone."""
     def suspect(now_us: int, incarnation: int, *asking: str) -> Membership:
         courier.heard(now_us, "c0", "@c0", Ping(1, (member("c0", 1), member("c1", incarnation, State.SUSPECT))))
         for name in asking:
@@ -216,6 +232,7 @@
 
 
 def test_ack_that_postpones_the_next_tick_is_no_stall() -> None:
+    """The stall check must use the postponed time, else health worsens on each ack."""
     courier = amid(3, Limits(stall_us=300_000))
     for _ in range(40):  # ticks on time; an ack moves `next_us` from 150 to 500 ms
         now_us = courier.next_us()
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -15,10 +15,12 @@
 
 
 def alone_at(now_us: int = 0) -> Owner:
+    """Return an owner with voters a, b and c."""
     return Owner("me", ["a", "b", "c"], PARTS, LEASE_US, DRIFT, MARGIN_US, random.Random(1), now_us)
 
 
 def yes(votes: Votes, holding: Holding | None = None) -> Voted:
+    """Return positive answers to all requests; promises report `holding`."""
     return Voted(tuple(Promise(ask.part, ask.ballot, Ballot(1, "x") if holding else None, holding)
                        if isinstance(ask, Prepare) else Accepted(ask.part, ask.ballot) for ask in votes.asks), 7)
 
@@ -41,6 +43,7 @@
 
 
 def test_lease_starts_when_the_accept_is_sent_less_drift_and_margin() -> None:
+    """A lease counted from the answer could outlast the voters' grants."""
     owner = alone_at()
     owner.want(2)
     for voter, votes in owner.tick(1_000):
@@ -56,6 +59,7 @@
 
 
 def test_lease_is_renewed_at_a_third_and_extends_from_the_second_latest_send() -> None:
+    """Only a majority's grants extend a lease."""
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -67,6 +71,7 @@
 
 
 def test_answer_after_a_stall_expires_leases_first() -> None:
+    """A late answer must not extend a lease that has expired meanwhile."""
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -79,6 +84,7 @@
 
 @pytest.mark.parametrize("late", [LEASE_US // 2, 20 * LEASE_US])
 def test_round_older_than_half_a_lease_is_abandoned(late: int) -> None:
+    """Recovery of a voter after state loss relies on it."""
     owner = alone_at()
     owner.want(0)
     for voter, votes in owner.tick(0):
@@ -90,6 +96,7 @@
 
 
 def test_answer_to_an_earlier_equal_renewal_does_not_extend_the_lease() -> None:
+    """Equal batches are told apart by identity: the earlier grant ends sooner."""
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -103,6 +110,7 @@
 
 
 def test_give_ends_the_old_epoch_and_retries_until_the_outcome_is_known() -> None:
+    """Any voter may have accepted the transfer although no answer came."""
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -131,6 +139,7 @@
 
 
 def test_part_taken_back_gets_an_epoch_above_all_reported() -> None:
+    """A voter may have accepted the transfer's epoch for the other courier."""
     owner = alone_at()
     owner.want(0)
     play(owner, 0)
@@ -143,6 +152,7 @@
 
 
 def test_acquisition_waits_for_another_lease_and_backs_off_on_ballot_conflicts() -> None:
+    """Competing proposers must not block each other for ever."""
     owner = alone_at()
     owner.want(0)
     for voter, votes in owner.tick(0):
@@ -162,26 +172,28 @@
 
 
 def test_batches_and_concurrent_acquisitions_are_bounded() -> None:
+    """Acquiring 1000 parts at once must not flood the voters."""
     owner = Owner("me", ["a", "b", "c"], 1000, LEASE_US, DRIFT, MARGIN_US, random.Random(1), 0)
     for part in range(1000):
         owner.want(part)
     first = owner.tick(0)
     assert [len(votes.asks) for _, votes in first] == [64, 64, 64]
     assert owner.next_us() > 0  # waiting parts cause no busy loop
-    most = 0
+    largest_batch = 0
     batches = first
     while batches:
         for voter, votes in batches:
-            most = max(most, len(votes.asks))
+            largest_batch = max(largest_batch, len(votes.asks))
             owner.answered(5, voter, votes, yes(votes))
         batches = owner.tick(5)
     assert sum(owner.epoch(part, 5) == 1 for part in range(1000)) == 1000
-    assert most <= 256
+    assert largest_batch <= 256
     batches = owner.tick(LEASE_US // 3 + 10)
     assert [len(votes.asks) for _, votes in batches] == [256, 256, 256]
 
 
 def test_invalid_answers_are_counted_and_ignored() -> None:
+    """Answers that do not match the batch or come from no voter prove nothing."""
     owner = alone_at()
     owner.want(0)
     (voter, votes), (other, more), _ = owner.tick(0)
--- a/tests/test_owner_fleets.py
+++ b/tests/test_owner_fleets.py
@@ -16,6 +16,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_three_voters_under_faults_keep_one_owner_and_recover(seed: int) -> None:
+    """`run` raises if two couriers own a part, or a part stays without an owner."""
     fleet = Fleet(seed).run()
     assert fleet.gained and fleet.passed
 
@@ -26,6 +27,7 @@
     (7, 3, 3, {"loss": 0.25}), (8, 3, 5, {"lag": "c0"})])
 def test_lost_or_outdated_disks_and_bad_links_keep_one_owner(seed: int, voters: int, couriers: int,
                                                              kinds: dict[str, object]) -> None:
+    """Voters that lose state must not help to grant a second lease."""
     Fleet(seed, voters, couriers, **kinds).run()
 
 
@@ -42,6 +44,7 @@
 
 
 def take(fleet: Fleet, courier: str, spans: int = 100) -> None:
+    """Have the courier acquire part 0, and advance until it owns it or the time is over."""
     fleet.couriers[courier].owner.want(0)
     for _ in range(spans):
         fleet.advance(LEASE_US // 50)
@@ -50,6 +53,7 @@
 
 
 def alone(fleet: Fleet, name: str) -> set[frozenset[str]]:
+    """Return the cut links that isolate the host."""
     return {frozenset((name, other)) for other in [*fleet.voters, *fleet.couriers] if other != name}
 
 
@@ -59,7 +63,7 @@
     take(fleet, "c0")
     assert fleet.epochs[0, 1] == "c0"
     host = fleet.voters["v0"]
-    host.life, host.voter = 0, None
+    host.generation, host.voter = 0, None
     fleet.couriers["c0"].owner.release(0)
     fleet.cut = alone(fleet, "v1") | alone(fleet, "c0")
     fleet.start_voter(host, keep)
@@ -83,47 +87,61 @@
 
 
 class GrantsDuringALease(Voter):
+    """A voter that ignores running leases."""
+
     def _left_us(self, *_: object) -> int:
         return 0
 
 
 class CountsFromTheAnswer(Owner):
+    """An owner whose lease starts when the answer arrives."""
+
     def _on_answer(self, now_us: int, voter: str, ask: Prepare | Accept, answer: Promise | Accepted | Refused,
-              sent_us: int) -> None:
+                   sent_us: int) -> None:
         super()._on_answer(now_us, voter, ask, answer, now_us)
 
 
 class VotesAtOnce(Voter):
+    """A voter that votes after state loss without recovery."""
+
     def __init__(self, name: str, others: list[str], parts: int, lease_us: int, drift: float, rows: Rows | None,
                  place: int, now_us: int) -> None:
         super().__init__(name, others, parts, lease_us, drift, rows or Rows({FLEET: Row(BEGUN)}), place, now_us)
 
 
 class IgnoringPart(PartState):
+    """A part state whose proposals ignore reported holdings."""
+
     __slots__ = ()
 
     def proposal(self, me: str, leased: bool) -> Holding:
+        """Return the next epoch, whatever the voters reported."""
         return Holding(self.epoch + 1, self.transfer_to or me)
 
 
 class IgnoresWhatWasAccepted(Owner):
+    """An owner that ignores accepted holdings."""
+
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
         self._parts = [IgnoringPart(number) for number in range(PARTS)]
 
 
 def test_voter_that_grants_during_a_lease_is_detected() -> None:
+    """Two couriers then hold leases of one part."""
     with pytest.raises(Violation, match="part . has"):
         Fleet(0, voter=GrantsDuringALease).run()
 
 
 def test_lease_counted_from_the_answer_is_detected() -> None:
+    """The lease then outlasts the voters' grants if answers are late."""
     with pytest.raises(Violation, match="part 0 has"):
         lapses_after_late_answers(quiet(couriers=2, lag="c0", owner=CountsFromTheAnswer))
     lapses_after_late_answers(quiet(couriers=2, lag="c0"))
 
 
 def test_voter_that_answers_before_its_record_is_saved_is_detected() -> None:
+    """After a crash it forgets a holding, and an epoch gets a second owner."""
     with pytest.raises(Violation, match="epoch 1 of part 0"):
         forgets_between_two_majorities(quiet(save_first=False), None)
     sound = quiet()
@@ -132,6 +150,7 @@
 
 
 def test_blank_voter_that_votes_at_once_is_detected() -> None:
+    """A voter without its disk must recover first, or an epoch gets a second owner."""
     with pytest.raises(Violation, match="epoch 1 of part 0"):
         forgets_between_two_majorities(quiet(voter=VotesAtOnce), 0)
     sound = quiet()
@@ -143,5 +162,6 @@
 
 
 def test_proposer_that_ignores_an_accepted_holding_is_detected() -> None:
+    """It proposes an epoch that another courier may own."""
     with pytest.raises(Violation):
         Fleet(0, owner=IgnoresWhatWasAccepted).run()
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -29,6 +29,7 @@
 
 
 def seal(me: str, boot: int = 5, key: bytes | list[bytes] = KEY, fleet: str = "fleet", lane: str = "datagram") -> Seal:
+    """Return a seal for datagrams."""
     return Seal(key, fleet, me, boot, lane=lane)
 
 
@@ -44,6 +45,7 @@
 @settings(max_examples=60, deadline=None)
 @given(st.randoms(use_true_random=False), st.integers(1, 40))
 def test_valid_packets_open_once_in_any_order(rng: random.Random, count: int) -> None:
+    """Reordering must not lose packets, and replays must be refused."""
     sender, receiver = seal("a"), seal("b")
     packets = [(number, sender.pack("b", Ping(number))) for number in range(count)]
     rng.shuffle(packets)
@@ -57,6 +59,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.data())
 def test_damaged_packet_is_refused_and_the_intact_one_still_opens(data: st.DataObject) -> None:
+    """A damaged copy must not use up the counter of the packet."""
     packet = seal("a").pack("b", Ping(7, (Member("a", 1, State.ALIVE, "127.0.0.1:1", "http://127.0.0.1:2"),)))
     receiver = seal("b")
     place = data.draw(st.integers(0, len(packet) - 1))
@@ -79,6 +82,7 @@
     (lambda: bytes(DATAGRAM_BYTES + 1), Reason.SIZE),
     (lambda: b"", Reason.SEAL)])
 def test_each_refusal_has_its_reason_and_changes_no_state(made: Callable[[], bytes], reason: Reason) -> None:
+    """A refused packet must not advance the replay window."""
     sender, receiver = seal("a"), seal("b")
     receiver.open(sender.pack("b", Ping(1)), DATAGRAM)
     assert refusal(receiver, made()) is reason
@@ -87,6 +91,7 @@
 
 
 def test_higher_boot_number_replaces_a_lower_one() -> None:
+    """Packets of an earlier run must not be replayed."""
     early, late, receiver = seal("a", 5), seal("a", 6), seal("b")
     first, held = early.pack("b", Ping(1)), early.pack("b", Ping(2))
     receiver.open(first, DATAGRAM)
@@ -96,6 +101,7 @@
 
 
 def test_replay_window_is_bounded() -> None:
+    """Counters older than the window are refused even if never received."""
     sender, receiver = seal("a"), seal("b")
     packets = [sender.pack("b", Ping(number)) for number in range(WINDOW_SIZE + 2)]
     receiver.open(packets[-1], DATAGRAM)
@@ -105,6 +111,7 @@
 
 
 def test_only_a_hello_may_have_an_unknown_receiver() -> None:
+    """Any courier could be made to handle other packets without a receiver."""
     sender, receiver = seal("a"), seal("b")
     assert receiver.open(sender.pack("", Hello()), DATAGRAM).payload == Hello()
     with pytest.raises(ValueError, match="unknown receiver"):
@@ -112,6 +119,7 @@
 
 
 def test_key_can_be_replaced_while_both_are_known() -> None:
+    """Couriers change keys one by one, without a common restart."""
     old, both, new = seal("a", key=KEY), seal("b", key=[KEY, OTHER]), seal("c", key=[OTHER, KEY])
     both.open(old.pack("b", Ping(1)), DATAGRAM)
     both.open(new.pack("b", Ping(1)), DATAGRAM)
@@ -120,6 +128,7 @@
 
 
 def test_courier_with_an_emptied_disk_learns_its_higher_boot_number() -> None:
+    """Else all its packets would be refused as of an earlier run."""
     receiver, again = seal("b"), seal("a", boot=1)
     receiver.open(seal("a", boot=9).pack("b", Ping(1)), DATAGRAM)
     assert refusal(receiver, again.pack("b", Ping(1))) is Reason.OLD_BOOT
@@ -136,6 +145,7 @@
 
 
 def test_sender_table_is_bounded_and_needs_a_valid_seal() -> None:
+    """Forged sender names must not evict windows of real ones."""
     receiver = seal("b")
     for number in range(MAX_SENDERS + 5):
         refusal(receiver, seal(f"forged{number}", key=OTHER).pack("b", Ping(1)))
@@ -146,6 +156,7 @@
 
 
 def test_log_lines_are_limited_to_one_per_reason_in_ten_seconds() -> None:
+    """A flood of bad packets must not flood the log."""
     receiver = seal("b")
     for _ in range(3):
         refusal(receiver, b"x" * 100)
@@ -158,6 +169,7 @@
 
 
 def test_sizes_and_names_are_bounded() -> None:
+    """A packet above the limit of its lane must not be sealed."""
     with pytest.raises(ValueError, match="1200 at most"):
         seal("a").pack("b", Hello(tuple(Member(f"m{n}", 1, State.ALIVE, "x" * 60, "y" * 60) for n in range(9))))
     stream = Seal(KEY, "fleet", "a", 1, lane="stream", most_bytes=STREAM_BYTES)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -17,15 +17,18 @@
 
 
 def begun(name: str = "a", others: str = "bc", rows: Rows | None = None) -> Voter:
+    """Return a voter of a fleet that has begun."""
     rows = rows or Rows({FLEET: Row(BEGUN, place=1)}, 1)
     return Voter(name, list(others), 4, LEASE_US, DRIFT, rows, rows.place, 0)
 
 
 def blank(name: str, others: str) -> Voter:
+    """Return a voter without state."""
     return Voter(name, list(others), 4, LEASE_US, DRIFT, None, 0, 0)
 
 
 def say(voter: Voter, now_us: int, asker: str, *asks: Prepare | Accept, seen: int = 0) -> tuple[list, list[bytes]]:
+    """Send the requests to the voter; return its answers and records."""
     voted, records = voter.heard(now_us, asker, Votes(asks, seen))
     return list(voted.answers), records
 
@@ -40,6 +43,7 @@
 
 
 def test_only_the_owner_may_prepare_or_accept_during_a_grant_extended_by_the_drift() -> None:
+    """Else two couriers could hold leases of a part."""
     voter = begun()
     held = holding(voter)
     mine, other = Prepare(0, Ballot(9, "y")), Accept(0, Ballot(9, "y"), Holding(6, "y"))
@@ -76,6 +80,7 @@
 
 @pytest.mark.parametrize("lower", [Holding(4, "y"), Holding(5, "y")])
 def test_lower_epoch_or_second_owner_of_an_epoch_is_refused(lower: Holding) -> None:
+    """What a majority has accepted must stay final."""
     voter = begun()
     held = holding(voter)
     refused, = say(voter, BEGAN_US + GRANT_US, "y", Accept(0, Ballot(9, "y"), lower))[0]
@@ -83,6 +88,7 @@
 
 
 def test_after_a_start_only_known_holdings_are_renewed_for_a_whole_lease() -> None:
+    """A voter does not know which grants it gave before the start."""
     first = begun()
     held = holding(first)
     again = begun(rows=replay(first.snapshot()))
@@ -95,6 +101,7 @@
 
 
 def test_answer_depending_on_an_unsaved_record_returns_it_again() -> None:
+    """Else the second answer could be sent before its record is on disk."""
     voter = begun()
     accept = Accept(0, Ballot(3, "x"), Holding(5, "x"))
     first = say(voter, BEGAN_US, "x", accept)[1]
@@ -132,6 +139,7 @@
 
 
 def test_out_of_range_place_is_counted_and_ignored() -> None:
+    """A faulty courier must not make voters forget their state."""
     voter = begun()
     answers, _ = say(voter, BEGAN_US, "x", Prepare(0, Ballot(1, "x")), seen=1 << 60)
     assert isinstance(answers[0], Promise) and voter.bad == 1 and not voter.blank
@@ -150,6 +158,7 @@
 
 
 def test_voter_after_state_loss_votes_after_both_others_answered_and_a_lease_passed() -> None:
+    """Only both others together know all that it may have promised."""
     b, c = begun("b", "ac"), begun("c", "ab")
     held = holding(b)
     say(c, BEGAN_US, "y", Prepare(0, Ballot(2, "y")), Prepare(2, Ballot(8, "y")))
@@ -172,6 +181,7 @@
 
 @pytest.mark.parametrize("order", ["bc", "cb"])
 def test_recovery_keeps_the_higher_epoch_and_the_higher_promise(order: str) -> None:
+    """They may come from different voters."""
     told = {"b": begun("b", "ac"), "c": begun("c", "ab")}
     held = holding(told["b"], "x", epoch=6, number=3)
     holding(told["c"], "y", epoch=5, number=9)
@@ -183,6 +193,7 @@
 
 
 def test_recovery_among_five_voters_needs_three_others() -> None:
+    """Fewer might all lack a holding that a majority accepted."""
     a = blank("a", "bcde")
     for name in "bc":
         assert a.stood(0, name, begun(name, "acde").stand("a")) == []
@@ -192,6 +203,7 @@
 
 
 def test_start_with_an_older_disk_is_detected_by_the_place_another_voter_knows() -> None:
+    """An outdated disk lacks promises that the voter has made."""
     a, b = begun("a", "bc"), begun("b", "ac")
     held = holding(b)
     assert [name for name, _ in a.recover(0)] == ["b", "c"]
@@ -208,6 +220,7 @@
 
 
 def test_fleet_is_new_only_if_all_voters_agree() -> None:
+    """Voters that lost their state must not start a second fleet."""
     a, b, c = blank("a", "bc"), blank("b", "ac"), blank("c", "ab")
     for now_us in range(0, LEASE_US, LEASE_US // 10):
         meet(now_us, a, b)
--- a/tests/voting.py
+++ b/tests/voting.py
@@ -51,29 +51,30 @@
             del host.disk[keep:]
         rows = replay(host.disk)
         others = [name for name in self.voters if name != host.name]
-        host.lives += 1
-        host.life = host.lives
+        host.generations += 1
+        host.generation = host.generations
         host.voter = self._voter(host.name, others, PARTS, LEASE_US, DRIFT, rows if host.disk else None, rows.place,
                                  host.clock.at(self.now))
-        self._poll_voter(host, host.life)
+        self._poll_voter(host, host.generation)
 
     def start_courier(self, host: Host) -> None:
-        host.lives += 1
-        host.life = host.lives
+        """Start a courier with a fresh owner that acquires some parts."""
+        host.generations += 1
+        host.generation = host.generations
         host.owner = self._owner(host.name, list(self.voters), PARTS, LEASE_US, DRIFT, MARGIN_US,
                                  random.Random(self.rng.random()), host.clock.at(self.now))
         for part in range(PARTS):
             if self.rng.random() < 0.7:
                 host.owner.want(part)
-        self._poll_courier(host, host.life)
+        self._poll_courier(host, host.generation)
 
     def _save(self, host: Host, records: list[bytes], then: Callable[[], None]) -> None:
         if not records:
             return then()
-        life = host.life
+        generation = host.generation
 
         def saved() -> None:
-            if host.life == life and host.voter is not None:
+            if host.generation == generation and host.voter is not None:
                 host.disk += records
                 host.voter.saved(replay(records).place)
                 if self._save_first:
@@ -83,48 +84,48 @@
         if not self._save_first:
             then()
 
-    def _poll_voter(self, host: Host, life: int) -> None:
-        if host.life != life or host.voter is None:
+    def _poll_voter(self, host: Host, generation: int) -> None:
+        if host.generation != generation or host.voter is None:
             return
         for name, _ in host.voter.recover(host.clock.at(self.now)):
             self._send(host, self.voters[name], lambda other=self.voters[name]: self._stand(host, other))
-        self.after(STEP_US, lambda: self._poll_voter(host, life))
+        self.after(STEP_US, lambda: self._poll_voter(host, generation))
 
     def _stand(self, asker: Host, told: Host) -> None:
         if told.voter is None:
             return
         owner = next((host.owner for host in self.couriers.values() if host.name[1:] == told.name[1:]), None)
         stood = told.voter.stand(asker.name, owner.seen(asker.name) if owner else 0)
-        life = asker.life
+        generation = asker.generation
 
         def hear() -> None:
-            if asker.life == life and asker.voter is not None:
+            if asker.generation == generation and asker.voter is not None:
                 self._save(asker, asker.voter.stood(asker.clock.at(self.now), told.name, stood), lambda: None)
 
         self._send(told, asker, hear)
 
-    def _poll_courier(self, host: Host, life: int) -> None:
-        if host.life == life:
-            self._kick(host)
-            self.after(STEP_US, lambda: self._poll_courier(host, life))
+    def _poll_courier(self, host: Host, generation: int) -> None:
+        if host.generation == generation:
+            self._send_due(host)
+            self.after(STEP_US, lambda: self._poll_courier(host, generation))
 
-    def _kick(self, host: Host) -> None:
+    def _send_due(self, host: Host) -> None:
         if host.owner is None or host.stopped_us > self.now:
             return
         now_us = host.clock.at(self.now)
         for voter, votes in host.owner.tick(now_us):
             self._ask(host, self.voters[voter], votes)
-        self._heed(host, host.owner.events(now_us))
+        self._check_events(host, host.owner.events(now_us))
 
     # --- messages ---
 
     def _send(self, sender: Host, receiver: Host, act: Callable[[], None]) -> None:
         if self.rng.random() < self.loss or frozenset((sender.name, receiver.name)) in self.cut:
             return
-        life = receiver.life
+        generation = receiver.generation
 
         def arrive() -> None:
-            if receiver.life != life:
+            if receiver.generation != generation:
                 return
             if receiver.stopped_us > self.now:
                 self.after(receiver.stopped_us - self.now, arrive)
@@ -137,13 +138,13 @@
             self.after(self.rng.uniform(100_000, 1_500_000) if late else near, arrive)
 
     def _ask(self, host: Host, voter: Host, votes: Votes) -> None:
-        life, done = host.life, [False]
+        generation, done = host.generation, [False]
 
         def answer(voted: object) -> None:
-            if not done[0] and host.life == life and host.owner is not None:
+            if not done[0] and host.generation == generation and host.owner is not None:
                 done[0] = True
-                self._heed(host, host.owner.answered(host.clock.at(self.now), voter.name, votes, voted))
-                self._kick(host)
+                self._check_events(host, host.owner.answered(host.clock.at(self.now), voter.name, votes, voted))
+                self._send_due(host)
 
         def heard() -> None:
             if voter.voter is not None:
@@ -154,19 +155,19 @@
 
     # --- invariants ---
 
-    def _heed(self, host: Host, events: list[object]) -> None:
+    def _check_events(self, host: Host, events: list[object]) -> None:
         for event in events:
             if isinstance(event, Gained):
                 self.gained += 1
                 if event.epoch <= self.last[event.part]:
                     raise Violation(f"epoch {event.epoch} of part {event.part} again or after a later one")
                 self.last[event.part] = event.epoch
-                self._one(event.part, event.epoch, host.name)
+                self._check_owner(event.part, event.epoch, host.name)
             elif isinstance(event, Passed):
                 self.passed += 1
-                self._one(event.part, event.epoch, event.owner)
+                self._check_owner(event.part, event.epoch, event.owner)
 
-    def _one(self, part: int, epoch: int, owner: str) -> None:
+    def _check_owner(self, part: int, epoch: int, owner: str) -> None:
         if self.epochs.setdefault((part, epoch), owner) != owner:
             raise Violation(f"epoch {epoch} of part {part} has {owner} and {self.epochs[part, epoch]}")
 
@@ -206,10 +207,10 @@
                 owner.release(part)
             elif kind == "stop":
                 courier.stopped_us = self.now + rng.randrange(3 * LEASE_US)
-        if kind == "crash courier" and courier.life:
-            courier.life, courier.owner = 0, None
-            self.after(rng.randrange(2 * LEASE_US), lambda: courier.life or self.start_courier(courier))
-        elif kind == "crash voter" and all(host.life for host in self.voters.values()):
+        if kind == "crash courier" and courier.generation:
+            courier.generation, courier.owner = 0, None
+            self.after(rng.randrange(2 * LEASE_US), lambda: courier.generation or self.start_courier(courier))
+        elif kind == "crash voter" and all(host.generation for host in self.voters.values()):
             self._crash(voter)
         elif kind == "cut":
             side = set(rng.sample([*self.voters, *self.couriers], rng.randrange(1, 4)))
@@ -226,7 +227,7 @@
         elif self._forget == "some" and sound and host.name == "v0":
             keep = max(len(host.disk) - self.rng.randrange(1, 6), min(len(host.disk), 2))
             self.cut = set()
-        host.life, host.voter = 0, None
+        host.generation, host.voter = 0, None
         self.after(self.rng.randrange(LEASE_US), lambda: self.start_voter(host, keep))
 
     def run(self, spans: int = 40) -> Fleet:
--- a/tests/voting_hosts.py
+++ b/tests/voting_hosts.py
@@ -36,8 +36,8 @@
 
     name: str
     clock: Clock
-    life: int = 0  # number of the current run; 0 while down
-    lives: int = 0  # runs started
+    generation: int = 0  # number of the current run; 0 while down
+    generations: int = 0  # runs started
     stopped_us: int = 0  # stalled until then
     disk: list[bytes] = field(default_factory=list)
     voter: Voter | None = None
