--- a/wheelstep/fleet/node.py
+++ b/wheelstep/fleet/node.py
@@ -183,11 +183,11 @@
             return then(at_us)
         return self._errands.save(now_us, [VOTE + record for record in records], saved)
 
-    def _registers(self, asker: str) -> Stood:
+    def _registers(self, sender: str) -> Stood:
         """Return the registers of this voter, for another voter or a courier that needs the owners."""
         if self.voter is None:
             return Stood(True)
-        return self.voter.stand(asker, self.owner.seen(asker))
+        return self.voter.stand(sender, self.owner.seen(sender))
 
     def _on_stood(self, name: str, now_us: int, answer: Answer | None) -> list[Action]:
         """Handle another voter's registers; None after a timeout."""
--- a/wheelstep/fleet/packets.py
+++ b/wheelstep/fleet/packets.py
@@ -52,10 +52,11 @@
 
 
 EXPECTED = {
-    Reason.VERSION: f"version {VERSION} or older", Reason.FLEET: "our fleet's name",
-    Reason.RECEIVER: "our own name", Reason.SEAL: "a seal by one of our keys",
-    Reason.REPLAY: f"a new counter within {WINDOW_SIZE} of the highest", Reason.OLD_BOOT: "the sender's present life",
-    Reason.MALFORMED: "a payload of this version", Reason.SIZE: "fewer bytes"}
+    Reason.VERSION: f"version {VERSION} or older", Reason.FLEET: "this fleet and lane",
+    Reason.RECEIVER: "this courier's name", Reason.SEAL: "a seal with one of our keys",
+    Reason.REPLAY: f"a new counter within {WINDOW_SIZE} of the highest",
+    Reason.OLD_BOOT: "the sender's highest known boot number", Reason.MALFORMED: "a valid payload of this version",
+    Reason.SIZE: "a smaller packet"}
 
 
 class PacketError(Exception):
--- a/wheelstep/fleet/register.py
+++ b/wheelstep/fleet/register.py
@@ -77,7 +77,7 @@
 
     # --- requests of couriers ---
 
-    def heard(self, now_us: int, asker: str, votes: Votes) -> tuple[Voted, list[bytes]]:
+    def heard(self, now_us: int, sender: str, votes: Votes) -> tuple[Voted, list[bytes]]:
         """Return the answers in request order, and the records to save before sending them (none for a renewal)."""
         if not 0 <= votes.seen < NUMBER_LIMIT:
             self.bad += 1
@@ -92,54 +92,54 @@
         answers: list[Promise | Accepted | Refused] = []
         touched: dict[int, None] = {}
         for ask in votes.asks:
-            if not self._is_valid(asker, ask):
+            if not self._is_valid(sender, ask):
                 self.bad += 1
                 answers.append(Refused(ask.part, "ballot"))
                 continue
-            answers.append(self._prepare(now_us, asker, ask) if isinstance(ask, Prepare)
-                           else self._accept(now_us, asker, ask))
+            answers.append(self._prepare(now_us, sender, ask) if isinstance(ask, Prepare)
+                           else self._accept(now_us, sender, ask))
             touched[ask.part] = None
         # Records that an answer depends on are returned (again) unless known to be on disk.
         records = [record(row.place, part, row) for part in touched
                    if (row := self._rows.get(part)) is not None and row.place > self._saved]
         return Voted(tuple(answers), self.place if self.place > before or records else self._saved), records
 
-    def _is_valid(self, asker: str, ask: Prepare | Accept) -> bool:
-        if not 0 <= ask.part < self.parts or not 0 < ask.ballot.number < NUMBER_LIMIT or ask.ballot.courier != asker:
+    def _is_valid(self, sender: str, ask: Prepare | Accept) -> bool:
+        if not 0 <= ask.part < self.parts or not 0 < ask.ballot.number < NUMBER_LIMIT or ask.ballot.courier != sender:
             return False
         return isinstance(ask, Prepare) or (0 < ask.holding.epoch < NUMBER_LIMIT and bool(ask.holding.owner))
 
-    def _left_us(self, now_us: int, asker: str, row: Row | None, part: int) -> int:
-        """Return how long this courier is still refused: by another's lease, or by the quiet time after a start."""
+    def _left_us(self, now_us: int, sender: str, row: Row | None, part: int) -> int:
+        """Return how long `sender` is still refused: by another courier's lease, or by the quiet time after a start."""
         left = max(self._quiet_until_us - now_us, 0)
-        if row is not None and row.holding is not None and row.holding.owner != asker:
+        if row is not None and row.holding is not None and row.holding.owner != sender:
             left = max(left, self._granted_until_us.get(part, 0) - now_us)
         return left
 
     def _refusal(self, part: int, why: str, row: Row | None, left_us: int = 0) -> Refused:
         return Refused(part, why, row.promised if row else None, left_us, row.holding if row else None)
 
-    def _prepare(self, now_us: int, asker: str, ask: Prepare) -> Promise | Refused:
+    def _prepare(self, now_us: int, sender: str, ask: Prepare) -> Promise | Refused:
         row = self._rows.get(ask.part)
         # Equal is refused too: an earlier run of this courier may have received a promise for the same ballot.
         if row is not None and ask.ballot <= row.promised:
-            return self._refusal(ask.part, "ballot", row, self._left_us(now_us, asker, row, ask.part))
-        if left := self._left_us(now_us, asker, row, ask.part):
+            return self._refusal(ask.part, "ballot", row, self._left_us(now_us, sender, row, ask.part))
+        if left := self._left_us(now_us, sender, row, ask.part):
             return self._refusal(ask.part, "lease", row, left)
         row = Row(ask.ballot, row.accepted if row else None, row.holding if row else None)
         self._store(ask.part, row)
         return Promise(ask.part, ask.ballot, row.accepted, row.holding)
 
-    def _accept(self, now_us: int, asker: str, ask: Accept) -> Accepted | Refused:
+    def _accept(self, now_us: int, sender: str, ask: Accept) -> Accepted | Refused:
         row = self._rows.get(ask.part)
         if row is not None and ask.ballot < row.promised:
-            return self._refusal(ask.part, "ballot", row, self._left_us(now_us, asker, row, ask.part))
+            return self._refusal(ask.part, "ballot", row, self._left_us(now_us, sender, row, ask.part))
         if row is not None and row.accepted == ask.ballot and row.holding is not None:
             if row.holding != ask.holding:  # a ballot may propose only one holding
                 self.bad += 1
                 return self._refusal(ask.part, "ballot", row)
         else:
-            if left := self._left_us(now_us, asker, row, ask.part):
+            if left := self._left_us(now_us, sender, row, ask.part):
                 return self._refusal(ask.part, "lease", row, left)
             if row is not None and row.holding is not None and ask.holding != row.holding \
                     and ask.holding.epoch <= row.holding.epoch:
@@ -162,10 +162,10 @@
         self._stood.clear()
         self._next_stand_us.clear()
 
-    def stand(self, asker: str, seen: int = 0) -> Stood:
+    def stand(self, sender: str, seen: int = 0) -> Stood:
         """Return the answer to a `Stand` of another voter, or of a courier that needs the owners. `seen` is the highest
         place of the requester's log known to this courier (`Owner.seen`)."""
-        known_place = seen if asker in self._others else 0
+        known_place = seen if sender in self._others else 0
         if self._blank:
             return Stood(True, (), known_place)
         begun = self._rows[FLEET].promised == BEGUN
