--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -30,9 +30,9 @@
 from wheelstep.journal import Journal, NoRoomError
 from wheelstep.journal.disk import Folder
 
-_NOTES_S = 5.0
-_SOON_S = 0.02  # retry delay during a move, which pauses a part for some tens of milliseconds
-_ASKED_S = 10.0  # timeout of the answer to a peer's request, including its save
+_NOTES_INTERVAL_S = 5.0
+_MOVE_RETRY_S = 0.02  # retry delay during a move, which pauses a part for some tens of milliseconds
+_ANSWER_TIMEOUT_S = 10.0  # timeout of the answer to a peer's request, including its save
 
 log = logging.getLogger("wheelstep.fleet")
 
@@ -53,7 +53,7 @@
         self._saves: list[Save] = []
         self._saving: asyncio.Task[None] | None = None
         self._broken = False  # the last write failed
-        self._asks: dict[int, asyncio.Future[Answer]] = {}
+        self._requests: dict[int, asyncio.Future[Answer]] = {}
         self._token = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
@@ -98,8 +98,8 @@
         """Return the client address for a part not served here ("" if unknown), and the retry delay in seconds."""
         serves = self.node.serves(part)
         if serves != self.node.membership.me.serves and serves:
-            return serves, _SOON_S
-        return "", _SOON_S if self.node.moving(part) else self._part.lease / 4e6
+            return serves, _MOVE_RETRY_S
+        return "", _MOVE_RETRY_S if self.node.moving(part) else self._part.lease / 4e6
 
     async def start(self) -> None:
         """Listen for peers and start the node. Raises `ConfigError`."""
@@ -113,7 +113,7 @@
     async def run(self) -> None:
         """Log refused packets periodically, forever."""
         while True:
-            await asyncio.sleep(_NOTES_S)
+            await asyncio.sleep(_NOTES_INTERVAL_S)
             for line in self.peers.notes():
                 log.warning("%s", line)
 
@@ -129,7 +129,7 @@
             return
         log.info("leaving: %d parts to give away, %d messages owed", len(self.node.owned(now_us())),
                  self.content.owed())
-        self._do(self.node.leave(now_us()))
+        self._execute(self.node.leave(now_us()))
         until = asyncio.get_running_loop().time() + self._part.give_away_within / 1e6
         while not (self.node.left and not self.content.owed()) and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
@@ -141,7 +141,7 @@
         for number in range(self._part.parts):
             self.content.shut(number)
         if self._part.give_away:
-            self._do(self.node.end(now_us()))
+            self._execute(self.node.end(now_us()))
         if self._timer is not None:
             self._timer.cancel()
         for task in list(self._tasks):
@@ -154,56 +154,56 @@
 
     def _tick(self) -> None:
         self._timer = None
-        self._do(self.node.tick(now_us()))
+        self._execute(self.node.tick(now_us()))
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
         in_s = max(0.0, (self.node.next_us() - now_us()) / 1e6)
         if self._timer is not None:
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_later(max(in_s, 0.001), self._tick)
 
     def _heard(self, sender: str, address: str, packet: Packet) -> None:
-        self._do(self.node.packet(now_us(), sender, address, packet))
+        self._execute(self.node.packet(now_us(), sender, address, packet))
 
     async def _asked(self, sender: str, ask: Ask) -> Answer | None:
         self._token += 1
         token = self._token
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self._asks[token] = future
+        self._requests[token] = future
         try:
-            self._do(self.node.asked(now_us(), token, sender, ask))
-            async with asyncio.timeout(_ASKED_S):
+            self._execute(self.node.asked(now_us(), token, sender, ask))
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 return await future
         except TimeoutError:
             return None
         finally:
-            del self._asks[token]
+            del self._requests[token]
 
-    def _do(self, actions: Sequence[Action]) -> None:
+    def _execute(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
                 case SendPacket(address, packet):
                     self.peers.send(address, self.node.membership.name_at(address), packet)
                 case Call():
-                    self._keep(self._call(action))
+                    self._spawn(self._call(action))
                 case Reply(token, answer):
-                    if (future := self._asks.get(token)) is not None and not future.done():
+                    if (future := self._requests.get(token)) is not None and not future.done():
                         future.set_result(answer)
                 case Save():
                     self._saves.append(action)
                     if self._saving is None:
-                        self._saving = self._keep(self._save())
+                        self._saving = self._spawn(self._save())
                 case Note(text):
                     log.info("%s", text)
-        self._arm()
+        self._schedule_tick()
 
-    def _keep(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
+    def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("a background task of the fleet failed", exc_info=error)
@@ -213,7 +213,7 @@
         answer = None
         if address:
             answer = await self.peers.ask(address, call.member, call.ask, call.timeout_us / 1e6)
-        self._do(self.node.answered(now_us(), call.token, answer))
+        self._execute(self.node.answered(now_us(), call.token, answer))
 
     async def _save(self) -> None:
         """Write all pending saves with one write and one sync, until none are left. The journal is synced first: these
@@ -231,7 +231,7 @@
                 log.error("the fleet's log: %s; answers that depend on it are withheld", error)
                 self._broken = True
             for save in saves:
-                self._do(self.node.saved(now_us(), save.token, not self._broken))
+                self._execute(self.node.saved(now_us(), save.token, not self._broken))
         self._saving = None
 
     def _write(self, records: Sequence[bytes], whole: Sequence[bytes] | None) -> None:
--- a/wheelstep/fleet/proposer.py
+++ b/wheelstep/fleet/proposer.py
@@ -214,7 +214,7 @@
             self._end_round(state)
             self._schedule(state, now_us)
             return
-        until_us = state.majority_us(self._majority) + self._term_us  # in the future: a round is shorter than a lease
+        until_us = state.majority_us(self._majority) + self._term_us  # in the future: a round is shorter than the term
         part = state.number
         held = self._epoch[part]
         if held and held != state.target.epoch:
