--- a/tests/forwarding_world.py
+++ b/tests/forwarding_world.py
@@ -1,4 +1,4 @@
-"""An asker, a home, and what is between them: a connection in memory, or a sealed stream."""
+"""An asker and an owner for tests, connected in memory or by a sealed stream."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 
 def message(name: str, destination: int = 7) -> StoredMessage:
+    """Return a message with a body and all optional fields."""
     return StoredMessage(name, "once", destination, 10**13, "key", "token", True, b"body of " + name.encode())
 
 
-class Home:
-    """A desk whose `durable` waits until the test ends it."""
+class OwnerDesk:
+    """The desk of the owner. With `syncs`, a message waits in `durable` until the test ends its future."""
 
     ready = True
 
@@ -32,9 +33,9 @@
         self.taken: dict[str, StoredMessage] = {}
         self.begun: list[str] = []
         self.withdrawn: list[str] = []
-        self.noted: list[tuple[str, int]] = []
+        self.recorded: list[tuple[str, int]] = []
         self.waits: list[asyncio.Future[None]] = []
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
 
     def full(self) -> bool:
         return self.is_full
@@ -50,38 +51,38 @@
 
     def take(self, one: StoredMessage) -> None:
         self.taken[one.id] = one
-        self.news.set()
+        self.changed.set()
 
     def durable(self) -> asyncio.Future[None]:
         self.waits.append(asyncio.get_running_loop().create_future())
-        self.news.set()
+        self.changed.set()
         return self.waits[-1]
 
     def begin(self, name: str) -> None:
         self.begun.append(name)
-        self.news.set()
+        self.changed.set()
 
     def withdraw(self, name: str) -> None:
         del self.taken[name]
         self.withdrawn.append(name)
-        self.news.set()
+        self.changed.set()
 
     def record_answer(self, one: StoredMessage, status: int) -> None:
-        self.noted.append((one.id, status))
+        self.recorded.append((one.id, status))
 
     async def until(self, holds: Callable[[], bool]) -> None:
         async with asyncio.timeout(20):
             while not holds():
-                self.news.clear()
-                await self.news.wait()
+                self.changed.clear()
+                await self.changed.wait()
 
 
-class End:
-    """One end of a connection in memory; what it sends can be held back."""
+class MemoryLink:
+    """One end of a connection in memory. With `hold`, it keeps its frames until `release`."""
 
     def __init__(self) -> None:
         self.open, self.held, self.hold = True, list[Any](), False
-        self.other: End
+        self.other: MemoryLink
         self.heard: Heard
         self.lost: Lost
 
@@ -89,10 +90,10 @@
         if self.open:
             self.held.append((head, body))
             if not self.hold:
-                self.let_go()
+                self.release()
         return self.open
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         held, self.held = self.held, []
         for one in held:
             asyncio.get_running_loop().call_soon(self.other.heard, *one)
@@ -104,34 +105,35 @@
                 asyncio.get_running_loop().call_soon(end.lost)
 
 
-class World:
-    """An asker and a home; `kind` tells what is between them."""
+class ForwardingPair:
+    """An asker and an owner; `kind` is "memory" or "streams"."""
 
     def __init__(self, kind: str, **settings: Any) -> None:
-        self.kind, self.home = kind, Home()
-        self.turned: Turned | None = None
+        self.kind, self.owner = kind, OwnerDesk()
+        self.turned_away: Turned | None = None
         self.servers: list[ForwardServer] = []
-        self.links: list[Link] = []  # the home's ends
+        self.links: list[Link] = []  # the owner's ends of the connections
         self.reachable, self.dials = True, 0
-        self.client = ForwardClient(self._dial, what="its home", **{"wait_s": 10, **settings})
+        self.client = ForwardClient(self._dial, what="its owner", **{"wait_s": 10, **settings})
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> ForwardingPair:
         if self.kind == "streams":
-            self._asker, self._home = Node("a", net=Sockets()), Node("b", net=Sockets())
-            self._asker.streams._heard, self._asker.streams._lost = self._told, self._end
-            self._home.streams._heard, self._home.streams._lost = self._asked, self._end
-            self._address = await self._home.net.listen("127.0.0.1:0", self._home.streams.accept, lambda *_: None)
+            self._asker_node, self._owner_node = Node("a", net=Sockets()), Node("b", net=Sockets())
+            self._asker_node.streams._heard, self._asker_node.streams._lost = self._pass_frame, self._end
+            self._owner_node.streams._heard, self._owner_node.streams._lost = self._pass_frame_to_owner, self._end
+            self._address = await self._owner_node.net.listen("127.0.0.1:0", self._owner_node.streams.accept,
+                                                             lambda *_: None)
             self._ends: dict[StreamLink, tuple[Heard, Lost]] = {}
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.client.close()
         if self.kind == "streams":
-            await self._asker.net.close()
-            await self._home.net.close()
+            await self._asker_node.net.close()
+            await self._owner_node.net.close()
 
     def _serve(self) -> ForwardServer:
-        self.servers.append(ForwardServer(lambda one: self.turned or self.home))
+        self.servers.append(ForwardServer(lambda one: self.turned_away or self.owner))
         return self.servers[-1]
 
     async def _dial(self, heard: Heard, lost: Lost) -> Link | None:
@@ -139,38 +141,38 @@
         if not self.reachable:
             return None
         if self.kind == "streams":
-            link = await self._asker.streams.dial("b", self._address, 10)
+            link = await self._asker_node.streams.dial("b", self._address, 10)
             assert link is not None
             self._ends[link] = heard, lost
             return ForwardLink(link)
-        mine, far, server = End(), End(), self._serve()
-        mine.other, far.other, mine.heard, mine.lost = far, mine, heard, lost
-        far.heard, far.lost = server.heard, server.lost
-        server.attach(far)
-        self.links.append(far)
-        return mine
-
-    def _told(self, link: StreamLink, frame: Frame) -> None:
+        asker_end, owner_end, server = MemoryLink(), MemoryLink(), self._serve()
+        asker_end.other, owner_end.other, asker_end.heard, asker_end.lost = owner_end, asker_end, heard, lost
+        owner_end.heard, owner_end.lost = server.heard, server.lost
+        server.attach(owner_end)
+        self.links.append(owner_end)
+        return asker_end
+
+    def _pass_frame(self, link: StreamLink, frame: Frame) -> None:
         assert isinstance(frame, Forwarded)
         self._ends[link][0](frame.head, frame.body)
 
-    def _asked(self, link: StreamLink, frame: Frame) -> None:
+    def _pass_frame_to_owner(self, link: StreamLink, frame: Frame) -> None:
         if link not in self._ends:
             server = self._serve()
             self.links.append(ForwardLink(link))
             server.attach(self.links[-1])
             self._ends[link] = server.heard, server.lost
-        self._told(link, frame)
+        self._pass_frame(link, frame)
 
     def _end(self, link: StreamLink) -> None:
         self._ends.pop(link)[1]()
 
-    def time_is_up(self) -> None:
-        """For all that was asked: as if `wait_s` had passed."""
+    def time_out_all(self) -> None:
+        """Time out all open asks, as if `wait_s` had passed."""
         for number, (desk, answer, _) in list(self.client._asked.items()):
             self.client._asked[number] = desk, answer, 0.0
-        assert self.client._late is not None
-        self.client._late.cancel()
+        assert self.client._expiry_timer is not None
+        self.client._expiry_timer.cancel()
         self.client._expire()
 
     def ask(self, one: StoredMessage) -> tuple[RemoteDesk, asyncio.Future[None]]:
--- a/wheelstep/forwarding/client.py
+++ b/wheelstep/forwarding/client.py
@@ -1,9 +1,9 @@
-"""Messages passed on from the process that a client reached to the one that is to owe them: who answers 202 is the
-process with the client, who owes the end is the owner, and its journal has the message before the client hears 202.
+"""The asking side of forwarding: the process with the client answers 202, the owner delivers the message, and the
+owner's journal has the message before the client is answered. `server` is the owner's side.
 
-Asked: `ask` (a message, under a number). Answered: `taken`, `known`, `unsettled`, `away`, or `bad` or `full` with the
-reason. Then `begin` (the client has heard 202) or `withdraw` (it went before). A connection that ends with neither
-counts as `begin`: the client may have heard. Here is the asking side; the owner's is `server`.
+The asker sends `ask` (a message, under a number). The owner answers `taken`, `known`, `unsettled`, `away`, or `bad` or
+`full` with the reason. The asker then sends `begin` (the client was answered 202) or `withdraw` (it left before). A
+connection that ends with neither counts as `begin`, as the client may have been answered.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from wheelstep.courier.admission import BadRequestError, UnansweredError
 from wheelstep.forwarding.errors import AwayError, NotAskedError
-from wheelstep.forwarding.heads import answered, ask_head
+from wheelstep.forwarding.heads import ask_head, decode_answer
 from wheelstep.forwarding.link import Dial, Link
 from wheelstep.journal import NoRoomError, StoredMessage
 
@@ -28,7 +28,7 @@
 
 
 class Ended(Enum):
-    """How an ask ended, for who asked. SILENT: it may have been taken, as no answer came in time or at all."""
+    """How an ask ended. SILENT: no answer came (in time), so the message may have been taken."""
 
     TAKEN = "taken"
     KNOWN = "known"
@@ -41,56 +41,57 @@
 
 
 class ForwardClient:
-    """The way to one other process. Dialled when first needed, and again after it broke.
+    """Asks one other process. Connects on the first ask, and again after the connection has ended.
 
-    Each question has a number of its own, and its answer names it: a client that went and came again with the same
-    message may not take the answer to its first question for one to its second."""
+    Each ask has a number, which its answer repeats: if a client leaves and hands in the same message again, the answer
+    to its first ask must not count as one to its second."""
 
     def __init__(self, dial: Dial, *, what: str, wait_s: float = 0.35, most: int = 2_000) -> None:
-        """`what` names the other in errors. An answer is waited for `wait_s` seconds (a client waits 400 ms for its
-        own); `most` messages are under way at once."""
+        """`what` names the other process in errors. An ask times out after `wait_s` seconds (a client waits 400 ms for
+        its own answer); at most `most` asks are open at once."""
         self._dial_link, self._what, self._wait_s, self._most = dial, what, wait_s, most
         self._link: Link | None = None
-        self._life = 0  # of the connection: raised with each dial and end, so that nothing of an old one is heard
+        self._generation = 0  # of the connection; raised by each dial and end, to ignore old ones
         self._dialling: asyncio.Task[None] | None = None
-        self._waiting = 0  # asks for the dial
+        self._waiting_for_dial = 0  # asks that wait until the connection is there
         self._numbers = itertools.count()
-        self._next = 0  # no higher one was asked
-        self._asked: dict[int, tuple[RemoteDesk, asyncio.Future[None], float]] = {}  # in order of their time
-        self._late: asyncio.TimerHandle | None = None
+        self._next_number = 0  # lowest number that was not asked yet
+        self._asked: dict[int, tuple[RemoteDesk, asyncio.Future[None], float]] = {}  # by number, oldest first
+        self._expiry_timer: asyncio.TimerHandle | None = None
         self._closed = False
-        self.refused: Counter[str] = Counter()  # heads that were no answers, by reason
+        self.refused: Counter[str] = Counter()  # invalid answers, by reason
 
     async def _dial(self) -> None:
-        self._life += 1
-        life = self._life
-        link = await self._dial_link(functools.partial(self._heard, life), functools.partial(self._lost, life))
-        if link is not None and life != self._life:  # it has ended already
+        self._generation += 1
+        generation = self._generation
+        link = await self._dial_link(functools.partial(self._on_frame, generation),
+                                     functools.partial(self._on_end, generation))
+        if link is not None and generation != self._generation:  # it ended while it was dialled
             link.close()
         elif link is not None:
             self._link = link
 
     def ask(self, desk: RemoteDesk, message: StoredMessage) -> asyncio.Future[None]:
-        """Done once the owner has taken it. `NotAskedError` if nothing was sent, `AwayError`, `NoRoomError` or
-        `BadRequestError` if it was refused, `UnansweredError` if it may have been taken. Without a task a message: a
-        hop costs a third less so."""
+        """Return a future that is done once the owner has taken the message. It fails with `NotAskedError` if nothing
+        was sent, `AwayError`, `NoRoomError` or `BadRequestError` if it was refused, and `UnansweredError` if it may
+        have been taken. No task per message: a hop costs a third less this way."""
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self._closed:
             self._not_asked(desk, answer)
-        elif len(self._asked) + self._waiting >= self._most:
+        elif len(self._asked) + self._waiting_for_dial >= self._most:
             self._fail(desk, answer, Ended.NOT_ASKED,
                        NotAskedError(f"too many messages are under way to {self._what}"))
         elif self._link is not None:
             self._send(self._link, desk, message, answer)
-        else:  # told of the last one's end, so that no end is taken for that of the next
+        else:  # by callback, so that this dial's end is not mistaken for the next one's
             if self._dialling is None or self._dialling.done():
                 self._dialling = asyncio.create_task(self._dial())
-            self._waiting += 1
-            self._dialling.add_done_callback(lambda _: self._dialled(desk, message, answer))
+            self._waiting_for_dial += 1
+            self._dialling.add_done_callback(lambda _: self._send_after_dial(desk, message, answer))
         return answer
 
-    def _dialled(self, desk: RemoteDesk, message: StoredMessage, answer: asyncio.Future[None]) -> None:
-        self._waiting -= 1
+    def _send_after_dial(self, desk: RemoteDesk, message: StoredMessage, answer: asyncio.Future[None]) -> None:
+        self._waiting_for_dial -= 1
         if answer.done():
             return
         if self._link is None:
@@ -104,11 +105,11 @@
             self._not_asked(desk, answer)
             return
         loop = asyncio.get_running_loop()
-        self._next = number + 1
+        self._next_number = number + 1
         desk.link, desk.number = link, number
         self._asked[number] = desk, answer, loop.time() + self._wait_s
-        if self._late is None:
-            self._late = loop.call_later(self._wait_s, self._expire)
+        if self._expiry_timer is None:
+            self._expiry_timer = loop.call_later(self._wait_s, self._expire)
 
     def _not_asked(self, desk: RemoteDesk, answer: asyncio.Future[None]) -> None:
         self._fail(desk, answer, Ended.NOT_ASKED, NotAskedError(f"{self._what} can't be reached"))
@@ -118,13 +119,13 @@
         answer.set_exception(error)
 
     def _expire(self) -> None:
-        """One timer for all: they wait equally long, so the oldest is due first."""
+        """Time out the asks that are due. One timer serves all: timeouts are equal, so the oldest is due first."""
         loop = asyncio.get_running_loop()
-        self._late = None
+        self._expiry_timer = None
         while self._asked:
             number, (desk, answer, due_s) = next(iter(self._asked.items()))
             if due_s > loop.time() and not answer.done():
-                self._late = loop.call_at(due_s, self._expire)
+                self._expiry_timer = loop.call_at(due_s, self._expire)
                 return
             del self._asked[number]
             if not answer.done():
@@ -132,52 +133,52 @@
                 self._fail(desk, answer, Ended.SILENT, UnansweredError(f"{self._what} did not answer"))
 
     def tell(self, what: str, desk: RemoteDesk) -> None:
-        """`begin` or `withdraw`; a connection that has ended meanwhile says the first by itself."""
+        """Send `begin` or `withdraw` (`what`). The owner takes the end of the connection as `begin`."""
         if self._link is not None and self._link is desk.link:
             self._link.send({"do": what, "n": desk.number})
 
-    def _heard(self, life: int, head: dict[str, Any], body: bytes) -> None:
-        if life != self._life:
+    def _on_frame(self, generation: int, head: dict[str, Any], body: bytes) -> None:
+        if generation != self._generation:
             return
         try:
-            told = answered(head)
+            reply = decode_answer(head)
         except msgspec.ValidationError as error:
-            self._break(f"no answer: {error}")
+            self._reject(f"an invalid answer: {error}")
             return
-        if told.n >= self._next:
-            self._break("an answer to what was not asked")
+        if reply.n >= self._next_number:
+            self._reject("an answer to an ask that was never sent")
             return
-        desk, answer, _ = self._asked.pop(told.n, (None, None, 0.0))
-        if desk is None or answer is None or answer.done():  # it waits no more
+        desk, answer, _ = self._asked.pop(reply.n, (None, None, 0.0))
+        if desk is None or answer is None or answer.done():  # the ask has ended
             return
-        match told.kind:
+        match reply.kind:
             case "taken" | "known":
-                desk.known = told.kind == "known"
-                desk.ended = Ended(told.kind)
+                desk.known = reply.kind == "known"
+                desk.ended = Ended(reply.kind)
                 answer.set_result(None)
             case "bad":
-                self._fail(desk, answer, Ended.BAD, BadRequestError(told.why))
+                self._fail(desk, answer, Ended.BAD, BadRequestError(reply.why))
             case "unsettled":
                 desk.known = True
                 self._fail(desk, answer, Ended.UNSETTLED, UnansweredError("another client hands it in just now"))
             case "away":
-                self._fail(desk, answer, Ended.AWAY, AwayError(told.why))
+                self._fail(desk, answer, Ended.AWAY, AwayError(reply.why))
             case "full":
-                self._fail(desk, answer, Ended.FULL, NoRoomError(told.why))
+                self._fail(desk, answer, Ended.FULL, NoRoomError(reply.why))
 
-    def _break(self, why: str) -> None:
-        """Guards against a process that does not keep to this: what it says further is not heard."""
+    def _reject(self, why: str) -> None:
+        """Close the connection of a process that breaks the protocol and ignore its further frames."""
         self.refused[why.partition(":")[0]] += 1
-        log.error("%s sent %s: its connection is ended", self._what, why[:200])
+        log.error("%s sent %s; closing the connection", self._what, why[:200])
         link = self._link
-        self._lost(self._life)
+        self._on_end(self._generation)
         if link is not None:
             link.close()
 
-    def _lost(self, life: int) -> None:
-        if life != self._life:
+    def _on_end(self, generation: int) -> None:
+        if generation != self._generation:
             return
-        self._life += 1
+        self._generation += 1
         self._link = None
         asked, self._asked = self._asked, {}
         for desk, answer, _ in asked.values():
@@ -185,58 +186,65 @@
                 self._fail(desk, answer, Ended.SILENT, UnansweredError(f"{self._what} ended"))
 
     def close(self) -> None:
-        """At once, for good."""
+        """Close the connection for good. Later asks fail with `NotAskedError`."""
         self._closed = True
         if self._dialling is not None:
             self._dialling.cancel()
-        if self._late is not None:
-            self._late.cancel()
-            self._late = None
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
         if self._link is not None:
             self._link.close()
 
 
 class RemoteDesk:
-    """Stands for the owner while one request is answered (admission.Admission)."""
+    """Forwards one request's message to its owner (admission.Admission)."""
 
     ready = True
-    syncs = True  # its answer is waited for
+    syncs = True  # the client is answered after the owner
 
     def __init__(self, client: ForwardClient) -> None:
         self._client = client
         self._message: StoredMessage | None = None
-        self.link: Link | None = None  # where it was asked, if it was
+        self.link: Link | None = None  # on which the owner was asked; None: it was not asked
         self.number = -1
-        self.known = False  # the owner has it from another request: nothing of it is this one's to begin or withdraw
-        self.ended: Ended | None = None  # None: the answer is not there, or its own client went before
+        self.known = False  # another request handed it in and begins or withdraws it
+        self.ended: Ended | None = None  # None: no answer yet, or the client left before it came
 
     def full(self) -> bool:
+        """Return False: the owner applies its own limit."""
         return False
 
     def serves(self, destination: int) -> bool:
+        """Return True: the owner checks the destination."""
         return True
 
     def is_unconfirmed(self, message: str) -> bool:
+        """Return False: the owner answers `unsettled` itself."""
         return False
 
     def holds(self, message: str) -> bool:
+        """Return False: the owner answers `known` itself."""
         return False
 
     def take(self, message: StoredMessage) -> None:
+        """Keep the message for `durable`, which sends it."""
         self._message = message
 
     def durable(self) -> asyncio.Future[None]:
-        """Ask the owner, who writes it down; the errors are those of `ForwardClient.ask`."""
+        """Ask the owner, which journals the message. Fails with the errors of `ForwardClient.ask`."""
         assert self._message is not None
         return self._client.ask(self, self._message)
 
     def begin(self, name: str) -> None:
+        """Tell the owner that the client was answered 202."""
         if not self.known:
             self._client.tell("begin", self)
 
     def withdraw(self, name: str) -> None:
+        """Tell the owner to forget the message."""
         if not self.known:
             self._client.tell("withdraw", self)
 
     def record_answer(self, message: StoredMessage, status: int) -> None:
-        """The owner records it."""
+        """Do nothing: the owner records the status."""
--- a/wheelstep/forwarding/errors.py
+++ b/wheelstep/forwarding/errors.py
@@ -1,4 +1,4 @@
-"""Ends of an ask that its asker may act on. No I/O."""
+"""Errors that tell an asker that nobody has taken the message, so that it may ask again. No I/O."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class NotAskedError(NoRoomError):
-    """Nothing was sent: the other can't be reached, or too much is under way to it. Nobody has taken the message."""
+    """Nothing was sent: the other process can't be reached, or too many asks to it are open. Nobody took it."""
 
 
 class AwayError(NotAskedError):
-    """Who was asked does not serve the destination, and has taken nothing."""
+    """The process that was asked does not serve the destination and has not taken the message."""
--- a/wheelstep/forwarding/heads.py
+++ b/wheelstep/forwarding/heads.py
@@ -1,7 +1,7 @@
-"""The heads of forwarded frames, checked. No I/O; imports msgspec.
+"""Validates the heads of forwarded frames. No I/O; imports msgspec.
 
 An asker sends `ask`, whose body is the message's, then `begin` or `withdraw`; numbers of asks rise on one connection.
-Who is asked sends an `Answered` to each ask, but where no answer would be true.
+The owner sends an `Answer` to each ask, except where it does not know whether the message is accepted.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Ask(msgspec.Struct, frozen=True, tag_field="do", tag="ask"):
-    """Take this on. `deadline` in Unix ms; `again`: its client says that it hands it in once more."""
+    """Asks the owner to take a message. `deadline` in Unix ms; `again`: the client says that it hands it in again."""
 
     n: Number
     id: _Name
@@ -30,51 +30,52 @@
     again: bool = False
 
     def message(self, body: bytes) -> StoredMessage:
-        """What is handed in."""
+        """Return the message that is handed in."""
         return StoredMessage(self.id, self.message_class, self.dest, self.deadline, self.key, self.token,
                              self.again, body)
 
 
 class Begin(msgspec.Struct, frozen=True, tag_field="do", tag="begin"):
-    """The client has heard 202."""
+    """The client was answered 202."""
 
     n: Number
 
 
 class Withdraw(msgspec.Struct, frozen=True, tag_field="do", tag="withdraw"):
-    """The client went before it was told, or the asker waits no more."""
+    """The client left before it was answered, or the asker stopped waiting."""
 
     n: Number
 
 
-class Answered(msgspec.Struct, frozen=True):
-    """To an ask. `known`: owed already; `unsettled`: another client hands it in just now; `away`: not served here."""
+class Answer(msgspec.Struct, frozen=True):
+    """Answers an ask. `known`: accepted before; `unsettled`: another client hands it in; `away`: not served here."""
 
     n: Number
     kind: Literal["taken", "known", "unsettled", "bad", "full", "away"] = msgspec.field(name="is")
     why: str = ""
 
 
-Said = Ask | Begin | Withdraw
-_SAID: dict[str, type[Said]] = {"ask": Ask, "begin": Begin, "withdraw": Withdraw}
+AskerFrame = Ask | Begin | Withdraw
+_ASKER_FRAME_TYPES: dict[str, type[AskerFrame]] = {"ask": Ask, "begin": Begin, "withdraw": Withdraw}
 
 
 def ask_head(number: int, message: StoredMessage) -> dict[str, Any]:
-    """The head of an ask; the message's body goes with it."""
+    """Return the head of an ask; the body of its frame is the message's."""
     return {"do": "ask", "n": number, "id": message.id, "class": message.message_class, "dest": message.destination,
             "deadline": message.deadline_ms, "key": message.key, "token": message.token, "again": message.resubmitted}
 
 
-def said(head: dict[str, Any]) -> Said:
-    """What an asker says. `msgspec.ValidationError` where it is none of this."""
+def decode_asker_frame(head: dict[str, Any]) -> AskerFrame:
+    """Return the frame that an asker sent. Raises `msgspec.ValidationError` if it is invalid."""
     do = head.get("do")
-    kind = _SAID.get(do) if isinstance(do, str) else None  # a union would be taken apart anew for each head
+    # Looked up here, as msgspec would analyse a union of the types anew for each head.
+    kind = _ASKER_FRAME_TYPES.get(do) if isinstance(do, str) else None
     if kind is None:
         raise msgspec.ValidationError("expected ask, begin or withdraw")
-    one: Said = msgspec.convert(head, kind)
-    return one
+    frame: AskerFrame = msgspec.convert(head, kind)
+    return frame
 
 
-def answered(head: dict[str, Any]) -> Answered:
-    """What an asker is told. `msgspec.ValidationError` where it is none of this."""
-    return msgspec.convert(head, Answered)
+def decode_answer(head: dict[str, Any]) -> Answer:
+    """Return the owner's answer. Raises `msgspec.ValidationError` if it is invalid."""
+    return msgspec.convert(head, Answer)
--- a/wheelstep/forwarding/link.py
+++ b/wheelstep/forwarding/link.py
@@ -1,4 +1,4 @@
-"""What carries forwarded messages: one connection, in order, whose end both sides hear of. No I/O."""
+"""Interface of the connections that carry forwarded messages, in order; both sides are told of their end. No I/O."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from typing import Any, Protocol
 
 Heard = Callable[[dict[str, Any], bytes], None]
-"""A head and the bytes that came with it."""
+"""Called with each received frame: its head and its body."""
 
 Lost = Callable[[], None]
-"""The connection has ended; nothing more is heard of it."""
+"""Called once the connection has ended; no frame follows."""
 
 
 class Link(Protocol):
@@ -17,14 +17,14 @@
 
     @property
     def open(self) -> bool:
-        """Can anything be sent?"""
+        """Whether frames can be sent."""
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
-        """Send, in order, bounded; False if it can't be."""
+        """Queue a frame, in order and within a bound. False if it can't be sent."""
 
     def close(self) -> None:
-        """At once."""
+        """End the connection at once."""
 
 
 Dial = Callable[[Heard, Lost], Awaitable[Link | None]]
-"""Connect, within the dialler's own bound of time; None where the other can't be reached."""
+"""Connects, within a timeout of its own. The result is None if the other process can't be reached."""
--- a/wheelstep/forwarding/server.py
+++ b/wheelstep/forwarding/server.py
@@ -1,4 +1,4 @@
-"""The owner's side of `client`: what other processes hand in here is taken, begun or withdrawn."""
+"""The owner's side of forwarding: takes, begins or withdraws the messages that other processes hand in."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from wheelstep.courier.admission import Admission, BadRequestError, UnansweredError
 from wheelstep.forwarding.errors import NotAskedError
-from wheelstep.forwarding.heads import Ask, Begin, Withdraw, said
+from wheelstep.forwarding.heads import Ask, Begin, Withdraw, decode_asker_frame
 from wheelstep.forwarding.link import Link
 from wheelstep.journal import NoRoomError, StoredMessage
 
@@ -22,56 +22,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Turned:
-    """No desk takes it here: `away` where another process serves it, `full` where none can just now."""
+    """No desk takes the message here: `away` if another process serves it, `full` if none can at the moment."""
 
     is_: Literal["full", "away"]
     why: str
 
 
 class ForwardServer:
-    """The owner's side of one connection from another process. `find` gives the desk of a message, or why there is
-    none. Tell it the connection by `attach`, each frame by `heard`, its end by `lost`."""
+    """The owner's side of one connection from another process. `find` returns the desk of a message, or why there is
+    none. Its user passes the connection to `attach`, each frame to `heard`, and calls `lost` at its end."""
 
     def __init__(self, find: Callable[[StoredMessage], Admission | Turned], *, most: int = 20_000) -> None:
-        """`most` messages are taken and not begun at once; beyond that it is `full`."""
+        """With `most` messages taken and not begun, further asks are answered `full`."""
         self._find, self._most = find, most
         self._link: Link | None = None
         self._ended = False
-        self._next = 0  # numbers below were asked
-        self._pending: dict[int, tuple[Admission, StoredMessage]] = {}  # accepted, maybe without an answer yet
-        self._tasks: dict[int, asyncio.Task[None]] = {}  # taken, and waiting for a sync
-        self.refused: Counter[str] = Counter()  # frames that were none of an asker, by reason
+        self._next_number = 0  # lowest number that was not asked yet
+        self._pending: dict[int, tuple[Admission, StoredMessage]] = {}  # taken, neither begun nor withdrawn
+        self._tasks: dict[int, asyncio.Task[None]] = {}  # taken, waiting for the journal's sync
+        self.refused: Counter[str] = Counter()  # invalid frames, by reason
 
     def attach(self, link: Link) -> None:
-        """Where answers go."""
+        """Set the connection on which answers are sent."""
         self._link = link
 
     def heard(self, head: dict[str, Any], body: bytes) -> None:
-        """A frame. One that no asker sends ends the connection, and nothing of it is taken over."""
+        """Handle a frame. An invalid one ends the connection, and is itself ignored."""
         if self._ended:
             return
         try:
-            one = said(head)
+            frame = decode_asker_frame(head)
         except msgspec.ValidationError as error:
-            self._break(f"no ask: {error}")
+            self._reject(f"an invalid frame: {error}")
             return
-        match one:
-            case Ask() if one.n < self._next:
-                self._break("an ask under a number that was used")
+        match frame:
+            case Ask() if frame.n < self._next_number:
+                self._reject("an ask with a number that was used before")
             case Ask():
-                self._next = one.n + 1
-                self._ask(one.n, one.message(body))
-            case Begin() | Withdraw() if one.n >= self._next:
-                self._break("an end of what was not asked")
-            case Begin() if one.n in self._tasks:
-                self._break("a begin of what was not answered")
-            case Begin() if one.n in self._pending:
-                self._begin(*self._pending.pop(one.n))
+                self._next_number = frame.n + 1
+                self._handle_ask(frame.n, frame.message(body))
+            case Begin() | Withdraw() if frame.n >= self._next_number:
+                self._reject("a begin or withdraw of an ask that was never sent")
+            case Begin() if frame.n in self._tasks:
+                self._reject("a begin of an ask that was not answered")
+            case Begin() if frame.n in self._pending:
+                self._begin(*self._pending.pop(frame.n))
             case Withdraw():
-                if (task := self._tasks.pop(one.n, None)) is not None:
+                if (task := self._tasks.pop(frame.n, None)) is not None:
                     task.cancel()
-                if one.n in self._pending:
-                    desk, message = self._pending.pop(one.n)
+                if frame.n in self._pending:
+                    desk, message = self._pending.pop(frame.n)
                     desk.withdraw(message.id)
 
     def _begin(self, desk: Admission, message: StoredMessage) -> None:
@@ -79,7 +79,7 @@
             desk.begin(message.id)
             desk.record_answer(message, 202)
 
-    def _ask(self, number: int, message: StoredMessage) -> None:
+    def _handle_ask(self, number: int, message: StoredMessage) -> None:
         desk = self._find(message)
         if isinstance(desk, Turned):
             self._answer(number, desk.is_, desk.why)
@@ -95,28 +95,28 @@
                 desk.take(message)
             except NoRoomError as error:
                 desk.record_answer(message, 503)
-                self._refuse(number, error)
+                self._answer_error(number, error)
                 return
             self._pending[number] = desk, message
             if desk.syncs:
-                self._tasks[number] = asyncio.create_task(self._settle(desk, number, message.id))
+                self._tasks[number] = asyncio.create_task(self._answer_when_durable(desk, number, message.id))
             else:
                 self._answer(number, "taken")
 
-    async def _settle(self, desk: Admission, number: int, name: str) -> None:
+    async def _answer_when_durable(self, desk: Admission, number: int, name: str) -> None:
         try:
             await desk.durable()
-        except Exception as error:  # guards against a message that nobody was told of, and a lost connection begins
+        except Exception as error:  # withdrawn at once, as `lost` would begin it although no client was answered
             self._pending.pop(number, None)
             desk.withdraw(name)
-            self._refuse(number, error)
+            self._answer_error(number, error)
         else:
             self._answer(number, "taken")
         finally:
             self._tasks.pop(number, None)
 
-    def _refuse(self, number: int, error: Exception) -> None:
-        """An answer where there is a true one; else the asker's time runs out."""
+    def _answer_error(self, number: int, error: Exception) -> None:
+        """Answer by the kind of error. After other errors the outcome is unknown, so the asker times out."""
         match error:
             case NotAskedError():
                 self._answer(number, "away", str(error))
@@ -125,26 +125,26 @@
             case BadRequestError():
                 self._answer(number, "bad", str(error))
             case UnansweredError():
-                log.debug("no answer to a forwarded message: %s", error)
+                log.debug("forwarded message left unanswered: %s", error)
             case _:
-                log.error("a forwarded message could not be taken", exc_info=error)
+                log.error("failed to take a forwarded message", exc_info=error)
 
     def _answer(self, number: int, kind: str, why: str = "") -> None:
         if self._link is not None and not self._ended:
             self._link.send({"n": number, "is": kind, "why": why})
 
-    def _break(self, why: str) -> None:
-        """Guards against a process that does not keep to this."""
+    def _reject(self, why: str) -> None:
+        """Close the connection of a process that breaks the protocol."""
         self.refused[why.partition(":")[0]] += 1
-        log.error("a forwarding process sent %s: its connection is ended", why[:200])
+        log.error("a forwarding process sent %s; closing the connection", why[:200])
         self.lost()
         if self._link is not None:
             self._link.close()
 
     def lost(self) -> None:
-        """The connection has ended. Guards against a message that its client was told of, and nobody begins."""
+        """Handle the connection's end: begin what was answered, as the client may have had 202; withdraw the rest."""
         self._ended = True
-        for task in list(self._tasks.values()):  # not answered: its client was told nothing
+        for task in list(self._tasks.values()):  # not answered, so no client had 202
             task.cancel()
         unanswered = set(self._tasks)
         pending, self._pending = self._pending, {}
