--- a/tests/forwarding_world.py
+++ b/tests/forwarding_world.py
@@ -38,39 +38,49 @@
         self.changed = asyncio.Event()
 
     def full(self) -> bool:
+        """Return `is_full`, which a test sets."""
         return self.is_full
 
     def serves(self, destination: int) -> bool:
+        """Return whether it is destination 7."""
         return destination == 7
 
     def holds(self, name: str) -> bool:
+        """Return whether the message was taken."""
         return name in self.taken
 
     def is_unconfirmed(self, name: str) -> bool:
+        """Return whether the message was taken and not begun."""
         return name in self.taken and name not in self.begun
 
     def take(self, one: StoredMessage) -> None:
+        """Take a message."""
         self.taken[one.id] = one
         self.changed.set()
 
     def durable(self) -> asyncio.Future[None]:
+        """Return a future that the test ends."""
         self.waits.append(asyncio.get_running_loop().create_future())
         self.changed.set()
         return self.waits[-1]
 
     def begin(self, name: str) -> None:
+        """Note that the message began."""
         self.begun.append(name)
         self.changed.set()
 
     def withdraw(self, name: str) -> None:
+        """Forget the message and note that."""
         del self.taken[name]
         self.withdrawn.append(name)
         self.changed.set()
 
     def record_answer(self, one: StoredMessage, status: int) -> None:
+        """Note the status."""
         self.recorded.append((one.id, status))
 
     async def until(self, holds: Callable[[], bool]) -> None:
+        """Wait until `holds` returns True, at most 20 s."""
         async with asyncio.timeout(20):
             while not holds():
                 self.changed.clear()
@@ -87,6 +97,7 @@
         self.lost: Lost
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
+        """Send a frame, or keep it with `hold`."""
         if self.open:
             self.held.append((head, body))
             if not self.hold:
@@ -94,11 +105,13 @@
         return self.open
 
     def release(self) -> None:
+        """Deliver the frames that were kept."""
         held, self.held = self.held, []
         for one in held:
             asyncio.get_running_loop().call_soon(self.other.heard, *one)
 
     def close(self) -> None:
+        """End the connection for both sides."""
         for end in (self, self.other):
             if end.open:
                 end.open = False
@@ -176,6 +189,7 @@
         self.client._expire()
 
     def ask(self, one: StoredMessage) -> tuple[RemoteDesk, asyncio.Future[None]]:
+        """Ask the owner to take a message; return its desk and the future of the answer."""
         desk = RemoteDesk(self.client)
         desk.take(one)
         return desk, desk.durable()
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -31,7 +31,7 @@
             with pytest.raises(UnansweredError, match="another client"):
                 await answer
             assert other.ended is Ended.UNSETTLED
-            other.withdraw("m1")  # not its own to withdraw
+            other.withdraw("m1")  # ignored, as the other ask took the message
             desk.begin("m1")
             await pair.owner.until(lambda: pair.owner.begun == ["m1"])
             other, answer = pair.ask(message("m1"))
@@ -133,7 +133,7 @@
             owner_end.release()
             again, answer = pair.ask(message("m1"))
             await answer
-            late.begin("m1")  # its number is over
+            late.begin("m1")  # ignored, as its ask has ended
             again.begin("m1")
             await pair.owner.until(lambda: pair.owner.begun == ["m1"])
             assert (late.ended, again.ended) == (Ended.SILENT, Ended.TAKEN) and pair.client.refused == {}
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Moving what is owed between layouts: nothing lost or doubled, wherever it is cut off."""
+"""Migration between layouts loses and doubles no message, wherever it is interrupted."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 import pytest
 
 from wheelstep.journal import Journal, StoredMessage
-from wheelstep.workers.layout import FILE, Layout, LayoutError, prepare, read
+from wheelstep.workers.layout import LAYOUT_FILE, Layout, LayoutError, prepare, read_layout
 from wheelstep.workers.ownership import share_of
 
 LIMIT = 50_000_000
 
 
 def fill(folder: Path, count: int = 60) -> None:
+    """Write a journal of messages in several states, and a mark."""
     journal = Journal(folder, LIMIT)
     for number in range(count):
         journal.take(StoredMessage(f"m{number}", "pay", number % 13, 10**13, f"k{number % 5}", "t", False,
@@ -33,8 +34,8 @@
 
 
 def owed(state: Path) -> dict[str, tuple[Any, ...]]:
-    """Every message of the layout that counts, with all that matters of it; each in the share that it belongs to."""
-    layout = read(state)
+    """Return the stored fields of every message of the valid layout. Checks that each is in its share, in order."""
+    layout = read_layout(state)
     found: dict[str, tuple[Any, ...]] = {}
     for share in range(layout.shares):
         journal = Journal(layout.folder(state, share), LIMIT)
@@ -45,35 +46,36 @@
                              one.attempts, one.ran_ms, one.ran_at, one.out, one.notice)
         for destination in range(13):
             numbers = [int(one.id[1:]) for one in journal.messages.values() if one.destination == destination]
-            assert numbers == sorted(numbers)  # the order of a key hangs on it
+            assert numbers == sorted(numbers)  # keeps the order of a key
         assert journal.marks == {"e1": [1, True, False, 2.0, 0.5]}
         journal.close()
     return found
 
 
-def test_from_one_journal_to_shares_and_back(tmp_path: Path) -> None:
+def test_messages_survive_migration_to_shares_and_back(tmp_path: Path) -> None:
     fill(tmp_path)
     before = owed(tmp_path)
     for shares in (8, 3, 8, 1, 0):
         assert prepare(tmp_path, shares, LIMIT).shares == max(shares, 1)
         assert owed(tmp_path) == before
-    assert read(tmp_path) == Layout(0, 1)
-    assert [path.name for path in tmp_path.iterdir() if path.is_dir() or path.name == FILE] == []
+    assert read_layout(tmp_path) == Layout(0, 1)
+    assert [path.name for path in tmp_path.iterdir() if path.is_dir() or path.name == LAYOUT_FILE] == []
 
 
-def test_the_same_layout_moves_nothing(tmp_path: Path) -> None:
+def test_prepare_keeps_an_equal_layout(tmp_path: Path) -> None:
     fill(tmp_path)
     layout = prepare(tmp_path, 4, LIMIT)
-    assert prepare(tmp_path, 4, LIMIT) == layout == read(tmp_path)
+    assert prepare(tmp_path, 4, LIMIT) == layout == read_layout(tmp_path)
 
 
-class Cut(Exception):
-    """The process ends here."""
+class Interrupted(Exception):
+    """Stands for the end of the process."""
 
 
 @pytest.mark.parametrize("shares", [5, 0])
-def test_cut_off_at_any_step_it_is_done_again(tmp_path: Path, shares: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """At each removal, rename, message taken and folder made, in a loop until a run meets no further one."""
+def test_migration_interrupted_at_any_step_is_completed_by_the_next(tmp_path: Path, shares: int,
+                                                                    monkeypatch: pytest.MonkeyPatch) -> None:
+    """Interrupts each removal, rename, write and folder creation in turn, until a run is not interrupted."""
     start = tmp_path / "start"
     start.mkdir()
     fill(start)
@@ -83,14 +85,14 @@
     while True:
         state = tmp_path / f"run-{steps}"
         shutil.copytree(start, state)
-        left = steps
+        steps_left = steps
 
         def counted(what: Callable[..., Any]) -> Callable[..., Any]:
             def step(*args: Any, **named: Any) -> Any:
-                nonlocal left
-                if left == 0:
-                    raise Cut
-                left -= 1
+                nonlocal steps_left
+                if steps_left == 0:
+                    raise Interrupted
+                steps_left -= 1
                 return what(*args, **named)
             return step
         with monkeypatch.context() as patch:
@@ -100,10 +102,10 @@
             try:
                 prepare(state, shares, LIMIT)
                 done = True
-            except Cut:
+            except Interrupted:
                 done = False
         prepare(state, shares, LIMIT)
-        assert owed(state) == before and read(state).shares == max(shares, 1)
+        assert owed(state) == before and read_layout(state).shares == max(shares, 1)
         shutil.rmtree(state)
         if done:
             break
@@ -111,23 +113,23 @@
     assert steps > 60
 
 
-def test_no_room_for_both_copies_changes_nothing(tmp_path: Path) -> None:
+def test_migration_without_room_for_both_copies_changes_nothing(tmp_path: Path) -> None:
     fill(tmp_path)
     before = owed(tmp_path)
     with pytest.raises(LayoutError, match="expected room for another copy"):
         prepare(tmp_path, 4, 5_000)
-    assert owed(tmp_path) == before and read(tmp_path) == Layout(0, 1)
+    assert owed(tmp_path) == before and read_layout(tmp_path) == Layout(0, 1)
 
 
-def test_a_folder_in_use_or_a_broken_file_is_refused(tmp_path: Path) -> None:
+def test_folder_in_use_or_invalid_layout_file_is_refused(tmp_path: Path) -> None:
     fill(tmp_path)
     journal = Journal(tmp_path, LIMIT)
     with pytest.raises(LayoutError, match="another process has"):
         prepare(tmp_path, 4, LIMIT)
     journal.close()
     for text in ("", "{}", '{"generation": -1, "shares": 4}', '{"generation": 1, "shares": 0}', "\0"):
-        (tmp_path / FILE).write_text(text)
+        (tmp_path / LAYOUT_FILE).write_text(text)
         with pytest.raises(LayoutError, match="expected the file as umberchute wrote it"):
             prepare(tmp_path, 4, LIMIT)
-    (tmp_path / FILE).unlink()
+    (tmp_path / LAYOUT_FILE).unlink()
     assert len(owed(tmp_path)) == 60
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns a share: even and stable, never two at a time, whatever dies, hangs or comes back."""
+"""Shares are divided evenly and with few moves, and have at most one owner, whichever workers die, hang or return."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from wheelstep.workers.ownership import Fleet, Limits, State, assign, share_of
 
 
-def test_a_destination_keeps_its_share_for_good() -> None:
-    """These stand in folders: another mapping would look for messages in the wrong journal."""
+def test_share_of_a_destination_does_not_change() -> None:
+    """Guards against a changed mapping, which would look for stored messages in the wrong journal."""
     assert [share_of(number, 8) for number in (0, 1, 2, 7, 1000, 12345678901)] == [5, 6, 4, 2, 2, 6]
 
 
-def test_shares_get_about_as_many_destinations() -> None:
+def test_shares_get_similar_numbers_of_destinations() -> None:
     counts = [0] * 8
     for number in range(8_000):
         counts[share_of(number, 8)] += 1
@@ -25,7 +25,7 @@
 
 @given(st.integers(1, 40), st.lists(st.integers(0, 9), unique=True, min_size=1),
        st.lists(st.integers(0, 9), unique=True, min_size=1))
-def test_assignment_is_even_and_moves_the_least(shares: int, before: list[int], now: list[int]) -> None:
+def test_assignment_is_even_with_the_fewest_moves(shares: int, before: list[int], now: list[int]) -> None:
     old = assign(range(shares), before, {})
     new = assign(range(shares), now, old)
     sizes = [sum(owner == worker for owner in new.values()) for worker in now]
@@ -38,16 +38,17 @@
     assert assign(range(shares), now, new) == new
 
 
-class World:
-    """Processes as the fleet's actions make them; fails where a share is open twice."""
+class FleetModel:
+    """Model of the worker processes that the fleet's actions make; fails if two workers open a share."""
 
     def __init__(self, workers: int, shares: int, limits: Limits) -> None:
         self.fleet = Fleet(workers, shares, limits)
         self.alive: dict[int, set[int]] = {}
-        self.told: list[str] = []
+        self.warnings: list[str] = []
         self.now = 0.0
 
     def do(self, actions: Sequence[ownership.Action]) -> None:
+        """Perform the fleet's actions."""
         for action in actions:
             match action:
                 case ownership.Start(worker):
@@ -58,120 +59,125 @@
                     self.open(worker, shares)
                 case ownership.Kill(worker) if worker in self.alive:
                     self.die(worker)
-                case ownership.Tell(text):
-                    self.told.append(text)
+                case ownership.Warn(text):
+                    self.warnings.append(text)
 
     def open(self, worker: int, shares: tuple[int, ...]) -> None:
+        """Open shares in a worker; fails if another has one of them open or it is set aside."""
         for share in shares:
             assert not any(share in opened for other, opened in self.alive.items() if other != worker), "two owners"
-            assert share not in self.fleet.aside
+            assert share not in self.fleet.quarantined
             if worker in self.alive:
                 self.alive[worker].add(share)
 
     def ready(self, worker: int) -> None:
-        self.fleet.heard(worker)
+        """Send a heartbeat and report the worker's shares as open."""
+        self.fleet.heartbeat(worker)
         for share in sorted(self.alive[worker]):
             self.do(self.fleet.opened(worker, share))
 
     def die(self, worker: int) -> None:
+        """End a worker's process."""
         del self.alive[worker]
         self.do(self.fleet.died(worker, self.now))
 
     def tick(self, by_s: float = 0.1) -> None:
+        """Advance the clock and tick the fleet."""
         self.now += by_s
         self.do(self.fleet.tick(self.now))
 
 
 @settings(max_examples=300)
 @given(st.data())
-def test_no_share_has_two_owners_and_each_has_one_in_the_end(data: st.DataObject) -> None:
+def test_share_never_has_two_owners_and_finally_has_one(data: st.DataObject) -> None:
     workers, shares = data.draw(st.integers(1, 5)), data.draw(st.integers(5, 12))
-    world = World(workers, shares, Limits(crashes=3))
-    world.tick()
+    model = FleetModel(workers, shares, Limits(crashes=3))
+    model.tick()
     for _ in range(data.draw(st.integers(0, 60))):
         what = data.draw(st.sampled_from(["tick", "tick", "die", "ready", "reload", "long"]))
         if what == "tick":
-            world.tick()
+            model.tick()
         elif what == "long":
             for _ in range(40):
-                world.tick()
+                model.tick()
         elif what == "reload":
-            world.do(world.fleet.reload(world.now))
-        elif world.alive:
-            worker = data.draw(st.sampled_from(sorted(world.alive)))
-            world.die(worker) if what == "die" else world.ready(worker)
-    if world.fleet.lost():
+            model.do(model.fleet.reload(model.now))
+        elif model.alive:
+            worker = data.draw(st.sampled_from(sorted(model.alive)))
+            model.die(worker) if what == "die" else model.ready(worker)
+    if model.fleet.all_parked():
         return
-    for _ in range(5):  # left alone, all that may be open is
+    for _ in range(5):  # without further events, every share opens that is not set aside
         for _ in range(20):
-            world.tick()
-            for worker in sorted(world.alive):
-                world.ready(worker)
-    opened = [share for mine in world.alive.values() for share in mine]
-    assert sorted(opened) == sorted(set(range(shares)) - world.fleet.aside) and world.fleet.complete()
+            model.tick()
+            for worker in sorted(model.alive):
+                model.ready(worker)
+    opened = [share for mine in model.alive.values() for share in mine]
+    assert sorted(opened) == sorted(set(range(shares)) - model.fleet.quarantined) and model.fleet.all_open()
 
 
-def up(workers: int = 3, shares: int = 6, limits: Limits | None = None) -> World:
-    world = World(workers, shares, limits or Limits())
-    world.tick()
+def running_fleet(workers: int = 3, shares: int = 6, limits: Limits | None = None) -> FleetModel:
+    """Return a fleet whose workers are up with all their shares open."""
+    model = FleetModel(workers, shares, limits or Limits())
+    model.tick()
     for worker in range(workers):
-        world.ready(worker)
-    return world
+        model.ready(worker)
+    return model
 
 
-def test_one_that_hangs_is_killed_and_others_keep_theirs() -> None:
-    world = up()
+def test_hung_worker_is_killed_and_the_others_keep_their_shares() -> None:
+    model = running_fleet()
     for _ in range(40):
-        world.tick()
-        world.fleet.heard(0)
-        world.fleet.heard(2)
-    assert any("worker 1 was silent" in text for text in world.told)
-    assert not any("worker 0" in text or "worker 2" in text for text in world.told)
-    assert world.alive[1] == {2, 3}
+        model.tick()
+        model.fleet.heartbeat(0)
+        model.fleet.heartbeat(2)
+    assert any("worker 1 was silent" in text for text in model.warnings)
+    assert not any("worker 0" in text or "worker 2" in text for text in model.warnings)
+    assert model.alive[1] == {2, 3}
 
 
-def test_a_supervisor_that_was_late_itself_blames_nobody() -> None:
-    world = up()
-    world.tick(30.0)
-    assert world.told == [] and set(world.alive) == {0, 1, 2}
+def test_supervisor_that_was_stalled_kills_no_worker() -> None:
+    model = running_fleet()
+    model.tick(30.0)
+    assert model.warnings == [] and set(model.alive) == {0, 1, 2}
 
 
-def test_one_that_keeps_crashing_is_parked_and_its_shares_go_round() -> None:
-    world = up()
+def test_worker_that_keeps_crashing_is_parked_and_its_shares_are_reassigned() -> None:
+    model = running_fleet()
     for _ in range(3):
-        world.die(1)
+        model.die(1)
         for _ in range(10):
-            world.tick()
-            for worker in world.alive:
-                world.ready(worker)
-    assert world.fleet.workers[1].state is State.PARKED
-    assert sorted(share for mine in world.alive.values() for share in mine) == list(range(6))
-    assert sorted(map(len, world.alive.values())) == [3, 3]
+            model.tick()
+            for worker in model.alive:
+                model.ready(worker)
+    assert model.fleet.workers[1].state is State.PARKED
+    assert sorted(share for mine in model.alive.values() for share in mine) == list(range(6))
+    assert sorted(map(len, model.alive.values())) == [3, 3]
 
 
-def test_crashes_far_apart_park_nobody() -> None:
-    world = up(limits=Limits(within_s=1.0))
+def test_crashes_far_apart_park_no_worker() -> None:
+    model = running_fleet(limits=Limits(crash_window_s=1.0))
     for _ in range(10):
-        world.die(1)
+        model.die(1)
         for _ in range(20):
-            world.tick()
-            for worker in world.alive:
-                world.ready(worker)
-    assert world.fleet.workers[1].state is State.UP
+            model.tick()
+            for worker in model.alive:
+                model.ready(worker)
+    assert model.fleet.workers[1].state is State.UP
 
 
-def test_a_share_that_crashes_whoever_has_it_is_set_aside() -> None:
-    """Guards the other workers against a message that none of them survives."""
-    world = up(4, 8)
+def test_share_that_crashes_its_owners_is_set_aside() -> None:
+    """Guards against a message that crashes each worker that opens its share, one after another."""
+    model = running_fleet(4, 8)
     poison = 3
     for _ in range(200):
-        world.tick()
-        for worker in list(world.alive):
-            world.ready(worker)
-            if poison in world.alive[worker]:
-                world.die(worker)
-    assert world.fleet.aside == {poison}
-    assert sum(worker.state is State.PARKED for worker in world.fleet.workers.values()) == 2
-    assert sorted(share for mine in world.alive.values() for share in mine) == [0, 1, 2, 4, 5, 6, 7]
-    world.do(world.fleet.reload(world.now))
-    assert not world.fleet.aside and poison in world.fleet.owners
+        model.tick()
+        for worker in list(model.alive):
+            model.ready(worker)
+            if poison in model.alive[worker]:
+                model.die(worker)
+    assert model.fleet.quarantined == {poison}
+    assert sum(worker.state is State.PARKED for worker in model.fleet.workers.values()) == 2
+    assert sorted(share for mine in model.alive.values() for share in mine) == [0, 1, 2, 4, 5, 6, 7]
+    model.do(model.fleet.reload(model.now))
+    assert not model.fleet.quarantined and poison in model.fleet.owners
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""A courier of several processes: messages passed on, owners that end, restarts with another number of workers."""
+"""Courier of several processes: forwarded messages, owners that end, restarts with another number of workers."""
 
 from __future__ import annotations
 
@@ -24,11 +24,12 @@
 
 
 def message(name: str, destination: int = 7) -> StoredMessage:
+    """Return a message with a body."""
     return StoredMessage(name, "once", destination, 10**13, body=b"body of " + name.encode())
 
 
 class Owner:
-    """Stands for the core of the worker that owns a message."""
+    """Stands for the core of the worker that owns a message. With `syncs`, `durable` waits for `may_sync`."""
 
     def __init__(self) -> None:
         self.syncs = False
@@ -36,7 +37,7 @@
         self.taken: dict[str, StoredMessage] = {}
         self.begun: list[str] = []
         self.withdrawn: list[str] = []
-        self.news = asyncio.Condition()
+        self.changed = asyncio.Condition()
         self.may_sync = asyncio.Event()
 
     def full(self) -> bool:
@@ -72,50 +73,51 @@
         pass
 
     async def _tell(self) -> None:
-        async with self.news:
-            self.news.notify_all()
+        async with self.changed:
+            self.changed.notify_all()
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        async with asyncio.timeout(10), self.news:
-            await self.news.wait_for(holds)
+        async with asyncio.timeout(10), self.changed:
+            await self.changed.wait_for(holds)
 
 
-class Hop:
-    """An owner behind a Unix socket, and the way to it."""
+class OwnerOverSocket:
+    """An owner behind a Unix socket, and a client that asks it."""
 
     def __init__(self, folder: Path) -> None:
         self.path = str(folder / "hop")
         self.owner = Owner()
-        self.counters: list[OwnerSide] = []
-        self.passage = forward_client(self.path)
+        self.owner_sides: list[OwnerSide] = []
+        self.client = forward_client(self.path)
 
-    def _counter(self) -> Any:
-        self.counters.append(OwnerSide(lambda destination: self.owner))  # type: ignore[arg-type, return-value]
-        return self.counters[-1].frames
+    def _accept(self) -> Any:
+        self.owner_sides.append(OwnerSide(lambda destination: self.owner))  # type: ignore[arg-type, return-value]
+        return self.owner_sides[-1].frames
 
-    async def __aenter__(self) -> Hop:
-        self.server = await asyncio.get_running_loop().create_unix_server(self._counter, self.path)
+    async def __aenter__(self) -> OwnerOverSocket:
+        self.server = await asyncio.get_running_loop().create_unix_server(self._accept, self.path)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.passage.close()
+        self.client.close()
         self.server.close()
 
     async def hand_in(self, one: StoredMessage) -> RemoteDesk:
-        desk = RemoteDesk(self.passage)
+        """Ask the owner to take a message and return its desk once it has."""
+        desk = RemoteDesk(self.client)
         desk.take(one)
         await desk.durable()
         return desk
 
 
-def test_the_owner_has_it_before_the_client_hears_and_begins_after(tmp_path: Path) -> None:
+def test_owner_takes_before_the_client_is_answered_and_begins_after(tmp_path: Path) -> None:
     async def work() -> None:
-        async with Hop(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as s:
             desk = await s.hand_in(message("m1"))
             assert s.owner.taken["m1"] == message("m1") and s.owner.begun == []
             desk.begin("m1")
             await s.owner.until(lambda: s.owner.begun == ["m1"])
-            (await s.hand_in(message("m1"))).begin("m1")  # known already: nothing begins twice
+            (await s.hand_in(message("m1"))).begin("m1")  # known already, so it does not begin twice
             desk = await s.hand_in(message("m2"))
             desk.withdraw("m2")
             await s.owner.until(lambda: s.owner.withdrawn == ["m2"])
@@ -123,9 +125,9 @@
     run(work())
 
 
-def test_what_the_owner_refuses_is_refused(tmp_path: Path) -> None:
+def test_refusals_of_the_owner_reach_the_client(tmp_path: Path) -> None:
     async def work() -> None:
-        async with Hop(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as s:
             with pytest.raises(BadRequestError, match="no such destination"):
                 await s.hand_in(message("m1", 8))
             s.owner.no_room = True
@@ -135,9 +137,9 @@
             with pytest.raises(NoRoomError, match="holds all it can"):
                 await s.hand_in(message("m3"))
             s.server.close()
-            s.counters[0].frames.close()
+            s.owner_sides[0].frames.close()
             await asyncio.sleep(0)
-        with pytest.raises(NoRoomError, match="can't be reached"):  # nothing was sent: handing in again is harmless
+        with pytest.raises(NoRoomError, match="can't be reached"):  # nothing was sent, so a repeat is harmless
             while True:
                 try:
                     await s.hand_in(message("m4"))
@@ -146,39 +148,39 @@
     run(work())
 
 
-def test_an_owner_that_ends_in_between_leaves_no_false_answer(tmp_path: Path) -> None:
-    """503 would invite the client to hand in again what the owner's journal may hold: a fee paid twice."""
+def test_client_gets_no_answer_if_the_owner_ends_before_it_answers(tmp_path: Path) -> None:
+    """Guards against a 503 for what the owner's journal may hold: the client hands it in again, a fee is paid twice."""
     async def work() -> None:
-        async with Hop(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as s:
             s.owner.syncs = True
             asked = asyncio.create_task(s.hand_in(message("m1")))
             while not s.owner.taken:
                 await asyncio.sleep(0)
-            s.counters[0].frames.close()
+            s.owner_sides[0].frames.close()
             with pytest.raises(UnansweredError):
                 await asked
     run(work())
 
 
-def test_a_worker_that_ends_after_the_answer_leaves_its_messages_begun(tmp_path: Path) -> None:
-    """Its client may have heard 202."""
+def test_message_begins_if_the_asker_ends_after_the_answer(tmp_path: Path) -> None:
+    """Guards against the loss of a message whose client may have been answered 202."""
     async def work() -> None:
-        async with Hop(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as s:
             await s.hand_in(message("m1"))
-            s.passage.close()
+            s.client.close()
             await s.owner.until(lambda: s.owner.begun == ["m1"])
     run(work())
 
 
-def test_a_worker_that_ends_before_the_answer_leaves_nothing(tmp_path: Path) -> None:
-    """Nobody was told: the client hands it in again under another id."""
+def test_message_is_withdrawn_if_the_asker_ends_before_the_answer(tmp_path: Path) -> None:
+    """Guards against a second delivery: the client was not answered and hands it in again under another id."""
     async def work() -> None:
-        async with Hop(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as s:
             s.owner.syncs = True
             asked = asyncio.create_task(s.hand_in(message("m1")))
             while not s.owner.taken:
                 await asyncio.sleep(0)
-            s.passage.close()
+            s.client.close()
             await s.owner.until(lambda: s.owner.withdrawn == ["m1"])
             with pytest.raises(UnansweredError):
                 await asked
@@ -186,11 +188,11 @@
     run(work())
 
 
-def test_two_clients_at_once_with_one_message(tmp_path: Path) -> None:
-    """The second heard 202 for what the first, who went, still could withdraw: owed to nobody's knowledge, and gone."""
+def test_second_client_with_a_message_is_not_answered_until_the_first_is(tmp_path: Path) -> None:
+    """Guards against a lost message: the second client got 202, then the first left, which withdrew the message."""
     async def work() -> None:
-        async with Hop(tmp_path) as s:
-            first = await s.hand_in(message("m1"))  # taken, its client has not heard yet
+        async with OwnerOverSocket(tmp_path) as s:
+            first = await s.hand_in(message("m1"))  # taken, its client is not answered yet
             with pytest.raises(UnansweredError, match="another client"):
                 await s.hand_in(message("m1"))
             first.withdraw("m1")
@@ -201,12 +203,12 @@
     run(work())
 
 
-def test_an_answer_belongs_to_its_own_question(tmp_path: Path) -> None:
-    """A client that went and came again took the answer to its first question, though the second was refused."""
+def test_answer_to_an_earlier_ask_does_not_count_for_a_later_one(tmp_path: Path) -> None:
+    """Guards against an answer to a client's first ask that counts for its second, which was refused."""
     async def work() -> None:
-        async with Hop(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as s:
             await s.hand_in(message("m0"))
-            gone = RemoteDesk(s.passage)
+            gone = RemoteDesk(s.client)
             gone.take(message("m1"))
             gone.durable().cancel()
             gone.withdraw("m1")
@@ -224,9 +226,9 @@
     run(work())
 
 
-def test_an_owner_that_does_not_answer_in_time_is_told_to_forget(tmp_path: Path) -> None:
+def test_ask_that_the_owner_does_not_answer_in_time_is_withdrawn(tmp_path: Path) -> None:
     async def work() -> None:
-        async with Hop(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as s:
             s.owner.syncs = True
             with pytest.raises(UnansweredError, match="did not answer"):
                 await s.hand_in(message("m1"))
@@ -235,19 +237,20 @@
     run(work())
 
 
-# --- the whole, as processes ---
+# --- a courier with worker processes ---
 
 
 def operator(folder: Path, workers: int, shares: int = 4) -> Path:
+    """Write an operator file with this number of workers and shares."""
     path = folder / "operator.toml"
     path.write_text(f"[workers]\ncount = {workers}\nshares = {shares}\n")
     return path
 
 
-def test_every_worker_takes_messages_for_every_destination(tmp_path: Path) -> None:
+def test_every_worker_accepts_messages_for_every_destination(tmp_path: Path) -> None:
     async def scene() -> None:
         s = Scene(tmp_path, operator(tmp_path, 3))
-        s.courier.settings = ALONE  # guards the count against two messages that share a call on a quick machine
+        s.courier.settings = ALONE  # one message per call, so that the calls can be counted on a fast machine
         others = [Endpoint() for _ in range(6)]
         await s.platform.start()
         s.platform.list(host("e0", await s.endpoint.start()),
@@ -255,9 +258,9 @@
         await s.courier.start()
         assert len({share_of(20 + number, 4) for number in range(6)}) > 2
         for turn in range(5):
-            for number in range(6):  # each on a connection of its own, so at any worker
+            for number in range(6):  # each on its own connection, so to any worker
                 status = 503
-                while status == 503:  # a worker that was not told yet who owns what
+                while status == 503:  # from a worker that does not know the owners yet
                     status = await s.courier.hand_in(f"m{turn}-{number}", X_Consignee=f"dest={20 + number}",
                                                      body=b"b" * 1000)
                 assert status == 202
@@ -271,13 +274,13 @@
     run(scene())
 
 
-def test_a_message_is_delivered_once_over_layouts_and_deaths(tmp_path: Path) -> None:
-    """Without workers, with two, all killed outright, with three shares more, and back: nothing is lost or doubled."""
+def test_message_is_delivered_once_despite_kills_and_layout_changes(tmp_path: Path) -> None:
+    """Runs without workers, with two, all killed, with three workers and more shares, and without workers again."""
     async def scene() -> None:
         s = Scene(tmp_path)
         s.courier.settings = ALONE
         await s.platform.start()
-        s.platform.list(host("e0", await s.endpoint.start(), health="DRAINING"))  # so that messages wait
+        s.platform.list(host("e0", await s.endpoint.start(), health="DRAINING"))  # so that messages stay in the journal
         try:
             await s.courier.start()
             assert await s.courier.hand_in("m0") == 202
@@ -285,7 +288,7 @@
             s.courier.operator = operator(tmp_path, 2, 4)
             await s.courier.start()
             assert await s.courier.hand_in("m1") == 202
-            await s.courier.kill()  # the kernel ends the workers with it
+            await s.courier.kill()  # the kernel kills the workers with it
             s.courier.operator = operator(tmp_path, 3, 7)
             await s.courier.start()
             assert await s.courier.hand_in("m2") == 202
@@ -314,7 +317,7 @@
     run(scene())
 
 
-def test_reload_moves_every_worker_and_the_end_of_one_stops_no_other(tmp_path: Path) -> None:
+def test_reload_reaches_all_workers_and_the_end_of_one_stops_no_other(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Scene(tmp_path, operator(tmp_path, 2)) as s:
             s.courier.renew("{")
@@ -322,9 +325,9 @@
             s.courier.renew(s.courier.config(s.platform))
             await s.courier.wait_log("configuration read again")
             first = children(s.courier.process.pid)
-            os.kill(first[share_of(7, 4) % 2 ^ 1], 9)  # one of them; which owns destination 7 does not matter
+            os.kill(first[share_of(7, 4) % 2 ^ 1], 9)  # either worker; it need not own destination 7
             await s.courier.wait_log("started again, 1 of 3")
-            while True:  # a connection may land where its owner is just being replaced
+            while True:  # a connection may reach a worker that is being replaced
                 try:
                     if await s.courier.hand_in("m1") == 202:
                         break
@@ -336,7 +339,7 @@
     run(scene())
 
 
-def test_too_many_workers_or_too_few_shares_are_said_in_a_line(tmp_path: Path) -> None:
+def test_too_many_workers_or_too_few_shares_are_reported(tmp_path: Path) -> None:
     async def scene() -> None:
         for workers, shares, expected in ((5, 4, "expected 5 at least"), (20, 20, "no more than there are slots")):
             folder = tmp_path / str(workers)
@@ -349,7 +352,7 @@
     run(scene())
 
 
-SHORT = """
+WORKER_KILL_SCENARIO = """
 title = "A worker is killed under load"
 rule = "all"
 length = "3s"
@@ -385,9 +388,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_rules_are_kept_while_a_worker_dies(tmp_path: Path, seed: int) -> None:
+def test_rehearsal_rules_hold_while_a_worker_is_killed(tmp_path: Path, seed: int) -> None:
     path = tmp_path / "short.toml"
-    path.write_text(SHORT)
+    path.write_text(WORKER_KILL_SCENARIO)
     command = f"{module_command('wheelstep.cli')} serve --workers 2"
     code, report = rehearse("run", str(path), "--seed", str(seed), "--courier", command)
     assert code == 0, report
--- a/tests/test_workers_edges.py
+++ b/tests/test_workers_edges.py
@@ -1,4 +1,4 @@
-"""A courier of several processes at its limits: what one worker lacks, the others have."""
+"""Courier of several processes at its limits: one worker's shortage does not affect the others."""
 
 from __future__ import annotations
 
@@ -18,40 +18,40 @@
 SHARES = 4
 
 
-def elsewhere(destination: int, workers: int = 2) -> int:
-    """A destination whose worker is another one."""
+def destination_of_other_worker(destination: int, workers: int = 2) -> int:
+    """Return a destination that another worker owns."""
     owners = assign(range(SHARES), range(workers), {})
     mine = owners[share_of(destination, SHARES)]
     return next(number for number in range(8, 100) if owners[share_of(number, SHARES)] != mine)
 
 
-class Two(Scene):
-    """Destination 7 with `endpoint`, and one of the other worker's with `other`."""
+class TwoWorkers(Scene):
+    """Destination 7 with `endpoint`, and destination `number` of the other worker with `other`."""
 
     def __init__(self, folder: Path, disk_mb: float = 3, settings: dict[str, Any] | None = None) -> None:
         super().__init__(folder, operator(folder, 2, SHARES), disk_mb)
         self.courier.settings = settings or ALONE
-        self.other, self.number = Endpoint(), elsewhere(7)
+        self.other, self.number = Endpoint(), destination_of_other_worker(7)
 
-    async def __aenter__(self) -> Two:
+    async def __aenter__(self) -> TwoWorkers:
         await self.platform.start()
         self.platform.list(host("e0", await self.endpoint.start()), host("f0", await self.other.start(), self.number))
         await self.courier.start()
         return self
 
     async def hand_in(self, name: str, destination: int, body: bytes = b"x") -> int:
-        """The answer that is not for want of a worker that was told who owns what."""
+        """Hand in until the answer is not 503, which a worker gives that does not know the owners yet."""
         async with asyncio.timeout(20):
             while True:
                 status = 0
-                with contextlib.suppress(OSError):  # its worker has just ended
+                with contextlib.suppress(OSError):  # the worker has just ended
                     status = await self.courier.hand_in(name, body=body, X_Consignee=f"dest={destination}")
                 if status not in (0, 503):
                     return status
                 await asyncio.sleep(0.02)
 
     async def fill(self, destination: int, body: bytes) -> list[str]:
-        """Hand in until there is no room."""
+        """Hand in until there is no room, and return the accepted messages."""
         taken: list[str] = []
         async with asyncio.timeout(20):
             while True:
@@ -64,20 +64,21 @@
                     taken.append(name)
 
 
-def worker(supervisor: int, number: int) -> int:
-    """The process of a worker."""
+def worker_pid(supervisor: int, number: int) -> int:
+    """Return the process id of a worker."""
     return next(pid for pid in children(supervisor)
                 if Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")[-2] == str(number).encode())
 
 
 async def hang(call: Call) -> Reply | None:
+    """Never answer a call."""
     return None
 
 
-def test_a_full_disk_at_one_worker_only(tmp_path: Path) -> None:
-    """The share's room is used up by what waits for destination 7; another worker's destination has its own."""
+def test_worker_without_disk_room_leaves_the_others_theirs(tmp_path: Path) -> None:
+    """Messages that wait for destination 7 use up the disk room of their share, but not that of other shares."""
     async def scene() -> None:
-        async with Two(tmp_path, disk_mb=1.2) as s:
+        async with TwoWorkers(tmp_path, disk_mb=1.2) as s:
             s.platform.push(host("e0", s.endpoint.address, health="DRAINING"))
             await asyncio.sleep(0.3)
             taken = await s.fill(7, b"x" * 50_000)
@@ -86,35 +87,35 @@
                 assert await s.hand_in(f"m{number}", s.number, b"y" * 50_000) == 202
             await s.other.wait(8)
             s.platform.push(host("e0", s.endpoint.address))
-            calls = await s.endpoint.wait(len(taken))  # and what was taken goes once there is somewhere to go
+            calls = await s.endpoint.wait(len(taken))  # what was accepted is delivered once an endpoint is up
             assert sorted(call.headers["x-request-id"] for call in calls) == sorted(taken)
             assert await s.hand_in("again", 7) == 202
             assert await s.courier.terminate() == 0
     run(scene())
 
 
-def test_messages_that_crowd_on_one_worker_leave_the_others_theirs(tmp_path: Path) -> None:
-    """All slots and all room of one worker are taken by a destination that hangs."""
+def test_worker_without_slots_and_hold_room_leaves_the_others_theirs(tmp_path: Path) -> None:
+    """A destination that hangs uses up all slots and the hold limit of one worker."""
     async def scene() -> None:
-        async with Two(tmp_path) as s:
+        async with TwoWorkers(tmp_path) as s:
             s.endpoint.reply = hang
-            s.platform.takes_notices = False  # what is handed back to make room goes on counting until that is told
+            s.platform.takes_notices = False  # handed back messages count until their notice is answered
             taken = await s.fill(7, b"x")
             s.platform.takes_notices = True
             assert len(taken) == 50  # half of what the courier holds
             for number in range(100):
                 assert await s.hand_in(f"m{number}", s.number) == 202
-                if number % 25 == 24:  # well within the room of their worker, which would hand some back beyond it
+                if number % 25 == 24:  # below the hold limit, beyond which some are handed back
                     await s.other.wait(number + 1)
             assert len(await s.other.wait(100)) == 100
             assert await s.courier.terminate() == 0
     run(scene())
 
 
-def test_a_crowd_that_uses_up_every_door_lets_good_clients_in(tmp_path: Path) -> None:
-    """Each worker has its part of the descriptors; silent connections give way."""
+def test_clients_are_served_while_silent_connections_use_up_descriptors(tmp_path: Path) -> None:
+    """Each worker has its part of the descriptors and closes silent connections when it runs out of them."""
     async def scene() -> None:
-        async with Two(tmp_path) as s:
+        async with TwoWorkers(tmp_path) as s:
             crowd = []
             for _ in range(300):  # 256 descriptors, a third for clients
                 try:
@@ -133,10 +134,10 @@
 
 
 @pytest.mark.parametrize("at", ["killed", "opened"])
-def test_sigterm_while_shares_are_taken_over(tmp_path: Path, at: str) -> None:
-    """What a dead worker owed is delivered once, by whoever has its folder at last."""
+def test_sigterm_while_shares_are_reassigned_loses_no_message(tmp_path: Path, at: str) -> None:
+    """The messages of a killed worker are delivered once, by the worker that finally opens its shares."""
     async def scene() -> None:
-        async with Two(tmp_path) as s:
+        async with TwoWorkers(tmp_path) as s:
             s.platform.push(host("e0", s.endpoint.address, health="DRAINING"),
                             host("f0", s.other.address, s.number, health="DRAINING"))
             await asyncio.sleep(0.3)
@@ -144,9 +145,9 @@
                 assert await s.hand_in(f"m{number}", 7) == 202
                 assert await s.hand_in(f"n{number}", s.number) == 202
             for crash in range(1 if at == "killed" else 3):
-                os.kill(worker(s.courier.process.pid, 0), 9)
+                os.kill(worker_pid(s.courier.process.pid, 0), 9)
                 await s.courier.wait_log("ended with -9", crash + 1)
-                if crash < 2 and at != "killed":  # it has its two shares again, and they can be taken over as they are
+                if crash < 2 and at != "killed":  # wait until it has reopened its two shares
                     await s.courier.wait_log("is open after", SHARES + 2 * (crash + 1))
             if at != "killed":
                 await s.courier.wait_log("parked; its shares")
--- a/wheelstep/workers/between.py
+++ b/wheelstep/workers/between.py
@@ -1,4 +1,4 @@
-"""Messages passed on between the workers of one courier (`wheelstep.forwarding`), over Unix sockets."""
+"""Forwards messages between the workers of one courier (`wheelstep.forwarding`), over Unix sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def forward_client(path: str) -> ForwardClient:
-    """The way to the worker that listens at `path`."""
+    """Return the client that asks the worker that listens at `path`."""
     async def dial(heard: Heard, lost: Lost) -> Link | None:
         frames = Frames(heard, lost)
         try:
@@ -29,7 +29,7 @@
 
 
 class OwnerSide:
-    """One connection from another worker; `find` gives the desk of a destination, None where its share is not open."""
+    """One connection from another worker. `find` returns a destination's desk, None if its share is not open here."""
 
     def __init__(self, find: Callable[[int], Admission | None]) -> None:
         def desk(message: StoredMessage) -> Admission | Turned:
--- a/wheelstep/workers/frames.py
+++ b/wheelstep/workers/frames.py
@@ -1,6 +1,6 @@
-"""Frames between the processes of one courier: a head in JSON and, with it, bytes as they are.
+"""Frames between the processes of one courier: a head in JSON and a body of raw bytes.
 
-A frame is two lengths (4 bytes each, network order: head, bytes), the head, the bytes.
+A frame is the lengths of head and body (4 bytes each, network order), the head, the body.
 """
 
 from __future__ import annotations
@@ -13,44 +13,47 @@
 from typing import Any
 
 _LENGTHS = struct.Struct(">II")
-MOST = 16 << 20  # bytes of a frame; a list of 10,000 endpoints has about 1 MB
-_HIGH = 4 << 20  # bytes that may wait to be written
+MAX_FRAME_BYTES = 16 << 20  # a list of 10,000 endpoints has about 1 MB
+_MAX_BUFFERED_BYTES = 4 << 20  # of frames that wait to be written
 
 log = logging.getLogger(__name__)
 
 
 def pack(head: dict[str, Any], body: bytes = b"") -> bytes:
-    """One frame."""
+    """Return the bytes of one frame."""
     text = json.dumps(head, separators=(",", ":")).encode()
     return _LENGTHS.pack(len(text), len(body)) + text + body
 
 
 class Frames(asyncio.Protocol):
-    """One connection: tells each frame, in order, and the end. Bounded: what the other side does not read ends the
-    connection once more than 4 MB wait, and no frame is longer than 16 MB."""
+    """One connection: calls `heard` with each frame, in order, and `lost` at its end. It is closed when more than 4 MB
+    wait for a peer that does not read, and when a frame is longer than 16 MB."""
 
     def __init__(self, heard: Callable[[dict[str, Any], bytes], None], lost: Callable[[], None]) -> None:
-        self._heard, self._lost = heard, lost
+        self._on_frame, self._on_end = heard, lost
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
-        self._out: list[bytes] = []  # of this turn of the loop: they go out in one write
-        self._out_size = 0
+        self._outgoing: list[bytes] = []  # frames of this turn of the event loop, sent in one write
+        self._outgoing_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport (asyncio.Protocol)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end (asyncio.Protocol)."""
         self._transport = None
-        self._lost()
+        self._on_end()
 
     def data_received(self, data: bytes) -> None:
+        """Pass on complete frames (asyncio.Protocol). One that is too long or invalid closes the connection."""
         self._buffer += data
         while len(self._buffer) >= _LENGTHS.size and self._transport is not None:
             head_size, body_size = _LENGTHS.unpack_from(self._buffer)
             end = _LENGTHS.size + head_size + body_size
-            if end > MOST:
-                log.error("a frame of %d bytes; expected %d at most", end, MOST)
+            if end > MAX_FRAME_BYTES:
+                log.error("frame of %d bytes; expected at most %d; closing the connection", end, MAX_FRAME_BYTES)
                 self.close()
                 return
             if len(self._buffer) < end:
@@ -59,43 +62,43 @@
             body = bytes(self._buffer[_LENGTHS.size + head_size:end])
             del self._buffer[:end]
             try:
-                self._heard(json.loads(text), body)
+                self._on_frame(json.loads(text), body)
             except Exception:
-                log.exception("a frame could not be used: %.200r", bytes(text))
+                log.exception("failed to handle a frame: %.200r; closing the connection", bytes(text))
                 self.close()
                 return
 
     @property
     def open(self) -> bool:
-        """Can anything be sent?"""
+        """Whether frames can be sent."""
         return self._transport is not None and not self._transport.is_closing()
 
     @property
-    def behind(self) -> int:
-        """Bytes that wait to be written."""
-        return self._out_size + (self._transport.get_write_buffer_size() if self._transport is not None else 0)
+    def buffered_bytes(self) -> int:
+        """Number of bytes that wait to be written."""
+        return self._outgoing_bytes + (self._transport.get_write_buffer_size() if self._transport is not None else 0)
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
-        """With what else is sent in this turn of the loop. False if it can't be."""
+        """Queue a frame, written with the others of this event loop turn. False if the connection is closed or full."""
         if self._transport is None or self._transport.is_closing():
             return False
-        if self.behind > _HIGH:
-            log.error("%d bytes wait for another process that does not read: the connection is given up", self.behind)
+        if self.buffered_bytes > _MAX_BUFFERED_BYTES:
+            log.error("%d bytes wait for a process that does not read; closing the connection", self.buffered_bytes)
             self.close()
             return False
         frame = pack(head, body)
-        if not self._out:
+        if not self._outgoing:
             asyncio.get_running_loop().call_soon(self._flush)
-        self._out.append(frame)
-        self._out_size += len(frame)
+        self._outgoing.append(frame)
+        self._outgoing_bytes += len(frame)
         return True
 
     def _flush(self) -> None:
-        out, self._out, self._out_size = self._out, [], 0
+        out, self._outgoing, self._outgoing_bytes = self._outgoing, [], 0
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(b"".join(out))
 
     def close(self) -> None:
-        """At once."""
+        """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
--- a/wheelstep/workers/layout.py
+++ b/wheelstep/workers/layout.py
@@ -1,8 +1,8 @@
-"""The folders of the shares, and how what is owed moves between layouts: one journal for all, or one a share.
+"""The folders of the shares, and the migration of messages between layouts: one journal in all, or one per share.
 
-`layout.json` names the generation that counts and its number of shares; it is replaced by rename, which is the commit
-point. What a cut-off move left is removed, or finished, at the next start. Generation 0 is the folder itself, as a
-courier without workers has it.
+`layout.json` names the valid generation and its number of shares. It is replaced by rename, which is the commit point.
+The remains of an interrupted migration are removed, or it is completed, at the next start. Generation 0 is the folder
+itself, as a courier without workers uses it.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 from wheelstep.journal.segments import segment_number_of
 from wheelstep.workers.ownership import share_of
 
-FILE = "layout.json"
+LAYOUT_FILE = "layout.json"
 _NO_LIMIT = 1 << 40
 
 log = logging.getLogger(__name__)
 
 
 class LayoutError(Exception):
-    """The folder can't be used; one line."""
+    """The folder can't be used; the text is one line for operators."""
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Which folders count."""
+    """Which folders are valid."""
 
     generation: int  # 0: one journal in the folder itself
     shares: int
 
     def folder(self, state: Path, share: int) -> Path:
-        """Where a share's journal is."""
+        """Return the folder of a share's journal."""
         return state / f"shares-{self.generation}" / str(share) if self.generation else state
 
 
-def read(state: Path) -> Layout:
-    """The layout that counts. Raises `LayoutError`."""
-    path = state / FILE
+def read_layout(state: Path) -> Layout:
+    """Return the valid layout. Raises `LayoutError`."""
+    path = state / LAYOUT_FILE
     try:
         data = json.loads(path.read_text(encoding="utf-8"))
         layout = Layout(int(data["generation"]), int(data["shares"]))
@@ -60,23 +60,23 @@
 
 
 def prepare(state: Path, shares: int, limit_bytes: int) -> Layout:
-    """Bring the folder to so many shares, 0 for one journal in the folder itself, and return its layout. What is owed
-    moves along, each message to the share of its destination, in the order in which it was taken on; cut off anywhere,
-    it is done again. Raises `LayoutError` with nothing changed where a process has a part of the folder, where it is
-    damaged, or where `limit_bytes` has no room for both copies."""
-    now = read(state)
+    """Migrate the folder to `shares` shares, 0 for one journal in the folder itself, and return its layout. Each
+    message moves to the share of its destination, in the order of acceptance. A migration that was interrupted is done
+    again. Raises `LayoutError` and changes nothing if another process uses a part of the folder, if it is damaged, or
+    if `limit_bytes` has no room for both copies."""
+    current = read_layout(state)
     try:
-        _clean(state, now)
-        if shares == now.shares and now.generation:
-            return now
+        _remove_stale(state, current)
+        if shares == current.shares and current.generation:
+            return current
         if not shares:
-            if now.generation:
-                _merge(state, now)
+            if current.generation:
+                _merge(state, current)
             return Layout(0, 1)
-        new = Layout(now.generation + 1, shares)
-        _move(state, now, new, limit_bytes)
+        new = Layout(current.generation + 1, shares)
+        _move(state, current, new, limit_bytes)
         _commit(state, new)
-        _clean(state, new)
+        _remove_stale(state, new)
         return new
     except FolderInUseError as error:
         raise LayoutError(f"{state}: {error}; expected a folder that no courier uses") from error
@@ -84,15 +84,15 @@
         raise LayoutError(f"{state}: {error}") from error
 
 
-def _move(state: Path, now: Layout, new: Layout, limit_bytes: int) -> None:
-    sources = [Journal(now.folder(state, share), _NO_LIMIT) for share in range(now.shares)
-               if now.folder(state, share).is_dir()]
+def _move(state: Path, current: Layout, new: Layout, limit_bytes: int) -> None:
+    sources = [Journal(current.folder(state, share), _NO_LIMIT) for share in range(current.shares)
+               if current.folder(state, share).is_dir()]
     targets: list[Journal] = []
     try:
         live = sum(source.live for source in sources)
         used = sum(source.used for source in sources)
         if used + live > limit_bytes:
-            raise LayoutError(f"{state}: {live} bytes are owed and {used} in use; expected room for another copy "
+            raise LayoutError(f"{state}: {live} bytes of messages and {used} in use; expected room for another copy "
                               f"within {limit_bytes} bytes before the number of shares changes")
         for share in range(new.shares):
             folder = new.folder(state, share)
@@ -100,19 +100,19 @@
             targets.append(Journal(folder, _NO_LIMIT, SyncPolicy.NONE))
         count = 0
         for source in sources:
-            # One key's messages of one destination are all in one source, so their order is the source's.
+            # All messages of a destination and key are in one source, so this keeps their order.
             for message in source.messages.values():
                 target = targets[share_of(message.destination, new.shares)]
                 if message.id not in target.messages:
                     target.take(_copy(message))
                     count += 1
             for name, value in source.marks.items():
-                for target in targets:  # a courier forgets those whose endpoints it is not told of
+                for target in targets:  # a courier drops the marks of endpoints that are not listed
                     target.mark(name, value)
         for target in targets:
             target.sync_now()
         if count:
-            log.info("%d messages moved to %d shares", count, new.shares)
+            log.info("moved %d messages to %d shares", count, new.shares)
     finally:
         for journal in [*sources, *targets]:
             journal.close()
@@ -125,36 +125,36 @@
 
 
 def _commit(state: Path, layout: Layout) -> None:
-    fresh = state / (FILE + ".new")
-    with open(fresh, "w", encoding="utf-8") as file:
+    temporary = state / (LAYOUT_FILE + ".new")
+    with open(temporary, "w", encoding="utf-8") as file:
         json.dump({"generation": layout.generation, "shares": layout.shares}, file)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, state / FILE)
+    os.replace(temporary, state / LAYOUT_FILE)
     Folder(state).sync_folder()
 
 
-def _clean(state: Path, layout: Layout) -> None:
-    """Remove what does not count: generations before and after, and the folder's own journal where shares count."""
+def _remove_stale(state: Path, layout: Layout) -> None:
+    """Remove all other generations; with shares, that includes the journal in the folder itself."""
     for path in state.glob("shares-*"):
         if path.name != f"shares-{layout.generation}":
             shutil.rmtree(path)
-    (state / (FILE + ".new")).unlink(missing_ok=True)
+    (state / (LAYOUT_FILE + ".new")).unlink(missing_ok=True)
     if layout.generation:
         for path in state.iterdir():
             if segment_number_of(path.name) is not None or path.name == OLD_FORMAT_FILE:
                 path.unlink()
 
 
-def _merge(state: Path, now: Layout) -> None:
-    """Back to one journal in the folder itself. Its commit point is the removal of `layout.json`: until then a start
-    removes what stands in the folder itself, and does it again."""
+def _merge(state: Path, current: Layout) -> None:
+    """Merge the shares into one journal in the folder itself. The removal of `layout.json` is the commit point: before
+    it, the next start removes the journal in the folder itself and merges again."""
     merged = Journal(state, _NO_LIMIT)
     sources = []
     try:
-        for share in range(now.shares):
-            if now.folder(state, share).is_dir():
-                sources.append(Journal(now.folder(state, share), _NO_LIMIT))
+        for share in range(current.shares):
+            if current.folder(state, share).is_dir():
+                sources.append(Journal(current.folder(state, share), _NO_LIMIT))
         for source in sources:
             for message in source.messages.values():
                 merged.take(_copy(message))
@@ -164,6 +164,6 @@
     finally:
         for journal in [merged, *sources]:
             journal.close()
-    (state / FILE).unlink()
+    (state / LAYOUT_FILE).unlink()
     Folder(state).sync_folder()
-    _clean(state, Layout(0, 1))
+    _remove_stale(state, Layout(0, 1))
--- a/wheelstep/workers/parts.py
+++ b/wheelstep/workers/parts.py
@@ -1,4 +1,4 @@
-"""What each worker gets of the whole. No I/O."""
+"""Divides a courier's limits among its workers. No I/O."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from wheelstep.courier.config import Config
 
 
-def part_of(config: Config, worker: int, workers: int) -> Config:
-    """A worker's part of slots, held messages and descriptors. Parts add up to the whole, so that what the platform
-    allows is never passed, also while a worker is parked."""
+def worker_config(config: Config, worker: int, workers: int) -> Config:
+    """Return a worker's configuration with its part of slots, held messages and descriptors. The parts add up to the
+    whole, so the platform's limits are never exceeded, even while a worker is parked."""
     def part(whole: int) -> int:
         return whole // workers + (worker < whole % workers)
     settings = replace(config.settings, slots=part(config.settings.slots),
--- a/wheelstep/workers/start.py
+++ b/wheelstep/workers/start.py
@@ -1,4 +1,4 @@
-"""Start and end of a courier with workers: its figures checked, its port and folder taken, a supervisor run."""
+"""Starts a courier with workers: checks its settings, takes its port and folder, and runs the supervisor."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 if TYPE_CHECKING:
     from wheelstep.operator import Operator
 
-_BIND_S = 5.0  # what listened here before may take so long to end
+_BIND_TIMEOUT_S = 5.0  # an earlier process that listens here may take this long to end
 
 log = logging.getLogger("wheelstep.workers")
 
 
 async def supervise(config: Config, renewed: asyncio.Event, operator: Operator | None, workers: int,
                     operator_file: str | None) -> int:
-    """Run a courier with so many workers until SIGTERM, and return the exit code. Raises `ConfigError`."""
-    part = operator.workers if operator is not None else None
-    shares = part.shares if part is not None else max(8, workers)
-    limits = Limits() if part is None else Limits(
-        hang_s=part.hang_after / 1e6, crashes=part.park_after, within_s=part.park_within / 1e6)
+    """Run a courier with `workers` worker processes until SIGTERM. Returns the exit code. Raises `ConfigError`."""
+    operator_settings = operator.workers if operator is not None else None
+    shares = operator_settings.shares if operator_settings is not None else max(8, workers)
+    limits = Limits() if operator_settings is None else Limits(
+        hang_s=operator_settings.hang_after / 1e6, crashes=operator_settings.park_after,
+        crash_window_s=operator_settings.park_within / 1e6)
     if shares < workers:
         raise ConfigError(f"workers.shares: {shares}; expected {workers} at least, one for each worker")
     if min(config.settings.slots, config.settings.hold_limit) < workers:
@@ -43,7 +44,7 @@
         raise ConfigError(str(error)) from error
     lock = Folder(config.state)
     if not lock.lock():
-        raise ConfigError(f"{config.state}: another process has the folder")
+        raise ConfigError(f"{config.state}: in use by another process; expected a folder that no courier uses")
     try:
         with tempfile.TemporaryDirectory(prefix="umberchute-") as sockets:
             supervisor = Supervisor(config, layout, Fleet(workers, shares, limits), listener, sockets,
@@ -61,8 +62,8 @@
 
 
 async def _bind(listen: Address) -> socket.socket:
-    """A supervisor that was just killed may have left workers that are still going."""
-    until = asyncio.get_running_loop().time() + _BIND_S
+    """Bind the listener. Retries, as the workers of a supervisor that was just killed may still hold the port."""
+    until = asyncio.get_running_loop().time() + _BIND_TIMEOUT_S
     while True:
         try:
             return open_listener(listen)
--- a/wheelstep/workers/supervisor.py
+++ b/wheelstep/workers/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor: starts the workers, watches discovery for all of them, and carries out what `ownership` decides."""
+"""The supervisor: starts the workers, watches discovery for all of them, and performs the actions of `ownership`."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
     pass
 
 _TICK_S = 0.1
-_LEAVE_S = 3.4  # a worker that has not left by then is killed
+_STOP_TIMEOUT_S = 3.4  # a worker that is still running after this is killed
 
 log = logging.getLogger("wheelstep.workers")
 
 
 class AllParkedError(Exception):
-    """No worker is left."""
+    """No worker is left, as all are parked."""
 
 
 class Supervisor:
-    """One courier of several processes."""
+    """Runs the worker processes of one courier."""
 
     def __init__(self, config: Config, layout: Layout, fleet: Fleet, listener: socket.socket, sockets: str,
                  operator_file: str | None) -> None:
@@ -47,15 +47,15 @@
         self._listener, self._sockets, self._operator_file = listener, sockets, operator_file
         self._rows: dict[str, Row] = {info.endpoint: (info, address)
                                       for info, address in entries(config.known, config.names)}
-        self._share: dict[int, int] = {}
+        self._share_by_destination: dict[int, int] = {}
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._controls: dict[int, Frames] = {}
         self._discovery = config.discovery
         self._ready = False
-        self._ended = asyncio.Event()
+        self._worker_ended = asyncio.Event()
 
     async def run(self, renewed: asyncio.Event) -> None:
-        """Until SIGTERM, or until no worker is left."""
+        """Run until SIGTERM. Raises `AllParkedError`, in an exception group, once no worker is left."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, renewed.set)
         terminated = asyncio.Event()
@@ -64,21 +64,21 @@
         seq = self._config.known.get("seq", 0)
         async with asyncio.TaskGroup() as self._group:
             watch = Watch(self._config.discovery, self._config.names, seq if isinstance(seq, int) else 0,
-                          self._listed, calling_couriers(self._config.settings), self._config.seed,
+                          self._on_list, calling_couriers(self._config.settings), self._config.seed,
                           max_retry_s(self._config.settings))
             tasks = [self._group.create_task(work) for work in (
                 self._tick(), watch.run(),
                 follow_config(self._config, renewed, watch, self, on_applied=self._reload))]
             await terminated.wait()
-            await self._leave()
+            await self._stop_workers()
             for task in tasks:
                 task.cancel()
         log.info("stopped")
         ignore_signals()
 
-    # --- the list ---
+    # --- discovery list ---
 
-    def _listed(self, kind: api.ListKind, rows: list[Row]) -> None:
+    def _on_list(self, kind: api.ListKind, rows: list[Row]) -> None:
         if kind is not api.ListKind.CHANGES:
             self._rows.clear()
         for info, address in rows:
@@ -97,77 +97,77 @@
         return [row for row in rows if self._share_of(row[0].destination) in mine]
 
     def _share_of(self, destination: int) -> int:
-        if destination not in self._share:
-            self._share[destination] = share_of(destination, self._layout.shares)
-        return self._share[destination]
+        if destination not in self._share_by_destination:
+            self._share_by_destination[destination] = share_of(destination, self._layout.shares)
+        return self._share_by_destination[destination]
 
-    # --- the fleet ---
+    # --- workers ---
 
     async def _tick(self) -> None:
         while True:
             self._perform(self._fleet.tick(asyncio.get_running_loop().time()))
-            if self._fleet.lost():
-                raise AllParkedError("every worker keeps crashing")
+            if self._fleet.all_parked():
+                raise AllParkedError("all workers are parked, as each keeps crashing")
             await asyncio.sleep(_TICK_S)
 
     def _perform(self, actions: Sequence[ownership.Action]) -> None:
         for action in actions:
             match action:
                 case ownership.Start(number):
-                    self._group.create_task(self._mind(number))
+                    self._group.create_task(self._run_worker(number))
                 case ownership.Open(number, shares):
-                    self._open(number, shares)
+                    self._send_open(number, shares)
                 case ownership.Kill(number):
                     if (process := self._processes.get(number)) is not None and process.returncode is None:
                         process.kill()
-                case ownership.Tell(text):
+                case ownership.Warn(text):
                     log.warning("%s", text)
                 case ownership.Publish():
                     self._publish()
 
-    async def _mind(self, number: int) -> None:
-        """A worker's process from its start to its end."""
+    async def _run_worker(self, number: int) -> None:
+        """Run a worker's process from its start to its end."""
         ours, theirs = socket.socketpair(socket.AF_UNIX)
-        told = {"number": number, "workers": len(self._fleet.workers), "shares": self._layout.shares,
+        description = {"number": number, "workers": len(self._fleet.workers), "shares": self._layout.shares,
                 "generation": self._layout.generation, "listener": self._listener.fileno(),
                 "control": theirs.fileno(), "sockets": self._sockets, "operator": self._operator_file,
                 "parent": os.getpid()}
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "wheelstep.workers.worker", str(number),
             pass_fds=(theirs.fileno(), self._listener.fileno()),
-            env={**os.environ, "UMBERCHUTE_WORKER": json.dumps(told)})
+            env={**os.environ, "UMBERCHUTE_WORKER": json.dumps(description)})
         theirs.close()
         self._processes[number] = process
-        control = Frames(lambda head, body: self._heard(number, head), lambda: None)
+        control = Frames(lambda head, body: self._on_worker_frame(number, head), lambda: None)
         await asyncio.get_running_loop().create_unix_connection(lambda: control, sock=ours)
         self._controls[number] = control
         if self._fleet.stopping:
             control.send({"do": "leave"})
         control.send({"do": "discovery", "host": self._discovery.host, "port": self._discovery.port})
         self._send_view(control)
-        # Not what it owned when it was started: some of it may have come since (found by tests/test_ownership.py).
-        self._open(number, self._fleet.shares_of(number))
+        # Read only now, as it may have been given more shares since its start (found by tests/test_ownership.py).
+        self._send_open(number, self._fleet.shares_of(number))
         code = await process.wait()
         control.close()
         del self._controls[number], self._processes[number]
         if not self._fleet.stopping:
             log.error("worker %d ended with %d", number, code)
         self._perform(self._fleet.died(number, asyncio.get_running_loop().time()))
-        self._ended.set()
+        self._worker_ended.set()
 
-    def _open(self, number: int, shares: Sequence[int]) -> None:
-        """Where its process is not yet there, it is told once it is."""
+    def _send_open(self, number: int, shares: Sequence[int]) -> None:
+        """Tell a worker to open shares. If it is not connected yet, `_run_worker` does so later."""
         if (control := self._controls.get(number)) is not None and shares:
             control.send({"do": "open", "shares": list(shares),
                           "rows": write_rows(self._rows_of(number, self._rows.values()))})
 
-    def _heard(self, number: int, head: dict[str, Any]) -> None:
-        self._fleet.heard(number)
+    def _on_worker_frame(self, number: int, head: dict[str, Any]) -> None:
+        self._fleet.heartbeat(number)
         if head["is"] == "open":
             self._perform(self._fleet.opened(number, int(head["share"])))
 
     def _publish(self) -> None:
-        if not self._ready and self._fleet.complete():
+        if not self._ready and self._fleet.all_open():
             self._ready = True
             log.info("%s serves on %s:%d with %d workers, %d shares", self._config.name, self._config.listen.host,
                      self._listener.getsockname()[1], len(self._fleet.workers), self._layout.shares)
@@ -175,13 +175,13 @@
             self._send_view(control)
 
     def _send_view(self, control: Frames) -> None:
-        control.send({"do": "view", "owners": self._fleet.hosted, "ready": self._ready and not self._fleet.stopping,
+        control.send({"do": "view", "owners": self._fleet.opened_by, "ready": self._ready and not self._fleet.stopping,
                       "knows": bool(self._rows)})
 
-    # --- reload and end ---
+    # --- reload and shutdown ---
 
     def move(self, discovery: Address) -> None:
-        """The workers' notices go there from now on."""
+        """Make the workers send their notices to another address from now on."""
         self._discovery = discovery
         for control in self._controls.values():
             control.send({"do": "discovery", "host": discovery.host, "port": discovery.port})
@@ -189,17 +189,17 @@
     def _reload(self) -> None:
         self._perform(self._fleet.reload(asyncio.get_running_loop().time()))
 
-    async def _leave(self) -> None:
+    async def _stop_workers(self) -> None:
         self._fleet.stop()
         self._publish()
         for control in self._controls.values():
             control.send({"do": "leave"})
         try:
-            async with asyncio.timeout(_LEAVE_S):
+            async with asyncio.timeout(_STOP_TIMEOUT_S):
                 while self._processes:
-                    self._ended.clear()
-                    await self._ended.wait()
+                    self._worker_ended.clear()
+                    await self._worker_ended.wait()
         except TimeoutError:
             for number, process in self._processes.items():
-                log.error("worker %d did not leave in time: killed", number)
+                log.error("worker %d did not stop in time: killed", number)
                 process.kill()
--- a/wheelstep/workers/worker.py
+++ b/wheelstep/workers/worker.py
@@ -1,4 +1,4 @@
-"""A worker process: the shares that its supervisor gives it, a server for clients, and the way to the other workers."""
+"""A worker process: runs the shares that its supervisor assigns, serves clients, and forwards to other workers."""
 
 from __future__ import annotations
 
@@ -35,42 +35,42 @@
 from wheelstep.workers.journals import Journals
 from wheelstep.workers.layout import Layout
 from wheelstep.workers.ownership import share_of
-from wheelstep.workers.parts import part_of
+from wheelstep.workers.parts import worker_config
 
 if TYPE_CHECKING:
     from wheelstep.operator import Operator
 
-BEAT_S = 0.25
-_MOST_BEHIND = 64 * 1024  # bytes to the supervisor; with more, heartbeats are left out
-_LOCK_S = 5.0  # a process that had the folder may take so long to end
+HEARTBEAT_S = 0.25
+_MAX_BUFFERED_BYTES = 64 * 1024  # waiting for the supervisor; with more, no heartbeat is sent
+_LOCK_TIMEOUT_S = 5.0  # an earlier process that has the folder may take this long to end
 _PR_SET_PDEATHSIG = 1
 
 log = logging.getLogger(__name__)
 
 
 class Worker(ClosedDesk):
-    """One worker. As a desk it tells whether the whole courier is ready."""
+    """One worker. As a desk it reports whether the whole courier is ready."""
 
     def __init__(self, config: Config, layout: Layout, number: int, paths: list[str],
                  operator: Operator | None) -> None:
         self._config, self._layout, self._number, self._operator = config, layout, number, operator
-        self._at: dict[str, int] = {}  # endpoint -> share
-        self._journals = Journals(self._share_of, self._at.get)
+        self._share_by_endpoint: dict[str, int] = {}  # endpoint -> share
+        self._journals = Journals(self._share_of, self._share_by_endpoint.get)
         self._core = Core(config, self._journals)
         self._opening: set[int] = set()
         self._owners: dict[int, int] = {}
         self._clients = {other: forward_client(path) for other, path in enumerate(paths) if other != number}
         self._path = paths[number]
-        self._of: dict[int, int] = {}  # destination -> share, as far as asked for
+        self._share_by_destination: dict[int, int] = {}  # destination -> share, a cache
         self._leaving = asyncio.Event()
-        self._control = Frames(self._told, self._orphaned)
+        self._control = Frames(self._on_supervisor_frame, self._on_supervisor_lost)
         if operator is not None:
             self._core.recorder, self._core.account = recorder(operator, config), account(operator, config)
 
-    # --- for the door ---
+    # --- for the client server ---
 
     def find(self, destination: int) -> Admission:
-        """The desk of a destination: ours, or a stand-in for its owner's."""
+        """Return the desk of a destination: this worker's core, one that forwards, or a closed one."""
         share = self._share_of(destination)
         if share in self._journals:
             return self._core
@@ -78,27 +78,27 @@
         return ClosedDesk() if owner is None or owner == self._number else RemoteDesk(self._clients[owner])
 
     def _share_of(self, destination: int) -> int:
-        if destination not in self._of:
-            if len(self._of) > 100_000:  # clients may name any number
-                self._of.clear()
-            self._of[destination] = share_of(destination, self._layout.shares)
-        return self._of[destination]
+        if destination not in self._share_by_destination:
+            if len(self._share_by_destination) > 100_000:  # bounds the cache, as clients may name any number
+                self._share_by_destination.clear()
+            self._share_by_destination[destination] = share_of(destination, self._layout.shares)
+        return self._share_by_destination[destination]
 
-    def _ours(self, destination: int) -> Core | None:
+    def _own_core(self, destination: int) -> Core | None:
         return self._core if self._share_of(destination) in self._journals else None
 
-    # --- what the supervisor says ---
+    # --- frames of the supervisor ---
 
-    def _told(self, head: dict[str, Any], body: bytes) -> None:
+    def _on_supervisor_frame(self, head: dict[str, Any], body: bytes) -> None:
         match head["do"]:
             case "open":
-                self._list(api.ListKind.CHANGES, read_rows(head["rows"]))
+                self._apply_list(api.ListKind.CHANGES, read_rows(head["rows"]))
                 for number in head["shares"]:
                     if number not in self._opening and number not in self._journals:
                         self._opening.add(number)
-                        self._group.create_task(self._open(number))
+                        self._group.create_task(self._open_share(number))
             case "list":
-                self._list(api.ListKind(head["kind"]), read_rows(head["rows"]))
+                self._apply_list(api.ListKind(head["kind"]), read_rows(head["rows"]))
             case "view":
                 self._owners = {int(share): worker for share, worker in head["owners"].items()}
                 self._core.endpoints.knows_list = self._core.endpoints.knows_list or head["knows"]
@@ -108,26 +108,26 @@
             case "leave":
                 self._leaving.set()
 
-    def _orphaned(self) -> None:
-        """Guards against a worker that goes on while a new supervisor starts others."""
+    def _on_supervisor_lost(self) -> None:
+        """Exit unless leaving, as a worker that runs on would compete with those of a new supervisor."""
         if not self._leaving.is_set():
-            log.error("the supervisor is gone")
+            log.error("lost the connection to the supervisor; exiting")
             os._exit(1)
 
-    def _list(self, kind: api.ListKind, rows: list[Row]) -> None:
-        """The supervisor sends what belongs to this worker's shares only."""
+    def _apply_list(self, kind: api.ListKind, rows: list[Row]) -> None:
+        """Apply rows of the list. The supervisor sends only those of this worker's shares."""
         if kind is not api.ListKind.CHANGES:
-            self._at.clear()
-        self._at.update((info.endpoint, self._share_of(info.destination)) for info, _ in rows)
+            self._share_by_endpoint.clear()
+        self._share_by_endpoint.update((info.endpoint, self._share_of(info.destination)) for info, _ in rows)
         self._core.listed(kind, rows)
         for info, _ in rows:
             if info.state is api.EndpointState.REMOVED:
-                self._at.pop(info.endpoint, None)
+                self._share_by_endpoint.pop(info.endpoint, None)
 
-    async def _open(self, number: int) -> None:
-        """An error here ends the process: the supervisor decides what comes next."""
+    async def _open_share(self, number: int) -> None:
+        """Open a share. An error ends the process, and the supervisor decides what follows."""
         began = time.monotonic()
-        journal = await self._journal(replace(
+        journal = await self._open_journal(replace(
             self._config, state=self._layout.folder(self._config.state, number),
             disk_bytes=self._config.disk_bytes // self._layout.shares))
         self._journals.add(number, journal)
@@ -138,10 +138,10 @@
                  len(journal.messages))
         self._control.send({"is": "open", "share": number})
 
-    async def _journal(self, config: Config) -> Journal:
-        """Read off the loop, so that the other shares go on."""
+    async def _open_journal(self, config: Config) -> Journal:
+        """Open a journal in another thread, so that other shares keep running. Waits a while for a locked folder."""
         config.state.mkdir(parents=True, exist_ok=True)
-        until = time.monotonic() + _LOCK_S
+        until = time.monotonic() + _LOCK_TIMEOUT_S
         while True:
             try:
                 return await asyncio.get_running_loop().run_in_executor(None, open_journal, config, self._operator)
@@ -150,16 +150,16 @@
                     raise
             await asyncio.sleep(0.05)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            if self._control.behind < _MOST_BEHIND:  # a supervisor that stands still gets no pile of them
+            if self._control.buffered_bytes < _MAX_BUFFERED_BYTES:  # so they don't pile up for a stalled supervisor
                 self._control.send({"is": "beat"})
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_S)
 
     # --- the process ---
 
     async def run(self, control: socket.socket, listener: socket.socket) -> None:
-        """Until the supervisor says to leave."""
+        """Run until the supervisor sends `leave` or SIGTERM arrives."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._leaving.set)
         ordered = [cls.ordered for cls in self._config.settings.classes]
@@ -170,9 +170,9 @@
         async with aiohttp.ClientSession(auto_decompress=False, trust_env=False) as http, \
                 asyncio.TaskGroup() as self._group:
             self._notices = self._core.notices = Notifier(http, self._config.discovery, self._core.answered)
-            counters = await loop.create_unix_server(lambda: OwnerSide(self._ours).frames, self._path)
+            peer_server = await loop.create_unix_server(lambda: OwnerSide(self._own_core).frames, self._path)
             self._tasks = [self._group.create_task(work) for work in (
-                self._beat(), server.sweep(), self._notices.run(), self._core.endpoint_client.sweep())]
+                self._send_heartbeats(), server.sweep(), self._notices.run(), self._core.endpoint_client.sweep())]
             if self._core.account is not None:
                 self._tasks.append(self._group.create_task(self._core.account.run(self._core.gauge)))
             await loop.create_unix_connection(lambda: self._control, sock=control)
@@ -180,7 +180,7 @@
             await self._leaving.wait()
             self.ready = False
             await leave(self._core, server)
-            counters.close()
+            peer_server.close()
             for client in self._clients.values():
                 client.close()
             for task in self._tasks:
@@ -192,30 +192,30 @@
 
 
 def main() -> int:
-    """Run the worker that `UMBERCHUTE_WORKER` describes; only a supervisor starts it."""
-    told = json.loads(os.environ["UMBERCHUTE_WORKER"])
-    # The kernel ends this process with its supervisor, also where it hangs or is stopped: nobody else has its folder
-    # then. Linux only; elsewhere the end of the control connection does it, later.
+    """Run the worker that `UMBERCHUTE_WORKER` describes. Only a supervisor starts it."""
+    description = json.loads(os.environ["UMBERCHUTE_WORKER"])
+    # The kernel kills this process when its supervisor ends, even if it hangs or is stopped, so that it does not keep
+    # its folders. Linux only; elsewhere the end of the control connection does it, later.
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
-    if os.getppid() != told["parent"]:
+    if os.getppid() != description["parent"]:
         return 1
-    for number in (signal.SIGHUP, signal.SIGINT):  # the supervisor's to heed
+    for number in (signal.SIGHUP, signal.SIGINT):  # the supervisor handles them
         signal.signal(number, signal.SIG_IGN)
     logging.basicConfig(stream=sys.stderr, level=logging.INFO,
-                        format=f"%(asctime)s %(levelname)s worker {told['number']} %(name)s %(message)s")
+                        format=f"%(asctime)s %(levelname)s worker {description['number']} %(name)s %(message)s")
     logging.getLogger("aiohttp").setLevel(logging.ERROR)
     operator: Operator | None = None
-    if told["operator"]:
+    if description["operator"]:
         from wheelstep.operator import load as load_operator
-        operator = load_operator(told["operator"])
-    layout = Layout(told["generation"], told["shares"])
-    config = part_of(load(os.environ), told["number"], told["workers"])
-    paths = [str(Path(told["sockets"]) / str(number)) for number in range(told["workers"])]
-    control, listener = socket.socket(fileno=told["control"]), socket.socket(fileno=told["listener"])
+        operator = load_operator(description["operator"])
+    layout = Layout(description["generation"], description["shares"])
+    config = worker_config(load(os.environ), description["number"], description["workers"])
+    paths = [str(Path(description["sockets"]) / str(number)) for number in range(description["workers"])]
+    control, listener = socket.socket(fileno=description["control"]), socket.socket(fileno=description["listener"])
 
     async def work() -> None:
-        await Worker(config, layout, told["number"], paths, operator).run(control, listener)
+        await Worker(config, layout, description["number"], paths, operator).run(control, listener)
     asyncio.run(work())
     return 0
 
