--- a/benchmarks/measure/membership.py
+++ b/benchmarks/measure/membership.py
@@ -11,7 +11,7 @@
 from collections import Counter
 
 from benchmarks.measure.result import Row, measure, resident
-from wheelstep.fleet.membership import QUIET, Membership
+from wheelstep.fleet.membership import QUIET_ROLLS, Membership
 from wheelstep.fleet.packets import Seal
 from wheelstep.fleet.types import Member, State
 from wheelstep.rehearsal.simulation.membership_world import World
@@ -73,7 +73,7 @@
     world = Real(couriers, SEED, names == "short")
     world.form()
     for courier in world.couriers.values():
-        courier._quiet = courier._quiet if asks else QUIET
+        courier._quiet_rolls = courier._quiet_rolls if asks else QUIET_ROLLS
     gc.collect()
     gc.freeze()  # a collection looks at all couriers' objects, where a real one would at its own: not counted here
     gc.disable()
--- a/benchmarks/measure/placement.py
+++ b/benchmarks/measure/placement.py
@@ -31,7 +31,7 @@
     row["sixth_gone_ms"] = (time.process_time() - began) * 1e3
     view = Placement(f"c{couriers // 2}", parts, 64, 0, PROBATION_US)
     for name in weights:
-        view.saw(0, Member(name, 1, State.ALIVE, "", ""))
+        view.record_member(0, Member(name, 1, State.ALIVE, "", ""))
     for part, owner in owners.items():
         view.owned(part, owner)
     view.plan(10 * PROBATION_US, ())
--- a/benchmarks/measure/windows.py
+++ b/benchmarks/measure/windows.py
@@ -10,7 +10,7 @@
 
 from benchmarks.measure.membership import SEED, Real
 from benchmarks.measure.result import Row, measure
-from wheelstep.fleet.membership import QUIET
+from wheelstep.fleet.membership import QUIET_ROLLS
 
 SIZES = (100, 300, 1_100)
 WINDOW_S, WINDOWS = 12, 6
@@ -21,7 +21,7 @@
     world = Real(couriers, SEED)
     world.form()
     for courier in world.couriers.values():
-        courier._quiet = QUIET
+        courier._quiet_rolls = QUIET_ROLLS
     gc.collect()
     gc.freeze()
     gc.disable()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -36,7 +36,7 @@
 
     def see(self, name: str, state: State) -> None:
         """A member is in this state now."""
-        self.view.saw(self.now_us, Member(name, 1, state, "", ""))
+        self.view.record_member(self.now_us, Member(name, 1, state, "", ""))
 
     def settle(self) -> None:
         """Moves, until nobody wants any."""
--- a/tests/shard_nodes.py
+++ b/tests/shard_nodes.py
@@ -206,7 +206,7 @@
         node = self.nodes.pop(name)
         if node._timer is not None:
             node._timer.cancel()
-        node.membership.left(0)
+        node.membership.announce_gone(0)
         node.links.close()
         await node._net.close()
 
--- a/tests/shard_streams.py
+++ b/tests/shard_streams.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from wheelstep.fleet.packets import STREAM_BYTES, Elder, Seal
+from wheelstep.fleet.packets import STREAM_BYTES, HigherBoot, Seal
 from wheelstep.shards.ports import Accept, Lost, Pipe, Received
 from wheelstep.shards.streams import StreamLink, Streams
 from wheelstep.shards.types import Batch, Frame
 
 KEY, NONCE = b"k" * 16, b"n" * 16
-PAYLOAD: Any = msgspec.msgpack.Decoder(Batch | Elder)
+PAYLOAD: Any = msgspec.msgpack.Decoder(Batch | HigherBoot)
 
 
 def framed(packet: bytes) -> bytes:
--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -86,7 +86,7 @@
     """Return the placement of `me`, with all four couriers alive since `now_us`."""
     place = Placement(me, parts, at_once, pace_us, PROBATION_US)
     for name in NAMES:
-        place.saw(now_us, member(name))
+        place.record_member(now_us, member(name))
     return place
 
 
@@ -108,7 +108,7 @@
             place = placement(me)
             for part in range(12):
                 place.owned(part, NAMES[part % 4])
-            place.saw(NOW_US, member("d", state))
+            place.record_member(NOW_US, member("d", state))
             plans.append(place.plan(NOW_US, ()))
         assert sum(len(plan.free) for plan in plans) == free
         assert not any(plan.away for plan in plans)
@@ -119,8 +119,8 @@
     place = placement(at_once=2, pace_us=SECOND_US)
     for part in range(12):
         place.owned(part, NAMES[part % 4])
-    place.saw(NOW_US, member("a", State.LEAVING))
-    place.saw(NOW_US, member("b", State.LEAVING))
+    place.record_member(NOW_US, member("a", State.LEAVING))
+    place.record_member(NOW_US, member("b", State.LEAVING))
     now_us, moving, gone = NOW_US, [], []
     while away := place.plan(now_us, moving).away:
         (part, to), = away.items()
@@ -140,11 +140,11 @@
     place = placement()
     for part in range(12):
         place.owned(part, "abc"[part % 3])
-    place.saw(NOW_US, member("e"))
+    place.record_member(NOW_US, member("e"))
     place.owned(11, "e")
     assert set(place.plan(NOW_US, ()).away.values()) == {"d"}
-    place.saw(NOW_US, member("d", State.GONE))
-    place.saw(NOW_US, member("d"))
+    place.record_member(NOW_US, member("d", State.GONE))
+    place.record_member(NOW_US, member("d"))
     assert place.plan(NOW_US + PROBATION_US - 1, ()).away == {}
     assert place.target(NOW_US + PROBATION_US - 1)[11] == "e"
     after = NOW_US + 2 * PROBATION_US
@@ -157,8 +157,8 @@
     now_us = NOW_US
     waits = []
     for _ in range(9):
-        place.saw(now_us, member("d", State.GONE))
-        place.saw(now_us, member("d"))
+        place.record_member(now_us, member("d", State.GONE))
+        place.record_member(now_us, member("d"))
         wait_us = PROBATION_US
         while place.on_probation(now_us + wait_us, "d"):
             wait_us *= 2
@@ -166,22 +166,22 @@
         now_us += SECOND_US
     assert waits == [2, 4, 8, 16, 32, 64, 64, 64, 64]
     now_us += 2 * 3600 * SECOND_US
-    place.saw(now_us, member("d", State.LEAVING))
-    place.saw(now_us, member("d", State.GONE))
-    place.saw(now_us, member("d"))  # an orderly leave is no flap
+    place.record_member(now_us, member("d", State.LEAVING))
+    place.record_member(now_us, member("d", State.GONE))
+    place.record_member(now_us, member("d"))  # an orderly leave is no flap
     assert not place.on_probation(now_us + PROBATION_US, "d")
 
 
 def test_if_all_couriers_are_on_probation_free_parts_are_assigned() -> None:
     """A new fleet must not wait for the probation to end."""
     place = Placement("a", 12, 2, 0, PROBATION_US)
-    place.saw(0, member("a"))
-    place.saw(0, member("b"))
+    place.record_member(0, member("a"))
+    place.record_member(0, member("b"))
     assert 0 < len(place.plan(1, ()).free) < 12
     for part in range(12):
         place.owned(part, "a")
     assert place.plan(1, ()) == placement_none()
-    place.saw(2, member("a", State.LEAVING))
+    place.record_member(2, member("a", State.LEAVING))
     assert set(place.plan(2, ()).away.values()) == {"b"}
 
 
@@ -193,15 +193,15 @@
 def test_part_is_not_placed_on_an_older_version_than_its_owner() -> None:
     """An older courier may not understand the part's content."""
     place = placement(at_once=12)
-    place.saw(NOW_US, member("a", State.LEAVING, version=2))
-    place.saw(NOW_US, member("c", version=2))
+    place.record_member(NOW_US, member("a", State.LEAVING, version=2))
+    place.record_member(NOW_US, member("c", version=2))
     for part in range(12):
         place.owned(part, NAMES[part % 4])
     assert set(place.plan(NOW_US, ()).away.values()) == {"c"}
-    place.saw(NOW_US, member("c", State.GONE, version=2))
+    place.record_member(NOW_US, member("c", State.GONE, version=2))
     assert place.plan(NOW_US, ()).away == {}
     other = placement("b")
-    other.saw(NOW_US, member("a", State.GONE, version=2))
+    other.record_member(NOW_US, member("a", State.GONE, version=2))
     other.owned(0, "a")
     assert 0 not in other.plan(NOW_US, ()).free
 
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -65,7 +65,7 @@
     with pytest.raises(LogDamagedError) as damaged:
         Log.open(disk)
     assert damaged.value.boot == 500
-    assert Log.anew(disk, damaged.value.boot + 1).boot == 501
+    assert Log.create_after_damage(disk, damaged.value.boot + 1).boot == 501
     log, found = Log.open(disk)
     assert (log.boot, found) == (502, [])
 
@@ -105,7 +105,7 @@
             log.append([b"c" * 200])
             log.sync()
             max_size = max(max_size, len(disk.files[NAME].data))
-            if log.bloated:
+            if log.needs_compaction:
                 log.compact(live)
         log.close()
     assert COMPACT_SLACK_BYTES < max_size < 2 * 6_000 + COMPACT_SLACK_BYTES + 1_000
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -18,7 +18,7 @@
 from wheelstep.fleet.owner import Lost, Owner
 from wheelstep.fleet.register import Row, Voter
 from wheelstep.fleet.rows import BEGUN, FLEET
-from wheelstep.fleet.tenure import Tenure
+from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Step
 from wheelstep.rehearsal.simulation import store
@@ -59,9 +59,9 @@
 # --- decisions that are broken on purpose ---
 
 def _ignores_its_lease(patch: pytest.MonkeyPatch) -> None:
-    heed = Tenure.heed
+    heed = PartCoordinator.heed
     patch.setattr(Owner, "epoch", lambda self, part, now_us: self._parts[part].epoch or None)
-    patch.setattr(Tenure, "heed", lambda self, now_us, events: heed(
+    patch.setattr(PartCoordinator, "heed", lambda self, now_us, events: heed(
         self, now_us, [event for event in events if not isinstance(event, Lost)]))
 
 
@@ -100,9 +100,9 @@
 
 
 def _opens_before_adopting(patch: pytest.MonkeyPatch) -> None:
-    def gained(self: Tenure, now_us: int, event: Any, records: list[bytes]) -> list[Any]:
+    def gained(self: PartCoordinator, now_us: int, event: Any, records: list[bytes]) -> list[Any]:
         return self._open(event, now_us)
-    patch.setattr(Tenure, "_gained", gained)
+    patch.setattr(PartCoordinator, "_gained", gained)
 
 
 @pytest.mark.parametrize(("broken", "seeds"), [
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -110,7 +110,7 @@
     others = ["c0", "c1", "c2", "c4"]
     assert all(world.couriers[process].member("c3") == member("c3") for process in others)
     assert sum(world.couriers[process].refused["twin"] for process in others) > 0
-    assert world.couriers["twin"].doubled and not any(world.couriers[process].doubled for process in [*others, "c3"])
+    assert world.couriers["twin"].name_in_use and not any(world.couriers[name].name_in_use for name in [*others, "c3"])
     assert not [teller for _, teller, text in world.notes if "taken for dead" in text and teller != "twin"]
     for process in [*others, "twin"]:
         told = [text for _, teller, text in world.notes if teller == process and "second courier" in text]
@@ -119,7 +119,7 @@
     assert world.run(30, lambda: all(
         (seen := world.couriers[process].member("c3")) is not None and seen.address == "@twin"
         and seen.state is State.ALIVE for process in others)) is not None
-    assert world.run(60, lambda: not world.couriers["twin"].doubled) is not None
+    assert world.run(60, lambda: not world.couriers["twin"].name_in_use) is not None
 
 
 def test_leaving_member_is_not_declared_dead() -> None:
@@ -130,7 +130,7 @@
     assert world.run(5, lambda: world.all_see(["c2"], {State.LEAVING})) is not None
     world.run(20)
     assert world.all_see(["c2"], {State.LEAVING})
-    world._act("c2", world.couriers["c2"].left(world.now_us))
+    world._act("c2", world.couriers["c2"].announce_gone(world.now_us))
     assert world.run(5, lambda: world.all_see(["c2"], GONE)) is not None
     assert not world.dead_notes() and "c2" not in world.couriers["c2"].members()
 
--- a/tests/test_membership_news.py
+++ b/tests/test_membership_news.py
@@ -97,7 +97,7 @@
     assert {(one.address, one.packet.news[0].state) for one in courier.leave(1)} == {  # type: ignore[union-attr]
         ("@a", State.LEAVING), ("@b", State.LEAVING)}
     assert courier.leave(2) == []
-    assert {(one.address, one.packet.news[0].state) for one in courier.left(3)} == {  # type: ignore[union-attr]
+    assert {(one.address, one.packet.news[0].state) for one in courier.announce_gone(3)} == {  # type: ignore[union-attr]
         ("@a", GONE), ("@b", GONE)}
     assert courier.heard(4, "a", "@a", Ping(1, (member("a", 1),))) == [] == courier.tick(5_000_000)
 
@@ -136,9 +136,9 @@
         SendPacket("@z", Hello((courier.me, member("a", 1))))]
     assert courier.members()["b"].state is State.ALIVE and courier.refused["twin"] == 1
     courier.heard(2, "b", "@b", Ping(1, (member("b", 1), member("me", 3, address="@z"))))
-    assert courier.doubled and courier.me.incarnation == 3
+    assert courier.name_in_use and courier.me.incarnation == 3
     courier.heard(3, "b", "@b", Ping(1, (member("b", 1), member("me", 3, GONE, address="@z"))))
-    assert not courier.doubled
+    assert not courier.name_in_use
 
 
 def test_roster_keeps_the_overruling_update() -> None:
--- a/tests/test_membership_rules.py
+++ b/tests/test_membership_rules.py
@@ -115,7 +115,7 @@
 
     courier, target = missed(mute)
     assert courier.health == 5 and courier.members()[target].state is State.SUSPECT
-    assert missed(nacks)[0].health == 2 and missed(mute, Limits(awareness_most=3))[0].health == 3
+    assert missed(nacks)[0].health == 2 and missed(mute, Limits(max_health=3))[0].health == 3
     courier, target = missed(reached)  # alive, but the direct link to it failed
     assert courier.health == 2 and courier.members()[target].state is State.ALIVE
     play(courier, 40 * S, acks)
@@ -155,7 +155,7 @@
 
 def test_suspects_are_pinged_three_at_a_time_longest_waiting_first() -> None:
     """Every suspect must hear of its suspicion in time to refute it."""
-    courier = amid(8, Limits(awareness_most=0))
+    courier = amid(8, Limits(max_health=0))
     play(courier, 5 * S, mute)
     sent = of(Ping, play(courier, 6 * S, mute))
     assert {to for _, to, _ in sent} == {f"c{number}" for number in range(8)}
@@ -176,7 +176,7 @@
 
 def test_indirect_probes_for_others_are_bounded_answered_and_expire() -> None:
     """Requests of others must not use unbounded memory."""
-    courier = alone(Limits(errands_most=1))
+    courier = alone(Limits(max_indirect_probes=1))
     ping = courier.heard(0, "a", "@a", PingReq(7, "b", (member("a", 1),)))
     (_, to, sent), = packets(0, ping)
     assert to == "b" and isinstance(sent, Ping)
@@ -213,9 +213,9 @@
             courier.heard(now_us, name, f"@{name}", PingReq(2, "c1", (member(name, 1),)))
         return courier
 
-    limits = Limits(period_us=500_000, awareness_most=0)
+    limits = Limits(period_us=500_000, max_health=0)
     for asking, around_s in (((), 15.0), (("c0", "c2", "c3"), 5.0)):
-        courier = amid(4, Limits(confirmations=2, awareness_most=0))
+        courier = amid(4, Limits(max_confirmations=2, max_health=0))
         suspect(0, 1, *asking)
         courier._probes.indirect_probes.clear()
         assert gone_us(courier, "c1", 40 * S) <= around_s * S
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -8,7 +8,7 @@
 
 from tests.voting_hosts import DRIFT, LEASE_US, MARGIN_US, PARTS
 from wheelstep.fleet.ballots import NEVER_US
-from wheelstep.fleet.owner import Gained, Lost, Owner, Passed
+from wheelstep.fleet.owner import Decided, Gained, Lost, Owner
 from wheelstep.fleet.types import Accepted, Ballot, Holding, Prepare, Promise, Refused, Voted, Votes
 
 TERM_US = int(LEASE_US * (1 - DRIFT)) - MARGIN_US
@@ -90,7 +90,7 @@
     for voter, votes in owner.tick(0):
         owner.answered(10, voter, votes, yes(votes))
     for voter, votes in owner.tick(10):
-        assert owner.answered(late, voter, votes, yes(votes)) in ([], [Passed(0, 1, "me")])
+        assert owner.answered(late, voter, votes, yes(votes)) in ([], [Decided(0, 1, "me")])
     assert owner.epoch(0, late) is None
     assert {type(ask) for _, votes in upcoming(owner)[1] for ask in votes.asks} == {Prepare}
 
@@ -134,7 +134,7 @@
     assert {type(ask) for _, votes in batches for ask in votes.asks} == {Prepare}
     for voter, votes in batches:  # one voter has accepted it, so it is completed
         owner.answered(at, voter, votes, yes(votes, Holding(2, "other") if voter == "a" else Holding(1, "me")))
-    assert play(owner, at) == [Passed(0, 2, "other")]
+    assert play(owner, at) == [Decided(0, 2, "other")]
     assert upcoming(owner) == (NEVER_US, [])
 
 
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -18,7 +18,7 @@
     STREAM,
     STREAM_BYTES,
     WINDOW_SIZE,
-    Elder,
+    HigherBoot,
     PacketError,
     Reason,
     Seal,
@@ -136,12 +136,12 @@
     assert told is not None and receiver.stale_boot("a", 999_999) is None
     assert receiver.stale_boot("a", 1_000_000) is not None
     elder = again.open(told, DATAGRAM).payload
-    assert isinstance(elder, Elder) and again.heard_elder(elder, 0) and again.boot == 10
+    assert isinstance(elder, HigherBoot) and again.raise_boot(elder, 0) and again.boot == 10
     assert receiver.open(again.pack("b", Ping(1)), DATAGRAM).boot == 10
     # A known boot number, or a second one within ten seconds, does not raise it.
-    assert not again.heard_elder(Elder(10), 20_000_000)
-    assert not again.heard_elder(Elder(99), NOTE_EVERY_US - 1) and again.heard_elder(Elder(99), NOTE_EVERY_US)
-    assert not again.heard_elder(Elder(1 << 62), 40_000_000)
+    assert not again.raise_boot(HigherBoot(10), 20_000_000)
+    assert not again.raise_boot(HigherBoot(99), NOTE_EVERY_US - 1) and again.raise_boot(HigherBoot(99), NOTE_EVERY_US)
+    assert not again.raise_boot(HigherBoot(1 << 62), 40_000_000)
 
 
 def test_sender_table_is_bounded_and_needs_a_valid_seal() -> None:
--- a/tests/test_shard_node.py
+++ b/tests/test_shard_node.py
@@ -200,7 +200,7 @@
             assert await fleet.hand_in("n0", message("m1", there)) is None and "m1" in fleet.couriers[home].held
             known = node.membership.member(home)
             assert known is not None
-            node.membership._view.roster._keep(msgspec.structs.replace(known, state=State.SUSPECT), 0)
+            node.membership._view.roster._store(msgspec.structs.replace(known, state=State.SUSPECT), 0)
             assert await fleet.hand_in("n0", message("m2", there)) is None
             assert "m2" in fleet.couriers["n0"].held and "m2" not in fleet.couriers[home].held
 
--- a/tests/test_shard_streams.py
+++ b/tests/test_shard_streams.py
@@ -10,7 +10,7 @@
 from loopback import run
 from shard_streams import NONCE, PAYLOAD, Dialler, Node, Wire, framed, packets, refusal, seal_for
 
-from wheelstep.fleet.packets import STREAM_BYTES, Elder
+from wheelstep.fleet.packets import STREAM_BYTES, HigherBoot
 from wheelstep.shards.stream_link import MAX_FIRST_BYTES
 from wheelstep.shards.types import Batch, Current
 
@@ -116,7 +116,7 @@
         old.say(Current(2))
         assert node.frames == [Current(1)] and node.streams.refused == {"old-boot": 1}
         elder = old.seal.open(packets(bytes(old.wire.written))[1], PAYLOAD)
-        assert elder.payload == Elder(9)
+        assert elder.payload == HigherBoot(9)
         old.say(Current(3))  # ignored, though the pipe ends a little later
         assert node.frames == [Current(1)]
 
@@ -128,8 +128,8 @@
         received(framed(NONCE))
         assert await dialling is not None
         mine = seal_for(bytes(wire.written[4:20]) + NONCE, me="b")
-        received(framed(mine.pack("a", Elder(9))))
+        received(framed(mine.pack("a", HigherBoot(9))))
         assert other.streams.boot == 10
-        received(framed(mine.pack("a", Elder(50))))  # at most once in 10 s
+        received(framed(mine.pack("a", HigherBoot(50))))  # at most once in 10 s
         assert other.streams.boot == 10 and other.heard == []
     run(work())
--- a/tests/voting.py
+++ b/tests/voting.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from tests.voting_hosts import DRIFT, LEASE_US, MARGIN_US, PARTS, STEP_US, Clock, Host, Violation
-from wheelstep.fleet.owner import Gained, Owner, Passed
+from wheelstep.fleet.owner import Decided, Gained, Owner
 from wheelstep.fleet.register import Voter, replay
 from wheelstep.fleet.types import Votes
 
@@ -163,7 +163,7 @@
                     raise Violation(f"epoch {event.epoch} of part {event.part} again or after a later one")
                 self.last[event.part] = event.epoch
                 self._check_owner(event.part, event.epoch, host.name)
-            elif isinstance(event, Passed):
+            elif isinstance(event, Decided):
                 self.passed += 1
                 self._check_owner(event.part, event.epoch, event.owner)
 
--- a/wheelstep/fleet/assignment.py
+++ b/wheelstep/fleet/assignment.py
@@ -121,7 +121,7 @@
         self._owners: dict[int, str] = {}
         self._next_us = 0  # earliest start of the next move
 
-    def saw(self, now_us: int, member: Member) -> None:
+    def record_member(self, now_us: int, member: Member) -> None:
         """Record a change of state, incarnation or weight of a member, this courier included."""
         record = self._members.get(member.name)
         if record is None:
--- a/wheelstep/fleet/ballots.py
+++ b/wheelstep/fleet/ballots.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class Decided:
     """A majority has accepted this holding, which supersedes all older ones. The owner may be this courier, by a move
     to it or from an earlier run; that alone gives it no lease."""
 
@@ -48,7 +48,7 @@
     owner: str
 
 
-Event = Gained | Lost | Passed
+Event = Gained | Lost | Decided
 
 
 @dataclass(slots=True)
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -64,7 +64,7 @@
             return Log.open(self._disk, least)
         except LogDamagedError as error:
             log.error("%s: renamed; this courier's voter starts blank", error)
-            return Log.anew(self._disk, max(least, error.boot + 1)), ()
+            return Log.create_after_damage(self._disk, max(least, error.boot + 1)), ()
         except OSError as error:
             raise ConfigError(f"{self.config.state / 'fleet'}: {error}") from error
 
@@ -221,7 +221,7 @@
         while self._saves:
             saves, self._saves = self._saves, []
             records = [record for save in saves for record in save.records]
-            whole = self.node.snapshot() if self._log.bloated or self._broken else None
+            whole = self.node.snapshot() if self._log.needs_compaction or self._broken else None
             try:
                 if self.kept.waits:
                     await self.kept.durable()
--- a/wheelstep/fleet/datagrams.py
+++ b/wheelstep/fleet/datagrams.py
@@ -1,11 +1,11 @@
-"""Sealed datagrams between members: sending, opening and `Elder` handling. No sockets."""
+"""Sealed datagrams between members: sending, opening and `HigherBoot` handling. No sockets."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-from wheelstep.fleet.packets import DATAGRAM, Elder, PacketError, Reason, Seal
+from wheelstep.fleet.packets import DATAGRAM, HigherBoot, PacketError, Reason, Seal
 from wheelstep.fleet.types import Packet
 
 log = logging.getLogger(__name__)
@@ -16,7 +16,7 @@
     `elder` is called if the fleet knows a higher boot number of this courier."""
 
     def __init__(self, seal: Seal, now_us: Callable[[], int], sendto: Callable[[bytes, str], None],
-                 heard: Callable[[str, str, Packet], None], elder: Callable[[Elder], None]) -> None:
+                 heard: Callable[[str, str, Packet], None], elder: Callable[[HigherBoot], None]) -> None:
         self._seal, self._now_us, self._sendto, self._heard, self._elder = seal, now_us, sendto, heard, elder
         self.dropped = 0  # datagrams that could not be sent
 
@@ -38,7 +38,7 @@
                 if elder is not None:
                     self._sendto(elder, address)
             return
-        if isinstance(opened.payload, Elder):
+        if isinstance(opened.payload, HigherBoot):
             self._elder(opened.payload)
             return
         try:
--- a/wheelstep/fleet/doubt.py
+++ b/wheelstep/fleet/doubt.py
@@ -45,7 +45,7 @@
     shortest_us = limits.suspicion * max(1.0, math.log10(members)) * limits.period_us
     longest_us = shortest_us * limits.suspicion_most
     return Suspicion(incarnation, now_us, round(min(shortest_us * (health + 1), longest_us)), round(longest_us),
-                 max(0, min(limits.confirmations, members - 2)))
+                 max(0, min(limits.max_confirmations, members - 2)))
 
 
 @dataclass(slots=True)
@@ -93,8 +93,8 @@
         return self.probe.seq
 
     def start_indirect(self, requester: str, seq: int, target: str, now_us: int) -> int | None:
-        """Start a probe for `requester` and return the `seq` of its ping; None if `errands_most` are in progress."""
-        if len(self.indirect_probes) >= self._limits.errands_most:
+        """Start a probe for `requester` and return its ping's `seq`; None if `max_indirect_probes` are in progress."""
+        if len(self.indirect_probes) >= self._limits.max_indirect_probes:
             return None
         mine = self.next_seq()
         self.indirect_probes[mine] = IndirectProbe(requester, seq, target, now_us + self._limits.timeout_us * 4 // 5,
--- a/wheelstep/fleet/errands.py
+++ b/wheelstep/fleet/errands.py
@@ -10,7 +10,7 @@
 Saved = Callable[[int], list[Action]]
 
 
-class Errands:
+class PendingOperations:
     """Pending calls and saves by token, with the callback of each."""
 
     def __init__(self) -> None:
--- a/wheelstep/fleet/log.py
+++ b/wheelstep/fleet/log.py
@@ -103,7 +103,7 @@
     def open(cls, disk: Disk, least_boot: int = 1) -> tuple[Log, list[bytes]]:
         """Open the log, truncate a torn tail, and return the log and its records. The boot number exceeds all earlier
         ones, is at least `least_boot`, and is on disk on return. Raises `OSError`, and `LogDamagedError`: then call
-        `anew` and start as a blank voter."""
+        `create_after_damage` and start as a blank voter."""
         names = disk.names()
         if NEW_NAME in names:
             disk.unlink(NEW_NAME)
@@ -125,7 +125,7 @@
         return log, read.records
 
     @classmethod
-    def anew(cls, disk: Disk, least_boot: int) -> Log:
+    def create_after_damage(cls, disk: Disk, least_boot: int) -> Log:
         """Rename a damaged log to `DAMAGED_NAME` and create an empty one."""
         if NAME in disk.names():
             disk.rename(NAME, DAMAGED_NAME)
@@ -140,7 +140,7 @@
         return log
 
     @property
-    def bloated(self) -> bool:
+    def needs_compaction(self) -> bool:
         """Whether the log should be compacted."""
         return self._size > 2 * self._compacted_size + COMPACT_SLACK_BYTES
 
--- a/wheelstep/fleet/membership.py
+++ b/wheelstep/fleet/membership.py
@@ -19,7 +19,7 @@
 
 __all__ = ["Limits", "Membership"]
 
-QUIET = 3  # rolls without a new member after which a starting courier stops sending a hello each period
+QUIET_ROLLS = 3  # rolls without a new member after which a starting courier stops sending a hello each period
 FANOUT = 3  # suspects pinged at a time, and members pinged on leaving
 
 
@@ -32,7 +32,7 @@
         self._view = View(me, seeds, limits, rng, now_us)
         self._roster = self._view.roster
         self._rolls, self._probes = Rolls(limits), Probes(limits)
-        self._quiet = 0  # consecutive complete rolls without a new member
+        self._quiet_rolls = 0  # consecutive complete rolls without a new member
         self._roll_had_news = False  # the roll being received has a new member
         self._period = 0
         self._next_period_us = now_us + rng.randrange(limits.period_us)  # spreads the probes of a fleet
@@ -46,11 +46,11 @@
 
     @property
     def health(self) -> int:
-        """Lifeguard's local health multiplier: 0 good, `awareness_most` worst."""
+        """Lifeguard's local health multiplier: 0 good, `max_health` worst."""
         return self._view.health
 
     @property
-    def doubled(self) -> bool:
+    def name_in_use(self) -> bool:
         """Whether members know another courier by this name; acting under it would use that courier's leases."""
         return bool(self._view.duplicate_address)
 
@@ -103,7 +103,7 @@
         actions = self._announce_state(State.LEAVING, FANOUT)
         return [*actions, *(action for name in sorted(also) for action in self._ping(name))]
 
-    def left(self, now_us: int) -> list[Action]:
+    def announce_gone(self, now_us: int) -> list[Action]:
         """Announce GONE: the courier owns nothing and ends. Nothing is sent or handled after this."""
         return self._announce_state(State.GONE, 2 * FANOUT)
 
@@ -179,7 +179,7 @@
         absent = self._roster.absent()
         if absent and (not present or self._period % self._limits.heal_periods == 0):
             actions += view.send_hello(view.rng.choice(absent))
-        elif present and (self._quiet < QUIET or self._period % self._limits.hello_periods == 0):
+        elif present and (self._quiet_rolls < QUIET_ROLLS or self._period % self._limits.hello_periods == 0):
             actions += [action for name in view.sample(1) for action in view.send_hello(name)]
         return actions
 
@@ -244,7 +244,7 @@
                     self.refused["busy"] += 1
             case Roll():
                 if packet.left == 0:
-                    self._quiet = 0 if self._roll_had_news else self._quiet + 1
+                    self._quiet_rolls = 0 if self._roll_had_news else self._quiet_rolls + 1
                     self._roll_had_news = False
                 return view.report_gone(sender, list(packet.news), self._probes.next_seq())
         return []
--- a/wheelstep/fleet/node.py
+++ b/wheelstep/fleet/node.py
@@ -9,13 +9,13 @@
 from functools import partial
 
 from wheelstep.fleet.content import Content
-from wheelstep.fleet.errands import Errands, Saved
+from wheelstep.fleet.errands import PendingOperations, Saved
 from wheelstep.fleet.membership import Membership
 from wheelstep.fleet.owner import Owner
-from wheelstep.fleet.placing import NodeSettings, Placing
+from wheelstep.fleet.placing import NodeSettings, PlacementRunner
 from wheelstep.fleet.register import Voter, replay
 from wheelstep.fleet.rows import FLEET
-from wheelstep.fleet.tenure import Tenure
+from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import (
     Action,
     Answer,
@@ -42,7 +42,7 @@
                  stored: Sequence[bytes], rng: random.Random, now_us: int) -> None:
         self.settings, self._content, self._rng = settings, content, rng
         self.membership = Membership(me, seeds, settings.members, rng, now_us)
-        self._errands = Errands()
+        self._errands = PendingOperations()
         others = [name for name in settings.voters if name != me.name]
         self.voter: Voter | None = None
         if me.name in settings.voters:
@@ -52,9 +52,10 @@
         self.owner = Owner(me.name, settings.voters, settings.parts, settings.lease_us, settings.drift,
                            settings.margin_us, rng, now_us)
         self.taker = Taker(me.name, content.version, settings.room, stored)
-        self.tenure = Tenure(me.name, self.owner, self.taker, content, self._errands, settings.moves, settings.parts,
-                             now_us)
-        self.placing = Placing(me, settings, self.membership, self.owner, self.tenure, self._errands, rng, now_us)
+        self.tenure = PartCoordinator(me.name, self.owner, self.taker, content, self._errands, settings.moves,
+                                      settings.parts, now_us)
+        self.placing = PlacementRunner(me, settings, self.membership, self.owner, self.tenure, self._errands, rng,
+                                       now_us)
         self._me = me.name
         for part in range(settings.parts):
             content.shut(part)
@@ -65,7 +66,7 @@
 
     def epoch(self, part: int, now_us: int) -> int | None:
         """Return the epoch under which the part may be served now; None if it may not. Call before each first byte."""
-        return None if self.membership.doubled else self.owner.epoch(part, now_us)
+        return None if self.membership.name_in_use else self.owner.epoch(part, now_us)
 
     def owned(self, now_us: int) -> list[int]:
         """Return the parts for which this courier holds a lease."""
@@ -105,7 +106,7 @@
 
     def end(self, now_us: int) -> list[Action]:
         """Announce the end of the process."""
-        return self.membership.left(now_us)
+        return self.membership.announce_gone(now_us)
 
     # --- timers ---
 
@@ -117,7 +118,7 @@
         """Do what is due."""
         actions = self.membership.tick(now_us)
         self.placing.saw(now_us, self.membership.changed())
-        if self.membership.doubled:
+        if self.membership.name_in_use:
             for part in self.owned(now_us):
                 self.owner.release(part)
                 self._content.shut(part)
--- a/wheelstep/fleet/owner.py
+++ b/wheelstep/fleet/owner.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from wheelstep.fleet.ballots import Event, Gained, Lost, Passed, Phase
+from wheelstep.fleet.ballots import Decided, Event, Gained, Lost, Phase
 from wheelstep.fleet.proposer import Proposer
 from wheelstep.fleet.types import Holding
 
-__all__ = ["Event", "Gained", "Lost", "Owner", "Passed"]
+__all__ = ["Decided", "Event", "Gained", "Lost", "Owner"]
 
 
 class Owner(Proposer):
@@ -43,7 +43,7 @@
 
     def give(self, now_us: int, part: int, to: str) -> None:
         """Transfer the part to another courier, or, if `to` is this one, continue it under a new epoch. The old epoch
-        ends here at once, whatever the outcome; rounds continue until it is known (`Passed` or `Gained`). Raises
+        ends here at once, whatever the outcome; rounds continue until it is known (`Decided` or `Gained`). Raises
         `ValueError` for a part that this run has never owned."""
         self._expire(now_us)
         state = self._parts[part]
--- a/wheelstep/fleet/packets.py
+++ b/wheelstep/fleet/packets.py
@@ -29,7 +29,7 @@
 MAX_SENDERS = 2_048
 NAME_BYTES = 64  # maximum, of a fleet or courier
 KEY_BYTES = 16  # minimum
-BOOTS = 1 << 62  # exclusive upper bound of boot numbers
+BOOT_LIMIT = 1 << 62  # exclusive upper bound of boot numbers
 NOTE_EVERY_US = 10_000_000
 ELDER_EVERY_US = 1_000_000
 MAC_BYTES = 32
@@ -67,7 +67,7 @@
         super().__init__(f"packet of {sender or 'unknown sender'} refused ({reason}): expected {EXPECTED[reason]}")
 
 
-class Elder(msgspec.Struct, frozen=True, array_like=True, tag=30):
+class HigherBoot(msgspec.Struct, frozen=True, array_like=True, tag=30):
     """Tells a courier with an outdated boot number the highest one known of it."""
 
     boot: int
@@ -81,8 +81,8 @@
         ...
 
 
-DATAGRAM: Decoder[Packet | Elder] = msgspec.msgpack.Decoder(Packet | Elder)
-STREAM: Decoder[Ask | Answer | Elder] = msgspec.msgpack.Decoder(Ask | Answer | Elder)
+DATAGRAM: Decoder[Packet | HigherBoot] = msgspec.msgpack.Decoder(Packet | HigherBoot)
+STREAM: Decoder[Ask | Answer | HigherBoot] = msgspec.msgpack.Decoder(Ask | Answer | HigherBoot)
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,7 +140,7 @@
         self.boot = boot
         self._counter = 0
         self._windows: OrderedDict[str, _Window] = OrderedDict()  # least recently heard first
-        self._elder_sent_us: OrderedDict[str, int] = OrderedDict()  # by receiver, when an `Elder` was last sent
+        self._elder_sent_us: OrderedDict[str, int] = OrderedDict()  # by receiver, when a `HigherBoot` was last sent
         self._raised_us: int | None = None
         self.refused: Counter[str] = Counter()
         self._logged: dict[Reason, tuple[int, int]] = {}  # time of the last log line, and the count then
@@ -186,7 +186,7 @@
             raise PacketError(Reason.FLEET, sender)
         if sealed.receiver not in (self._me, ""):
             raise PacketError(Reason.RECEIVER, sender)
-        if not 0 < len(sender.encode()) <= NAME_BYTES or sealed.counter < 1 or not 0 <= sealed.boot < BOOTS:
+        if not 0 < len(sender.encode()) <= NAME_BYTES or sealed.counter < 1 or not 0 <= sealed.boot < BOOT_LIMIT:
             raise PacketError(Reason.MALFORMED, sender)
         window = self._windows.get(sender)
         if window is not None and sealed.boot < window.boot:
@@ -209,7 +209,7 @@
         return Opened(sender, sealed.boot, payload)
 
     def stale_boot(self, sender: str, now_us: int) -> bytes | None:
-        """Return the `Elder` packet for a sender refused with `old-boot`; None if one was sent within a second."""
+        """Return the `HigherBoot` packet for a sender refused with `old-boot`; None if one was sent within a second."""
         window, sent_us = self._windows.get(sender), self._elder_sent_us.get(sender)
         if window is None or (sent_us is not None and now_us - sent_us < ELDER_EVERY_US):
             return None
@@ -217,13 +217,13 @@
         self._elder_sent_us.move_to_end(sender)
         if len(self._elder_sent_us) > MAX_SENDERS:
             self._elder_sent_us.popitem(last=False)
-        return self.pack(sender, Elder(window.boot))
+        return self.pack(sender, HigherBoot(window.boot))
 
-    def heard_elder(self, elder: Elder, now_us: int) -> bool:
+    def raise_boot(self, elder: HigherBoot, now_us: int) -> bool:
         """Raise the boot number above the one known to others, after a loss of the disk; the caller saves it. At most
         once in 10 seconds. Return False if nothing changed."""
         raised_us = self._raised_us
-        if (not self.boot < elder.boot < BOOTS - 1
+        if (not self.boot < elder.boot < BOOT_LIMIT - 1
                 or (raised_us is not None and now_us - raised_us < NOTE_EVERY_US)):
             return False
         self._raised_us = now_us
--- a/wheelstep/fleet/peers.py
+++ b/wheelstep/fleet/peers.py
@@ -14,7 +14,7 @@
 
 from wheelstep.courier.config import Address
 from wheelstep.fleet.datagrams import Datagrams
-from wheelstep.fleet.packets import STREAM, STREAM_BYTES, Elder, PacketError, Reason, Seal
+from wheelstep.fleet.packets import STREAM, STREAM_BYTES, HigherBoot, PacketError, Reason, Seal
 from wheelstep.fleet.types import Answer, Ask, Packet, Stood, Voted
 from wheelstep.moves.types import Moved
 
@@ -90,9 +90,9 @@
         """Count a send error that the system reported."""
         self._dropped += 1
 
-    def _elder(self, elder: Elder) -> None:
+    def _elder(self, elder: HigherBoot) -> None:
         for seal in (self.datagrams, self.streams):
-            if seal.heard_elder(elder, self._now_us()):
+            if seal.raise_boot(elder, self._now_us()):
                 log.warning("the fleet knows a higher boot number of this courier: now using boot %d", seal.boot)
 
     # --- streams ---
@@ -111,7 +111,7 @@
             return None
         if opened is None or opened.sender != name:
             return None
-        if isinstance(opened.payload, Elder):
+        if isinstance(opened.payload, HigherBoot):
             self._elder(opened.payload)
             return None
         return opened.payload if isinstance(opened.payload, Voted | Stood | Moved) else None
@@ -123,7 +123,7 @@
         self._active_requests += 1
         try:
             opened = self.streams.open(await request.read(), STREAM)
-            if isinstance(opened.payload, Elder | Voted | Stood | Moved):
+            if isinstance(opened.payload, HigherBoot | Voted | Stood | Moved):
                 return web.Response(status=400)
             answer = await self._asked(opened.sender, opened.payload)
         except PacketError as error:
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 
 from wheelstep.fleet.assignment import Placement
-from wheelstep.fleet.errands import Errands
+from wheelstep.fleet.errands import PendingOperations
 from wheelstep.fleet.membership import Limits as MemberLimits
 from wheelstep.fleet.membership import Membership
 from wheelstep.fleet.owner import Owner
-from wheelstep.fleet.tenure import Tenure
+from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Action, Answer, Holding, Member, Stand, State, Stood
 from wheelstep.moves.steps import Limits, Room
 from wheelstep.moves.swap import Pace, Swap
@@ -35,15 +35,15 @@
     leaving: Pace = field(default_factory=Pace)
 
 
-class Placing:
+class PlacementRunner:
     """Plans every tenth of a lease, and at once after a change of a member."""
 
-    def __init__(self, me: Member, settings: NodeSettings, membership: Membership, owner: Owner, tenure: Tenure,
-                 errands: Errands, rng: random.Random, now_us: int) -> None:
+    def __init__(self, me: Member, settings: NodeSettings, membership: Membership, owner: Owner,
+                 tenure: PartCoordinator, errands: PendingOperations, rng: random.Random, now_us: int) -> None:
         self._settings, self._membership, self._owner = settings, membership, owner
         self._tenure, self._errands, self._rng, self._me = tenure, errands, rng, me.name
         self._placement = Placement(me.name, settings.parts, settings.at_once, settings.pace_us, settings.probation_us)
-        self._placement.saw(now_us, me)
+        self._placement.record_member(now_us, me)
         self._swap: Swap | None = None
         self._next_plan_us = now_us
         self._next_query_us = now_us  # next query of a voter for the registers
@@ -83,7 +83,7 @@
     def saw(self, now_us: int, members: Iterable[Member]) -> None:
         """Record changed members and plan at once."""
         for member in members:
-            self._placement.saw(now_us, member)
+            self._placement.record_member(now_us, member)
             self._next_plan_us = now_us
 
     def next_us(self) -> int:
@@ -128,7 +128,7 @@
             self._placement.owned(part, self.owner_of(part))
         if self._swap is not None:
             return self._give_away_all(now_us, self._swap)
-        if not self._has_report or self._membership.doubled:
+        if not self._has_report or self._membership.name_in_use:
             return []
         plan = self._placement.plan(now_us, self._tenure.givers)
         for part in parts:
--- a/wheelstep/fleet/proposer.py
+++ b/wheelstep/fleet/proposer.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Sequence
 
-from wheelstep.fleet.ballots import NEVER_US, Event, Gained, Lost, PartState, Passed, Phase
+from wheelstep.fleet.ballots import NEVER_US, Decided, Event, Gained, Lost, PartState, Phase
 from wheelstep.fleet.batches import Batches, matching
 from wheelstep.fleet.types import Accept, Accepted, Ballot, Prepare, Promise, Refused, Voted, Votes
 
@@ -238,7 +238,7 @@
         part = state.number
         mine = holding.owner == self.me
         if not (mine and state.phase is Phase.ACCEPT and holding == state.target):
-            self._events.append(Passed(part, holding.epoch, holding.owner))
+            self._events.append(Decided(part, holding.epoch, holding.owner))
         if mine:
             return
         if part in self._leased and holding.epoch > self._epoch[part]:
--- a/wheelstep/fleet/roster.py
+++ b/wheelstep/fleet/roster.py
@@ -28,8 +28,8 @@
     indirect: int = 3  # helpers asked for an indirect probe
     suspicion: float = 5.0  # minimum suspicion in periods, multiplied by log10 of the members
     suspicion_most: float = 6.0  # maximum suspicion, as a multiple of the minimum; applies without confirmations
-    confirmations: int = 3  # by others that shorten a suspicion to its minimum
-    awareness_most: int = 8  # maximum of the health multiplier
+    max_confirmations: int = 3  # by others that shorten a suspicion to its minimum
+    max_health: int = 8  # maximum of the health multiplier
     stall_us: int = 300_000  # a tick later than this is a stall of this courier
     news_most: int = 512  # updates queued for gossip
     news_times: float = 3.0  # sends of each update, multiplied by log2 of members + 1
@@ -38,7 +38,7 @@
     hello_periods: int = 60  # between requests for the whole table of a member
     rolls_most: int = 512  # queued packets
     rolls_every_us: int = 10_000  # between two packets
-    errands_most: int = 64  # indirect probes in progress for others
+    max_indirect_probes: int = 64  # indirect probes in progress for others
     gone_kept_us: int = 600_000_000
     members_most: int = 2_048
 
@@ -111,13 +111,13 @@
             if not self._make_room():
                 self.refused["full"] += 1
                 return False
-            self._keep(update, now_us)
+            self._store(update, now_us)
             return update.state is not State.GONE  # else it could circulate for ever: it expires at different times
         if (update.incarnation, update.state) <= (known.incarnation, known.state) or self.is_duplicate(update):
             return False
         if update.incarnation == known.incarnation:
             update = msgspec.structs.replace(known, state=update.state)  # the rest needs a new incarnation
-        self._keep(update, now_us)
+        self._store(update, now_us)
         return True
 
     def forget(self, now_us: int) -> None:
@@ -139,7 +139,7 @@
         if self._names_by_address.get(address) == name:
             del self._names_by_address[address]
 
-    def _keep(self, member: Member, now_us: int) -> None:
+    def _store(self, member: Member, now_us: int) -> None:
         before = self._members.get(member.name)
         if before is not None and before.address != member.address \
                 and self._names_by_address.get(before.address) == member.name:
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from wheelstep.fleet.content import Content
-from wheelstep.fleet.errands import Errands
+from wheelstep.fleet.errands import PendingOperations
 from wheelstep.fleet.owner import Event, Gained, Lost, Owner
 from wheelstep.fleet.types import Action, Answer, Ask, Holding, Note, Reply
 from wheelstep.moves.giver import Giver
@@ -24,11 +24,11 @@
 SYNC_RECORD = b"sync"  # empty record: once it is saved, what the content wrote before is on disk too
 
 
-class Tenure:
+class PartCoordinator:
     """Moves of parts to and from this courier. `ended` lists finished moves: part, whether it was given, reason."""
 
-    def __init__(self, me: str, owner: Owner, taker: Taker, content: Content, errands: Errands, limits: Limits,
-                 parts: int, now_us: int) -> None:
+    def __init__(self, me: str, owner: Owner, taker: Taker, content: Content, errands: PendingOperations,
+                 limits: Limits, parts: int, now_us: int) -> None:
         self.me, self.owner, self.taker = me, owner, taker
         self._content, self._errands, self._limits, self._parts = content, errands, limits, parts
         self.givers: dict[int, Giver] = {}
--- a/wheelstep/fleet/view.py
+++ b/wheelstep/fleet/view.py
@@ -48,7 +48,7 @@
 
     def degrade_health(self, by: int) -> None:
         """Raise the health multiplier, on a sign that this courier is slow or badly connected."""
-        self.health = min(self.limits.awareness_most, self.health + by)
+        self.health = min(self.limits.max_health, self.health + by)
 
     def merge(self, update: Member, now_us: int, rolled: bool = False) -> None:
         """Apply an update of another member and queue it for gossip if it is new. From a roll (`rolled`), members that
--- a/wheelstep/rehearsal/fleet/points.py
+++ b/wheelstep/rehearsal/fleet/points.py
@@ -17,9 +17,9 @@
 
 from wheelstep.courier.dispatcher import Dispatcher
 from wheelstep.courier.endpoint_client import Item
-from wheelstep.fleet.errands import Errands
+from wheelstep.fleet.errands import PendingOperations
 from wheelstep.fleet.node import Node
-from wheelstep.fleet.tenure import Tenure
+from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Accept, Action, Ask, Votes
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Act
@@ -51,10 +51,10 @@
             print(f"\nthe rig signals this process: {now}", flush=True)
             os.kill(os.getpid(), signal.Signals[sent])
 
-    call, asked, gained, answered = Errands.call, Node.asked, Tenure._gained, Giver.answered
+    call, asked, gained, answered = PendingOperations.call, Node.asked, PartCoordinator._gained, Giver.answered
     may_start = Dispatcher.may_start
 
-    def sends(self: Errands, member: str, ask: Ask, *more: Any) -> Action:
+    def sends(self: PendingOperations, member: str, ask: Ask, *more: Any) -> Action:
         reached(f"sent {type(ask).__name__}")
         return call(self, member, ask, *more)
 
@@ -66,7 +66,7 @@
             reached(f"heard {type(ask).__name__}")
         return asked(self, now_us, token, sender, ask)
 
-    def gains(self: Tenure, *given: Any) -> list[Action]:
+    def gains(self: PartCoordinator, *given: Any) -> list[Action]:
         if self.taker.sealed(given[1].part) is not None:
             reached("adopted")
         return gained(self, *given)
@@ -81,7 +81,7 @@
         return may_start(self, endpoint, item)
 
     Dispatcher.may_start = may_still  # type: ignore[method-assign]
-    Errands.call = sends  # type: ignore[method-assign, assignment]
+    PendingOperations.call = sends  # type: ignore[method-assign, assignment]
     Node.asked = hears  # type: ignore[method-assign]
-    Tenure._gained = gains  # type: ignore[method-assign, assignment]
+    PartCoordinator._gained = gains  # type: ignore[method-assign, assignment]
     Giver.answered = is_answered  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/scale/courier.py
+++ b/wheelstep/rehearsal/scale/courier.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from wheelstep.courier.rows import Row
-from wheelstep.fleet.membership import QUIET, Limits, Membership
+from wheelstep.fleet.membership import QUIET_ROLLS, Limits, Membership
 from wheelstep.fleet.types import Member, Roll, State
 from wheelstep.rehearsal.scale.downs import Downs
 from wheelstep.rehearsal.scale.links import Links
@@ -70,7 +70,7 @@
 
 def settle(membership: Membership, rng: random.Random) -> None:
     """It has looked into tables that told of nobody new, and looks again at a moment of its own."""
-    membership._quiet = QUIET
+    membership._quiet_rolls = QUIET_ROLLS
     membership._period = rng.randrange(Limits().hello_periods)
 
 
--- a/wheelstep/rehearsal/scale/undivided.py
+++ b/wheelstep/rehearsal/scale/undivided.py
@@ -14,7 +14,7 @@
 from wheelstep.courier.watch import Watch
 from wheelstep.fleet.datagrams import Datagrams
 from wheelstep.fleet.membership import Limits, Membership
-from wheelstep.fleet.packets import Elder, Seal
+from wheelstep.fleet.packets import HigherBoot, Seal
 from wheelstep.fleet.types import Action, Packet, Roll, SendPacket, State
 from wheelstep.rehearsal.scale.courier import Shared, member, settle
 from wheelstep.rehearsal.scale.desk import HollowDesk
@@ -99,7 +99,7 @@
     def _packet(self, sender: str, address: str, packet: Packet) -> None:
         self._do(self.membership.heard(self._now_us(), sender, address, packet))
 
-    def _elder(self, elder: Elder) -> None:
+    def _elder(self, elder: HigherBoot) -> None:
         self.shared.note("elder")
 
     def _do(self, actions: Sequence[Action]) -> None:
--- a/wheelstep/rehearsal/simulation/membership_world.py
+++ b/wheelstep/rehearsal/simulation/membership_world.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from wheelstep.fleet.membership import Limits, Membership
-from wheelstep.fleet.packets import DATAGRAM, Elder, Seal
+from wheelstep.fleet.packets import DATAGRAM, HigherBoot, Seal
 from wheelstep.fleet.types import Action, Member, Note, Roll, SendPacket, State
 
 SECOND = 1_000_000
@@ -136,7 +136,7 @@
             actions = courier.tick(self.now_us)
         elif self.sealed:
             opened = self.seals[process].open(packet[1], DATAGRAM)
-            assert not isinstance(opened.payload, Elder)
+            assert not isinstance(opened.payload, HigherBoot)
             actions = courier.heard(self.now_us, opened.sender, f"@{packet[0]}", opened.payload)
         else:
             actions = courier.heard(self.now_us, self.couriers[packet[0]].me.name, f"@{packet[0]}", packet[1])
--- a/wheelstep/shards/daemon.py
+++ b/wheelstep/shards/daemon.py
@@ -135,7 +135,7 @@
         found, _ = Log.open(disk, least)
     except LogDamagedError as error:
         log.error("%s: the damaged log is set aside", error)
-        found = Log.anew(disk, max(least, error.boot + 1))
+        found = Log.create_after_damage(disk, max(least, error.boot + 1))
     except OSError as error:
         raise ConfigError(f"{folder}: {error}") from error
     boot = found.boot
--- a/wheelstep/shards/node.py
+++ b/wheelstep/shards/node.py
@@ -11,7 +11,7 @@
 from wheelstep.courier.rows import Row
 from wheelstep.fleet.datagrams import Datagrams
 from wheelstep.fleet.membership import Membership
-from wheelstep.fleet.packets import Elder, Seal
+from wheelstep.fleet.packets import HigherBoot, Seal
 from wheelstep.fleet.types import Action, Member, Note, Packet, SendPacket, State
 from wheelstep.forwarding.client import ForwardClient
 from wheelstep.forwarding.server import ForwardServer
@@ -82,7 +82,7 @@
     @property
     def formed(self) -> bool:
         """Tells whether this courier knows enough of the fleet to take part."""
-        return bool(self._last_homes) and not self.membership.doubled
+        return bool(self._last_homes) and not self.membership.name_in_use
 
     @property
     def ready(self) -> bool:
@@ -117,7 +117,7 @@
 
     async def close(self) -> None:
         """Stops everything; the process ends."""
-        self._run_member_actions(self.membership.left(self.now_us()))
+        self._run_member_actions(self.membership.announce_gone(self.now_us()))
         self._closed = True
         self._arm()
         for client in self._clients.values():
@@ -180,8 +180,8 @@
         self._run_member_actions(self.membership.heard(self.now_us(), sender, address, packet))
         self._arm()
 
-    def _elder(self, elder: Elder) -> None:
-        if self._seal.heard_elder(elder, self.now_us()):
+    def _elder(self, elder: HigherBoot) -> None:
+        if self._seal.raise_boot(elder, self.now_us()):
             self._note(f"the fleet knows a higher boot of this courier: boot {self._seal.boot} is used from now on")
 
     def _run_member_actions(self, actions: Sequence[Action]) -> None:
--- a/wheelstep/shards/stream_link.py
+++ b/wheelstep/shards/stream_link.py
@@ -2,7 +2,7 @@
 
 Wire format, in each direction: packets prefixed with their length (4 bytes, network order). The first packet is the
 sender's nonce in clear; each later one is sealed by `fleet.packets.Seal` under a lane derived from both nonces, and
-holds a `Batch` (or an `Elder`). The dialler's first batch is empty, so that the accepting side knows the peer at once.
+holds a `Batch` (or a `HigherBoot`). The dialler's first batch is empty: the accepting side knows the peer at once.
 
 Protection against replay: a packet recorded on another link, in either direction and at any boot of either side, has
 another lane, as each side's nonce is new; one recorded on this link has a counter that the link's own window knows.
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from wheelstep.fleet.packets import EXPECTED, STREAM_BYTES, Decoder, Elder, PacketError, Reason, Seal
+from wheelstep.fleet.packets import EXPECTED, STREAM_BYTES, Decoder, HigherBoot, PacketError, Reason, Seal
 from wheelstep.shards.ports import Pipe
 from wheelstep.shards.types import Batch, Frame
 
@@ -28,9 +28,9 @@
 MAX_FIRST_BYTES = 1_024  # size limit of a packet from a peer without a valid packet so far
 MAX_BEHIND_BYTES = 4 << 20  # limit of bytes that wait to be written
 MAX_BATCH_BYTES = STREAM_BYTES - 1_024  # the rest is for the seal and names
-_ELDER_GRACE_S = 0.2  # delay before the link ends, so that the peer can read the `Elder`
+_ELDER_GRACE_S = 0.2  # delay before the link ends, so that the peer can read the `HigherBoot`
 _LENGTH = struct.Struct(">I")
-_PAYLOAD: Decoder[Batch | Elder] = msgspec.msgpack.Decoder(Batch | Elder)
+_PAYLOAD: Decoder[Batch | HigherBoot] = msgspec.msgpack.Decoder(Batch | HigherBoot)
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -49,7 +49,7 @@
     def highest_boot(self, sender: str, boot: int) -> int:
         """The highest known boot number of a sender, including this one."""
 
-    def elder(self, elder: Elder) -> None:
+    def elder(self, elder: HigherBoot) -> None:
         """A peer knows a higher boot number of this node."""
 
     def authenticated(self, link: StreamLink) -> None:
@@ -195,7 +195,7 @@
         if not self._authenticated:
             self._authenticated, self.peer = True, opened.sender
             self._owner.authenticated(self)
-        if isinstance(opened.payload, Elder):
+        if isinstance(opened.payload, HigherBoot):
             self._owner.elder(opened.payload)
             return
         for frame in opened.payload.frames:
@@ -208,7 +208,7 @@
         after."""
         assert self._seal is not None and self._pipe is not None
         self._owner.refuse(self, Reason.OLD_BOOT, EXPECTED[Reason.OLD_BOOT], sender)
-        self._write(self._seal.pack(sender, Elder(boot)))
+        self._write(self._seal.pack(sender, HigherBoot(boot)))
         self._ended = True
         self._greet(False)
         asyncio.get_running_loop().call_later(_ELDER_GRACE_S, self._pipe.close)
--- a/wheelstep/shards/streams.py
+++ b/wheelstep/shards/streams.py
@@ -10,7 +10,7 @@
 from collections import Counter, OrderedDict
 from collections.abc import Callable, Sequence
 
-from wheelstep.fleet.packets import BOOTS, NOTE_EVERY_US, STREAM_BYTES, Elder, Seal
+from wheelstep.fleet.packets import BOOT_LIMIT, NOTE_EVERY_US, STREAM_BYTES, HigherBoot, Seal
 from wheelstep.shards.ports import Lost, Net, Pipe, Received
 from wheelstep.shards.refusals import Refusals
 from wheelstep.shards.stream_link import NONCE_BYTES, StreamLink
@@ -121,11 +121,11 @@
             self._boots.popitem(last=False)
         return highest
 
-    def elder(self, elder: Elder) -> None:
+    def elder(self, elder: HigherBoot) -> None:
         """A peer knows a higher boot number of this node (as when its disk was emptied): new links use a number above
         that. At most once in 10 seconds."""
         now_us = self._now_us()
-        if self.boot < elder.boot < BOOTS - 1 and (
+        if self.boot < elder.boot < BOOT_LIMIT - 1 and (
                 self._boot_raised_us is None or now_us - self._boot_raised_us >= NOTE_EVERY_US):
             self._boot_raised_us = now_us
             self.boot = elder.boot + 1
