--- a/benchmarks/measure/voters.py
+++ b/benchmarks/measure/voters.py
@@ -13,7 +13,7 @@
 from wheelstep.fleet.register import Voter
 from wheelstep.fleet.rows import BEGUN, FLEET, Rows
 from wheelstep.fleet.rows import Row as Register
-from wheelstep.fleet.types import Accept, Accepted, Ballot, Holding, Votes
+from wheelstep.fleet.types import Accept, Accepted, Ballot, Ownership, Votes
 
 COURIERS = 1_100
 PARTS = (256, 1_024, 4_096, 16_384, 131_072)
@@ -27,14 +27,14 @@
     rows.rows = {FLEET: Register(BEGUN)}
     for part in range(parts):
         ballot = Ballot(1, f"c{part % COURIERS}")
-        rows.rows[part] = Register(ballot, ballot, Holding(1, ballot.courier))
+        rows.rows[part] = Register(ballot, ballot, Ownership(1, ballot.courier))
     voter = Voter("a", ("b", "c"), parts, LEASE_US, 0.02, rows, 0, 0)
     voter.saved(1 << 40)
     asks = []
     for one in range(min(COURIERS, parts)):
         name = f"c{one}"
         asks.append((name, msgspec.msgpack.encode(Votes(tuple(
-            Accept(part, Ballot(1, name), Holding(1, name)) for part in range(one, parts, COURIERS))))))
+            Accept(part, Ballot(1, name), Ownership(1, name)) for part in range(one, parts, COURIERS))))))
     renewed, began = 0, time.process_time()
     for name, data in asks:
         answer, _ = voter.heard(10_000_000, name, msgspec.msgpack.decode(data, type=Votes))
--- a/benchmarks/move_pause.py
+++ b/benchmarks/move_pause.py
@@ -18,7 +18,7 @@
 import time
 from itertools import count
 
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Commit, Ended, Limits, Room, Tell
 from wheelstep.moves.taker import Taker
@@ -89,7 +89,7 @@
                 acts = giver.tick(now_us)
             case "arrive", ask:
                 named = isinstance(ask, Given)
-                moved, records = taker.heard(now_us, "g", ask, Holding(2, "t") if named else Holding(1, "g"))
+                moved, records = taker.heard(now_us, "g", ask, Ownership(2, "t") if named else Ownership(1, "g"))
                 busy_s = max(busy_s, time.thread_time() - began)
                 at(1, bool(records), "answer", ask, moved)
                 if named:  # asks the voters, then adopts, notes that, and opens
--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Commit, Ended, Room, TakeBack, Tell
 from wheelstep.moves.types import Given, Move, Moved, Piece
@@ -82,7 +82,7 @@
         self.taker = self.world.taker_class(self.name, 1, Room(), list(self.log))
         self.store = Store(self, self.disk)
         self.giver: Giver | None = None
-        self.known: Holding | None = None
+        self.known: Ownership | None = None
         self.lease_us = 0
         self.want = 0  # the epoch that this life has asked for
         self.adopting = False
@@ -106,7 +106,7 @@
 
     def serves(self) -> bool:
         return (self.alive and self.store.is_open and self.world.now_us < self.lease_us
-                and self.known == Holding(self.store.epoch, self.name))
+                and self.known == Ownership(self.store.epoch, self.name))
 
     def hand_in(self) -> None:
         self.world.served(self)
@@ -153,7 +153,7 @@
             self.want = epoch + 1
         self.world.register(self, epoch, owner, lambda held: self.learn(held, now_us, epoch == 0))
 
-    def learn(self, held: Holding, asked_us: int, read: bool) -> None:
+    def learn(self, held: Ownership, asked_us: int, read: bool) -> None:
         """Only what was read leads to another asking, so that a refusal is not asked again at once."""
         if self.known is not None and held.epoch < self.known.epoch:
             return
@@ -163,7 +163,7 @@
         records = self.taker.passed(PART, held.epoch, held.owner)
         self.later(SYNC_US if records else 0, lambda: self.learnt(held, records, read))
 
-    def learnt(self, held: Holding, records: list[bytes], read: bool) -> None:
+    def learnt(self, held: Ownership, records: list[bytes], read: bool) -> None:
         self.log += records
         sealed = self.taker.sealed(PART)
         if self.giver is not None and not self.giver.over:
@@ -187,11 +187,11 @@
             elif read:
                 self.ask(held.epoch, self.name)  # a courier that starts has its parts under newer epochs
 
-    def adopted(self, held: Holding) -> None:
+    def adopted(self, held: Ownership) -> None:
         records = self.taker.adopted(PART, held.epoch)
         self.later(SYNC_US, lambda: self.saved(held, records))
 
-    def saved(self, held: Holding, records: list[bytes]) -> None:
+    def saved(self, held: Ownership, records: list[bytes]) -> None:
         self.log += records
         self.adopting = False
         if self.known == held:
--- a/tests/move_world.py
+++ b/tests/move_world.py
@@ -9,7 +9,7 @@
 
 from move_courier import LEASE_US, MS, PART, Courier
 
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Ended, Limits
 from wheelstep.moves.taker import Taker
@@ -38,7 +38,7 @@
         self.move_events = 0  # until some time after its end
         self._heap: list[tuple[int, int, Callable[[], object]]] = []
         self._order = count()
-        self.holding, self.lease_us, self.owners = Holding(1, "g"), LEASE_US, {1: "g"}
+        self.holding, self.lease_us, self.owners = Ownership(1, "g"), LEASE_US, {1: "g"}
         self.top = 0  # the newest epoch that anybody has served under
         self.owed: set[int] = set()
         self.next = 1  # what the channel's newest 202 told
@@ -87,7 +87,7 @@
         for delay_us in {"": (0,), "lost": (), "dup": (0, 250 * MS), "late": (250 * MS,)}[fault]:
             self.at(self.link_us + delay_us, lambda: arrive() if to.alive else None)
 
-    def register(self, asker: Courier, epoch: int, owner: str, heard: Callable[[Holding], object]) -> None:
+    def register(self, asker: Courier, epoch: int, owner: str, heard: Callable[[Ownership], object]) -> None:
         """For `owner` the epoch after `epoch`, if that stands and no lease forbids it; the answer is what stands."""
         fault = self.register_fault(asker.name, self.now_us, owner)
         life = asker.life
@@ -95,7 +95,7 @@
 
         def arrive() -> None:
             if self.holding.epoch == epoch and (asker.name == self.holding.owner or self.now_us >= self.lease_us):
-                self.holding = Holding(epoch + 1, owner)
+                self.holding = Ownership(epoch + 1, owner)
                 self.owners[epoch + 1] = owner
                 self.lease_us = self.now_us + LEASE_US
             elif self.holding.owner == asker.name:
@@ -120,7 +120,8 @@
         self.unclear.add(number)
 
     def opened(self, courier: Courier, epoch: int) -> None:
-        assert self.holding == Holding(epoch, courier.name), f"{courier.name} opens {epoch}, but {self.holding} stands"
+        assert self.holding == Ownership(epoch, courier.name), (
+            f"{courier.name} opens {epoch}, but {self.holding} stands")
         here = {int(name[2:]) for name in courier.disk if name[0] == "m"}
         assert self.owed <= here, f"{courier.name} opens {epoch} without {sorted(self.owed - here)}"
         position = int(courier.disk.get("c:p", b"1"))
--- a/tests/test_move_crashes.py
+++ b/tests/test_move_crashes.py
@@ -11,7 +11,7 @@
 from move_courier import MS
 from move_world import END_US, START_US, World
 
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Act, Commit
 from wheelstep.moves.taker import Ask, Taker
@@ -151,7 +151,7 @@
 
     _owed: list[bytes] = []
 
-    def heard(self, now_us: int, sender: str, ask: Ask, owner: Holding | None) -> tuple[Moved, list[bytes]]:
+    def heard(self, now_us: int, sender: str, ask: Ask, owner: Ownership | None) -> tuple[Moved, list[bytes]]:
         moved, records = super().heard(now_us, sender, ask, owner)
         if isinstance(ask, Seal):
             self._owed = records
--- a/tests/test_move_taker.py
+++ b/tests/test_move_taker.py
@@ -7,7 +7,7 @@
 import pytest
 from test_moves import HOLDING, Shelf, asks, new, play, taker
 
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 from wheelstep.moves.staged import packed
 from wheelstep.moves.steps import Limits, Room, Step, digest_of, mark_of, take
 from wheelstep.moves.taker import Ask, Taker
@@ -32,7 +32,7 @@
     ((), "g", Offer(1024, 5, 2, 2, 140), HOLDING, "part"),
     ((), "g", Offer(-1, 5, 2, 2, 140), HOLDING, "part"),
     ((), "x", OFFER, HOLDING, "owner"),
-    ((), "g", OFFER, Holding(6, "g"), "epoch"),
+    ((), "g", OFFER, Ownership(6, "g"), "epoch"),
     ((OFFER,), "g", Offer(3, 4, 2, 2, 140, 9), None, "epoch"),
     ((OFFER,), "x", Offer(3, 5, 2, 2, 140, 9), None, "owner"),
     ((OFFER,), "g", Offer(3, 5, 2, 2, 140, 6), HOLDING, "attempt"),
@@ -42,7 +42,7 @@
     ((OFFER,), "g", Chunk(3, 5, 0, (ONE,), 6), HOLDING, "offer"),
     ((OFFER,), "x", CHUNK, None, "owner"),
     ((OFFER,), "g", Chunk(3, 5, 1, (ONE,), 7), HOLDING, "place"),
-    ((OFFER, CHUNK), "g", Chunk(3, 5, 0, (ONE,), 7), Holding(6, "t"), "epoch"),
+    ((OFFER, CHUNK), "g", Chunk(3, 5, 0, (ONE,), 7), Ownership(6, "t"), "epoch"),
     ((OFFER,), "g", Chunk(3, 5, -1, (ONE,), 7), HOLDING, "place"),
     ((OFFER,), "g", Chunk(3, 5, 0, (Piece("m:1", b"1" * 2_000),), 7), HOLDING, "size"),
     ((OFFER, CHUNK), "g", WRONG, HOLDING, "digest"),
@@ -53,12 +53,12 @@
     ((OFFER, CHUNK, SEAL), "g", Cancel(3, 5, 7), HOLDING, "whole"),
     ((OFFER, CHUNK, SEAL), "g", Offer(3, 5, 2, 2, 140, 9), HOLDING, "whole"),
     ((OFFER, CHUNK, SEAL), "x", Offer(3, 6, 2, 2, 140, 9), None, "whole"),
-    ((OFFER, CHUNK), "g", Given(3, 6), Holding(6, "t"), "given"),
+    ((OFFER, CHUNK), "g", Given(3, 6), Ownership(6, "t"), "given"),
     ((OFFER, CHUNK, SEAL), "x", Given(3, 6), HOLDING, "given"),
     ((OFFER, CHUNK, SEAL), "g", Given(3, 6, 7), HOLDING, "given"),
 ])
 def test_refused_with_one_line_counted_and_nothing_taken(
-        before: tuple[Ask, ...], sender: str, ask: Ask, owner: Holding | None, reason: str) -> None:
+        before: tuple[Ask, ...], sender: str, ask: Ask, owner: Ownership | None, reason: str) -> None:
     to = after(*before, room=Room(most_parts=2, most_bytes=2_000))
     if owner is not None and owner.epoch > 5:  # what the news itself does
         to.passed(ask.part, owner.epoch, owner.owner)
@@ -75,7 +75,7 @@
         first, again = to.heard(0, "g", ask, HOLDING), to.heard(1, "g", ask, HOLDING)
         assert first[0] == again[0] and first[0].ok and first[1] == again[1] != []
     for _ in range(2):
-        assert packed(SEAL) in to.heard(2, "g", Given(3, 6), Holding(6, "t"))[1]
+        assert packed(SEAL) in to.heard(2, "g", Given(3, 6), Ownership(6, "t"))[1]
     assert not to.refused
 
 
@@ -86,7 +86,7 @@
     class Restarted:
         """Comes back from its log, or from a snapshot of it, before every ask."""
 
-        def heard(self, now_us: int, sender: str, ask: Ask, owner: Holding | None) -> object:
+        def heard(self, now_us: int, sender: str, ask: Ask, owner: Ownership | None) -> object:
             one = taker(stored=log)
             other = taker(stored=one.snapshot())
             assert one.snapshot() == other.snapshot()
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, Room, Step, TakeBack, Tell
 from wheelstep.moves.taker import Taker
@@ -15,7 +15,7 @@
 
 LIMITS = Limits(chunk_pieces=4, tail=2, rounds=3, pace_us=10, call_bound_us=1_000, shut_bound_us=5_000, poll_us=100,
                 backoff_us=50, backoff_most_us=150, tries=3, silence_us=2_000, commit_us=500, undecided_us=20_000)
-HOLDING = Holding(5, "g")
+HOLDING = Ownership(5, "g")
 
 
 class Shelf:
@@ -104,7 +104,7 @@
     assert giver.decided(now_us, 5, "g") == [] and not shelf.dropped  # old news
     assert giver.decided(now_us, 6, "t") == [Tell(Given(3, 6))] and giver.step is Step.OPEN and shelf.dropped == 1
     assert to.passed(3, 6, "t") and to.sealed(3) == 5 and to.adopted(3, 6) and to.sealed(3) is None
-    moved, _ = to.heard(now_us, "g", Given(3, 6), Holding(6, "t"))
+    moved, _ = to.heard(now_us, "g", Given(3, 6), Ownership(6, "t"))
     assert giver.answered(now_us, Given(3, 6), moved) == [Ended(True, "given to t")] and giver.step is Step.DONE
     assert giver.next_us() == NEVER_US and giver.tick(10**12) == [] and shelf.dropped == 1 and not shelf.opened
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -9,7 +9,7 @@
 from tests.voting_hosts import DRIFT, LEASE_US, MARGIN_US, PARTS
 from wheelstep.fleet.ballots import NEVER_US
 from wheelstep.fleet.owner import Decided, Gained, Lost, Owner
-from wheelstep.fleet.types import Accepted, Ballot, Holding, Prepare, Promise, Refused, Voted, Votes
+from wheelstep.fleet.types import Accepted, Ballot, Ownership, Prepare, Promise, Refused, Voted, Votes
 
 TERM_US = int(LEASE_US * (1 - DRIFT)) - MARGIN_US
 
@@ -19,13 +19,13 @@
     return Owner("me", ["a", "b", "c"], PARTS, LEASE_US, DRIFT, MARGIN_US, random.Random(1), now_us)
 
 
-def yes(votes: Votes, holding: Holding | None = None) -> Voted:
+def yes(votes: Votes, holding: Ownership | None = None) -> Voted:
     """Return positive answers to all requests; promises report `holding`."""
     return Voted(tuple(Promise(ask.part, ask.ballot, Ballot(1, "x") if holding else None, holding)
                        if isinstance(ask, Prepare) else Accepted(ask.part, ask.ballot) for ask in votes.asks), 7)
 
 
-def play(owner: Owner, now_us: int, voters: str = "ab", holding: Holding | None = None) -> list[object]:
+def play(owner: Owner, now_us: int, voters: str = "ab", holding: Ownership | None = None) -> list[object]:
     """Answer all batches to `voters`, time out the others, until nothing is left to send; return the events."""
     events: list[object] = owner.events(now_us)
     while batches := owner.tick(now_us):
@@ -55,7 +55,7 @@
     assert events == [Gained(2, 1, 30_000 + TERM_US)]
     assert owner.epoch(2, 30_000 + TERM_US - 1) == 1
     assert owner.epoch(2, 30_000 + TERM_US) is None
-    assert owner.holding(2) == owner.decided(2) == Holding(1, "me")
+    assert owner.holding(2) == owner.decided(2) == Ownership(1, "me")
 
 
 def test_lease_is_renewed_at_a_third_and_extends_from_the_second_latest_send() -> None:
@@ -79,7 +79,7 @@
     late = 20 * LEASE_US
     assert owner.answered(late, voter, votes, yes(votes)) == [Lost(0, 1)]
     assert owner.epoch(0, late) is None
-    assert play(owner, late, holding=Holding(1, "me"))[-1] == Gained(0, 2, late + TERM_US)
+    assert play(owner, late, holding=Ownership(1, "me"))[-1] == Gained(0, 2, late + TERM_US)
 
 
 @pytest.mark.parametrize("late", [LEASE_US // 2, 20 * LEASE_US])
@@ -117,10 +117,10 @@
     owner.give(100, 0, "other")
     assert owner.epoch(0, 100) is None and owner.until_us(0) == 0
     for voter, votes in owner.tick(100):
-        owner.answered(200, voter, votes, yes(votes, Holding(1, "me")))
+        owner.answered(200, voter, votes, yes(votes, Ownership(1, "me")))
     accepts = owner.tick(300)
     for _ in range(2):  # the accepts time out and are sent again
-        assert {ask.holding for _, votes in accepts for ask in votes.asks} == {Holding(2, "other")}
+        assert {ask.holding for _, votes in accepts for ask in votes.asks} == {Ownership(2, "other")}
         for voter, votes in accepts:
             owner.answered(400, voter, votes, None)
         assert owner.next_us() > 400
@@ -133,7 +133,7 @@
     assert owner.epoch(0, at) is None
     assert {type(ask) for _, votes in batches for ask in votes.asks} == {Prepare}
     for voter, votes in batches:  # one voter has accepted it, so it is completed
-        owner.answered(at, voter, votes, yes(votes, Holding(2, "other") if voter == "a" else Holding(1, "me")))
+        owner.answered(at, voter, votes, yes(votes, Ownership(2, "other") if voter == "a" else Ownership(1, "me")))
     assert play(owner, at) == [Decided(0, 2, "other")]
     assert upcoming(owner) == (NEVER_US, [])
 
@@ -147,7 +147,7 @@
     play(owner, 100, "")
     owner.give(200, 0, "me")
     for voter, votes in owner.tick(200):
-        owner.answered(200, voter, votes, yes(votes, Holding(2, "other") if voter == "a" else Holding(1, "me")))
+        owner.answered(200, voter, votes, yes(votes, Ownership(2, "other") if voter == "a" else Ownership(1, "me")))
     assert play(owner, 300) == [Gained(0, 3, 300 + TERM_US)]
 
 
@@ -156,10 +156,10 @@
     owner = alone_at()
     owner.want(0)
     for voter, votes in owner.tick(0):
-        owner.answered(10, voter, votes, Voted((Refused(0, "lease", None, 500_000, Holding(4, "x")),), 1))
+        owner.answered(10, voter, votes, Voted((Refused(0, "lease", None, 500_000, Ownership(4, "x")),), 1))
     now_us, batches = upcoming(owner)
     assert 500_000 < now_us < 550_000
-    assert owner.decided(0) == Holding(4, "x")  # accepted by two voters
+    assert owner.decided(0) == Ownership(4, "x")  # accepted by two voters
     waits = []
     for _ in range(5):
         for voter, votes in batches:
--- a/tests/test_owner_fleets.py
+++ b/tests/test_owner_fleets.py
@@ -10,7 +10,7 @@
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.register import Voter
 from wheelstep.fleet.rows import BEGUN, FLEET, Row, Rows
-from wheelstep.fleet.types import Accept, Accepted, Holding, Prepare, Promise, Refused
+from wheelstep.fleet.types import Accept, Accepted, Ownership, Prepare, Promise, Refused
 
 # --- whole fleets ---
 
@@ -114,9 +114,9 @@
 
     __slots__ = ()
 
-    def proposal(self, me: str, leased: bool) -> Holding:
+    def proposal(self, me: str, leased: bool) -> Ownership:
         """Return the next epoch, whatever the voters reported."""
-        return Holding(self.epoch + 1, self.transfer_to or me)
+        return Ownership(self.epoch + 1, self.transfer_to or me)
 
 
 class IgnoresWhatWasAccepted(Owner):
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -9,7 +9,7 @@
 
 from wheelstep.fleet.register import Voter, replay
 from wheelstep.fleet.rows import BEGUN, FLEET, NEW, Row, Rows
-from wheelstep.fleet.types import Accept, Accepted, Ballot, Holding, Prepare, Promise, Refused, Stood, Votes
+from wheelstep.fleet.types import Accept, Accepted, Ballot, Ownership, Prepare, Promise, Refused, Stood, Votes
 
 LEASE_US, DRIFT = 1_000_000, 0.02
 GRANT_US = math.ceil(LEASE_US * (1 + DRIFT))
@@ -35,7 +35,7 @@
 
 def holding(voter: Voter, owner: str = "x", epoch: int = 5, number: int = 3, now_us: int = BEGAN_US) -> Accept:
     """Have the voter accept a holding of part 0 and save it; return the request."""
-    accept = Accept(0, Ballot(number, owner), Holding(epoch, owner))
+    accept = Accept(0, Ballot(number, owner), Ownership(epoch, owner))
     answers, records = say(voter, now_us, owner, accept)
     assert answers == [Accepted(0, accept.ballot)] and records
     voter.saved(voter.place)
@@ -46,7 +46,7 @@
     """Else two couriers could hold leases of a part."""
     voter = begun()
     held = holding(voter)
-    mine, other = Prepare(0, Ballot(9, "y")), Accept(0, Ballot(9, "y"), Holding(6, "y"))
+    mine, other = Prepare(0, Ballot(9, "y")), Accept(0, Ballot(9, "y"), Ownership(6, "y"))
     for ask in (mine, other):
         assert say(voter, BEGAN_US + 20_000, "y", ask)[0] == [Refused(0, "lease", held.ballot, GRANT_US - 20_000,
                                                                      held.holding)]
@@ -70,16 +70,16 @@
     voter = begun()
     say(voter, BEGAN_US, "x", Prepare(0, Ballot(7, "x")))
     for asker, ask in (("x", Prepare(0, Ballot(7, "x"))), ("a", Prepare(0, Ballot(7, "a"))),
-                       ("x", Accept(0, Ballot(6, "x"), Holding(1, "x")))):
+                       ("x", Accept(0, Ballot(6, "x"), Ownership(1, "x")))):
         refused, = say(voter, BEGAN_US, asker, ask)[0]
         assert (refused.why, refused.promised) == ("ballot", Ballot(7, "x"))
     holding(voter, epoch=1, number=7)
-    refused, = say(voter, BEGAN_US, "x", Accept(0, Ballot(7, "x"), Holding(2, "x")))[0]
+    refused, = say(voter, BEGAN_US, "x", Accept(0, Ballot(7, "x"), Ownership(2, "x")))[0]
     assert refused.why == "ballot"
 
 
-@pytest.mark.parametrize("lower", [Holding(4, "y"), Holding(5, "y")])
-def test_lower_epoch_or_second_owner_of_an_epoch_is_refused(lower: Holding) -> None:
+@pytest.mark.parametrize("lower", [Ownership(4, "y"), Ownership(5, "y")])
+def test_lower_epoch_or_second_owner_of_an_epoch_is_refused(lower: Ownership) -> None:
     """What a majority has accepted must stay final."""
     voter = begun()
     held = holding(voter)
@@ -103,7 +103,7 @@
 def test_answer_depending_on_an_unsaved_record_returns_it_again() -> None:
     """Else the second answer could be sent before its record is on disk."""
     voter = begun()
-    accept = Accept(0, Ballot(3, "x"), Holding(5, "x"))
+    accept = Accept(0, Ballot(3, "x"), Ownership(5, "x"))
     first = say(voter, BEGAN_US, "x", accept)[1]
     assert say(voter, BEGAN_US, "x", accept)[1] == first
     assert say(voter, BEGAN_US, "y", Prepare(0, Ballot(1, "y")))[1] == first  # the refusal contains the holding
@@ -119,10 +119,10 @@
     records = []
     for part in range(3):
         records += say(voter, BEGAN_US, "x", Prepare(part, Ballot(2, "x")))[1]
-    records += say(voter, BEGAN_US, "x", Accept(1, Ballot(2, "x"), Holding(1, "x")))[1]
+    records += say(voter, BEGAN_US, "x", Accept(1, Ballot(2, "x"), Ownership(1, "x")))[1]
     state = replay(records)
     assert state.place == voter.place == 5
-    assert state.rows[1] == Row(Ballot(2, "x"), Ballot(2, "x"), Holding(1, "x"), 5)
+    assert state.rows[1] == Row(Ballot(2, "x"), Ballot(2, "x"), Ownership(1, "x"), 5)
     assert replay(voter.snapshot()).rows == state.rows | {FLEET: Row(BEGUN, place=1)}
     with pytest.raises(msgspec.DecodeError):
         replay([b"\x93\x01"])
@@ -130,8 +130,8 @@
 
 @pytest.mark.parametrize("ask", [
     Prepare(-1, Ballot(1, "x")), Prepare(4, Ballot(1, "x")), Prepare(0, Ballot(0, "x")), Prepare(0, Ballot(-4, "x")),
-    Prepare(0, Ballot(1 << 60, "x")), Prepare(0, Ballot(1, "y")), Accept(0, Ballot(1, "x"), Holding(0, "x")),
-    Accept(0, Ballot(1, "x"), Holding(1 << 50, "x")), Accept(0, Ballot(1, "x"), Holding(1, ""))])
+    Prepare(0, Ballot(1 << 60, "x")), Prepare(0, Ballot(1, "y")), Accept(0, Ballot(1, "x"), Ownership(0, "x")),
+    Accept(0, Ballot(1, "x"), Ownership(1 << 50, "x")), Accept(0, Ballot(1, "x"), Ownership(1, ""))])
 def test_invalid_requests_are_refused_and_counted(ask: Prepare | Accept) -> None:
     voter = begun()
     assert say(voter, BEGAN_US, "x", ask) == ([Refused(ask.part, "ballot")], [])
--- a/wheelstep/fleet/ballots.py
+++ b/wheelstep/fleet/ballots.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from wheelstep.fleet.types import Accept, Ballot, Holding, Prepare
+from wheelstep.fleet.types import Accept, Ballot, Ownership, Prepare
 
 NEVER_US = 1 << 62
 
@@ -64,21 +64,21 @@
     transfer_to: str = ""  # new owner during a transfer; this courier to take it back
     transfer_epoch: int = 0  # the epoch that the transfer ends
     ballot: Ballot = Ballot(0, "")
-    target: Holding = Holding(0, "")
+    target: Ownership = Ownership(0, "")
     target_first: int = 0  # `first_epoch` when `target` was chosen
     agreed_us: dict[str, int] = field(default_factory=dict)
     refused_by: set[str] = field(default_factory=set)
     unanswered: set[str] = field(default_factory=set)
     lease_left_us: dict[str, int] = field(default_factory=dict)
-    reported: dict[str, Holding] = field(default_factory=dict)
-    decided: Holding = Holding(0, "")
+    reported: dict[str, Ownership] = field(default_factory=dict)
+    decided: Ownership = Ownership(0, "")
     epoch: int = 0  # the last epoch in which this courier held a lease
     highest_number: int = 0  # highest ballot number seen
     round_start_us: int = 0
     due_us: int = 0
     failures: int = 0
 
-    def newest(self) -> Holding:
+    def newest(self) -> Ownership:
         """Return the holding with the highest epoch seen; it may not be decided."""
         return max([self.decided, *self.reported.values()], key=lambda holding: holding.epoch)
 
@@ -88,12 +88,12 @@
         others = [holding.epoch for holding in self.reported.values() if holding.owner != me]
         return max([self.decided.epoch + (self.decided.owner != me), *(epoch + 1 for epoch in others)])
 
-    def record_report(self, voter: str, holding: Holding | None) -> None:
+    def record_report(self, voter: str, holding: Ownership | None) -> None:
         """Record the holding that a voter has accepted; None if it has none."""
         if holding is not None and holding.epoch > self.reported.get(voter, self.decided).epoch:
             self.reported[voter] = holding
 
-    def newly_decided(self, majority: int) -> Holding | None:
+    def newly_decided(self, majority: int) -> Ownership | None:
         """Return a holding newer than `decided` that a majority has accepted, and store it there; None if none has.
         It is final: the epochs of a voter only increase, and no voter accepts one epoch for two owners."""
         for holding in self.reported.values():
@@ -124,15 +124,15 @@
         """Return the time from which a majority has granted a full lease: the k-th latest send time, k a majority."""
         return sorted(self.agreed_us.values(), reverse=True)[majority - 1]
 
-    def proposal(self, me: str, leased: bool) -> Holding:
+    def proposal(self, me: str, leased: bool) -> Ownership:
         """Return the holding to propose once a majority has promised. A reported holding is never ignored: a transfer
         completes it, an acquisition proposes a later epoch."""
         newest = self.newest()
         if not self.transfer_to or self.transfer_to == me:
-            return newest if leased and newest == Holding(self.epoch, me) else Holding(newest.epoch + 1, me)
+            return newest if leased and newest == Ownership(self.epoch, me) else Ownership(newest.epoch + 1, me)
         if newest.epoch > self.transfer_epoch and newest.owner != me:
             return newest
-        return Holding(newest.epoch + 1, self.transfer_to)
+        return Ownership(newest.epoch + 1, self.transfer_to)
 
     def request_for(self, voter: str) -> Prepare | Accept | None:
         """Return the request to send to the voter now; None if there is none."""
--- a/wheelstep/fleet/owner.py
+++ b/wheelstep/fleet/owner.py
@@ -8,7 +8,7 @@
 
 from wheelstep.fleet.ballots import Decided, Event, Gained, Lost, Phase
 from wheelstep.fleet.proposer import Proposer
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 
 __all__ = ["Decided", "Event", "Gained", "Lost", "Owner"]
 
@@ -71,12 +71,12 @@
         """Return when the lease ends; 0 without one."""
         return self._until_us[part]
 
-    def holding(self, part: int) -> Holding | None:
+    def holding(self, part: int) -> Ownership | None:
         """Return the newest holding reported by any voter, perhaps undecided; None if there is none."""
         newest = self._parts[part].newest()
         return newest if newest.epoch else None
 
-    def decided(self, part: int) -> Holding | None:
+    def decided(self, part: int) -> Ownership | None:
         """Return the newest holding known to be accepted by a majority; None if there is none."""
         decided = self._parts[part].decided
         return decided if decided.epoch else None
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -12,7 +12,7 @@
 from wheelstep.fleet.membership import Membership
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.tenure import PartCoordinator
-from wheelstep.fleet.types import Action, Answer, Holding, Member, Stand, State, Stood
+from wheelstep.fleet.types import Action, Answer, Member, Ownership, Stand, State, Stood
 from wheelstep.moves.steps import Limits, Room
 from wheelstep.moves.swap import Pace, Swap
 
@@ -47,10 +47,10 @@
         self._swap: Swap | None = None
         self._next_plan_us = now_us
         self._next_query_us = now_us  # next query of a voter for the registers
-        self._reported: dict[int, Holding] = {}  # holdings reported by voters; not known to be decided
+        self._reported: dict[int, Ownership] = {}  # holdings reported by voters; not known to be decided
         self._has_report = False  # whether any voter has reported its registers
 
-    def holding(self, part: int) -> Holding | None:
+    def holding(self, part: int) -> Ownership | None:
         """Return the newest known holding of the part; None if there is none."""
         decided, reported = self._tenure.decided(part), self._reported.get(part)
         return reported if decided is None or (reported is not None and reported.epoch > decided.epoch) else decided
--- a/wheelstep/fleet/rows.py
+++ b/wheelstep/fleet/rows.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wheelstep.fleet.types import Ballot, Holding
+from wheelstep.fleet.types import Ballot, Ownership
 
 FLEET = -1  # pseudo-part whose row says whether the fleet has begun
 NEW = Ballot(0, "")  # all other voters have reported that they are blank too
@@ -20,7 +20,7 @@
 
     promised: Ballot
     accepted: Ballot | None = None
-    holding: Holding | None = None
+    holding: Ownership | None = None
     place: int = 0
 
 
@@ -37,7 +37,7 @@
     part: int
     promised: Ballot
     accepted: Ballot | None
-    holding: Holding | None
+    holding: Ownership | None
 
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -12,7 +12,7 @@
 from wheelstep.fleet.content import Content
 from wheelstep.fleet.errands import PendingOperations
 from wheelstep.fleet.owner import Event, Gained, Lost, Owner
-from wheelstep.fleet.types import Action, Answer, Ask, Holding, Note, Reply
+from wheelstep.fleet.types import Action, Answer, Ask, Note, Ownership, Reply
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, TakeBack, Tell
 from wheelstep.moves.taker import Taker
@@ -33,13 +33,13 @@
         self._content, self._errands, self._limits, self._parts = content, errands, limits, parts
         self.givers: dict[int, Giver] = {}
         self.ended: list[tuple[int, bool, str]] = []
-        self._decided: dict[int, Holding] = {}  # newest holding known to be decided, by part
+        self._decided: dict[int, Ownership] = {}  # newest holding known to be decided, by part
         self._sealed_check_us: dict[int, int] = {}  # by part with a complete copy here: when to check the owner
         self._next_orphan_check_us = now_us + ORPHAN_CHECK_US
         self._reporting: set[int] = set()  # parts with orphan reports in progress
         self.opening: set[int] = set()  # parts handed over here and being written to the journal
 
-    def decided(self, part: int) -> Holding | None:
+    def decided(self, part: int) -> Ownership | None:
         """Return the newest holding known to be decided; None if there is none."""
         return self._decided.get(part)
 
@@ -52,7 +52,7 @@
         times = [giver.next_us() for giver in self.givers.values()]
         return min([self._next_orphan_check_us, *times, *self._sealed_check_us.values()], default=NEVER_US)
 
-    def tick(self, now_us: int, here: Mapping[str, object], holding: Callable[[int], Holding | None]) -> list[Action]:
+    def tick(self, now_us: int, here: Mapping[str, object], holding: Callable[[int], Ownership | None]) -> list[Action]:
         """Do what is due. `here` are the reachable members; `holding` returns the known holding of a part."""
         actions: list[Action] = []
         for giver in list(self.givers.values()):
@@ -80,8 +80,8 @@
                 if (giver := self.givers.get(event.part)) is not None:
                     giver.lost(now_us)
                 continue
-            holding = Holding(event.epoch, self.me if isinstance(event, Gained) else event.owner)
-            if event.epoch > self._decided.get(event.part, Holding(0, "")).epoch:
+            holding = Ownership(event.epoch, self.me if isinstance(event, Gained) else event.owner)
+            if event.epoch > self._decided.get(event.part, Ownership(0, "")).epoch:
                 self._decided[event.part] = holding
             first = event.first if isinstance(event, Gained) else 0
             records = self.taker.passed(event.part, holding.epoch, holding.owner, first)
@@ -181,7 +181,8 @@
         moved = Moved(ask.part, mine, taken, why="" if taken else "no room for it under its contract")
         return self._errands.save(now_us, [SYNC_RECORD], lambda _: [Reply(token, moved)])  # syncs the content too
 
-    def _start_orphan_reports(self, here: Mapping[str, object], known: Callable[[int], Holding | None]) -> list[Action]:
+    def _start_orphan_reports(self, here: Mapping[str, object],
+                              known: Callable[[int], Ownership | None]) -> list[Action]:
         """Start reporting orphans to the owners of their parts, also to owners known only from a voter's report."""
         actions: list[Action] = []
         for part in range(self._parts):
@@ -195,7 +196,7 @@
                 actions.append(self._report_orphans(part, holding, pieces))
         return actions
 
-    def _report_orphans(self, part: int, holding: Holding, pieces: list[Piece]) -> Action:
+    def _report_orphans(self, part: int, holding: Ownership, pieces: list[Piece]) -> Action:
         """Report the pieces in order: positions come before the messages that refer to them."""
         piece = pieces[0]
         outcome = piece.data.decode() if piece.name.startswith("o:") else ""
--- a/wheelstep/fleet/types.py
+++ b/wheelstep/fleet/types.py
@@ -94,7 +94,7 @@
     courier: str
 
 
-class Holding(msgspec.Struct, frozen=True, array_like=True):
+class Ownership(msgspec.Struct, frozen=True, array_like=True):
     """The value of a register: `owner` owns the part in `epoch`. The epochs of a part only increase."""
 
     epoch: int
@@ -114,7 +114,7 @@
 
     part: int
     ballot: Ballot
-    holding: Holding
+    holding: Ownership
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=12):
@@ -123,7 +123,7 @@
     part: int
     ballot: Ballot
     accepted: Ballot | None = None
-    holding: Holding | None = None
+    holding: Ownership | None = None
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=13):
@@ -142,7 +142,7 @@
     why: str
     promised: Ballot | None = None
     left_us: int = 0
-    holding: Holding | None = None
+    holding: Ownership | None = None
 
 
 class Votes(msgspec.Struct, frozen=True, array_like=True, tag=15):
@@ -168,7 +168,7 @@
     ballot and holding."""
 
     blank: bool
-    rows: tuple[tuple[int, Ballot, Ballot | None, Holding | None], ...] = ()
+    rows: tuple[tuple[int, Ballot, Ballot | None, Ownership | None], ...] = ()
     seen: int = 0  # highest log position of the requester known to this voter
 
 
--- a/wheelstep/moves/taker.py
+++ b/wheelstep/moves/taker.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from wheelstep.fleet.types import Holding
+from wheelstep.fleet.types import Ownership
 from wheelstep.moves.staged import Copy, Held, Opened, Over, packed, replay, unpacked
 from wheelstep.moves.steps import Room, size_of
 from wheelstep.moves.types import Cancel, Chunk, Given, Moved, Offer, Piece, Seal
@@ -30,13 +30,13 @@
         self._version, self._room = state_version, room
         self._copies: dict[int, Copy] = {}
         self._over: dict[int, Over] = {}  # the newest copy that was adopted, by part
-        self._news: dict[int, Holding] = {}  # the register's newest, by part
+        self._news: dict[int, Ownership] = {}  # the register's newest, by part
         for data in stored:
             record = unpacked(data)
             if record is not None and not replay(self._copies, self._over, record):
                 self.forgotten += 1
 
-    def heard(self, now_us: int, sender: str, ask: Ask, owner: Holding | None) -> tuple[Moved, list[bytes]]:
+    def heard(self, now_us: int, sender: str, ask: Ask, owner: Ownership | None) -> tuple[Moved, list[bytes]]:
         """Answer an ask; `owner` is the register's newest holding that this courier knows. The answer may leave once
         all records given out so far are on disk. A repeated ask gives its records again: they may have been lost."""
         if not 0 <= ask.part < self._room.parts:
@@ -169,7 +169,7 @@
         only while this courier knows that nobody else has had the part since."""
         news = self._news.get(part)
         if 0 <= part < self._room.parts and (news is None or epoch > news.epoch):
-            self._news[part] = Holding(epoch, owner)
+            self._news[part] = Ownership(epoch, owner)
         copy = self._copies.get(part)
         since = 0 if copy is None else copy.held or copy.offer.epoch
         if copy is None or epoch < since:
