--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -24,7 +24,6 @@
 
 
 def message(name: str, destination: int = 7) -> StoredMessage:
-    """Return a message with a body."""
     return StoredMessage(name, "once", destination, 10**13, body=b"body of " + name.encode())
 
 
@@ -103,7 +102,6 @@
         self.server.close()
 
     async def hand_in(self, one: StoredMessage) -> RemoteDesk:
-        """Ask the owner to take a message and return its desk once it has."""
         desk = RemoteDesk(self.client)
         desk.take(one)
         await desk.durable()
@@ -112,37 +110,37 @@
 
 def test_owner_takes_before_the_client_is_answered_and_begins_after(tmp_path: Path) -> None:
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
-            desk = await s.hand_in(message("m1"))
-            assert s.owner.taken["m1"] == message("m1") and s.owner.begun == []
+        async with OwnerOverSocket(tmp_path) as remote:
+            desk = await remote.hand_in(message("m1"))
+            assert remote.owner.taken["m1"] == message("m1") and remote.owner.begun == []
             desk.begin("m1")
-            await s.owner.until(lambda: s.owner.begun == ["m1"])
-            (await s.hand_in(message("m1"))).begin("m1")  # known already, so it does not begin twice
-            desk = await s.hand_in(message("m2"))
+            await remote.owner.until(lambda: remote.owner.begun == ["m1"])
+            (await remote.hand_in(message("m1"))).begin("m1")  # known already, so it does not begin twice
+            desk = await remote.hand_in(message("m2"))
             desk.withdraw("m2")
-            await s.owner.until(lambda: s.owner.withdrawn == ["m2"])
-            assert s.owner.begun == ["m1"]
+            await remote.owner.until(lambda: remote.owner.withdrawn == ["m2"])
+            assert remote.owner.begun == ["m1"]
     run(work())
 
 
 def test_refusals_of_the_owner_reach_the_client(tmp_path: Path) -> None:
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
+        async with OwnerOverSocket(tmp_path) as remote:
             with pytest.raises(BadRequestError, match="no such destination"):
-                await s.hand_in(message("m1", 8))
-            s.owner.no_room = True
+                await remote.hand_in(message("m1", 8))
+            remote.owner.no_room = True
             with pytest.raises(NoRoomError, match="no room at all"):
-                await s.hand_in(message("m2"))
-            s.owner.is_full = True
+                await remote.hand_in(message("m2"))
+            remote.owner.is_full = True
             with pytest.raises(NoRoomError, match="holds all it can"):
-                await s.hand_in(message("m3"))
-            s.server.close()
-            s.owner_sides[0].frames.close()
+                await remote.hand_in(message("m3"))
+            remote.server.close()
+            remote.owner_sides[0].frames.close()
             await asyncio.sleep(0)
         with pytest.raises(NoRoomError, match="can't be reached"):  # nothing was sent, so a repeat is harmless
             while True:
                 try:
-                    await s.hand_in(message("m4"))
+                    await remote.hand_in(message("m4"))
                 except UnansweredError:
                     continue
     run(work())
@@ -151,12 +149,12 @@
 def test_client_gets_no_answer_if_the_owner_ends_before_it_answers(tmp_path: Path) -> None:
     """Guards against a 503 for what the owner's journal may hold: the client hands it in again, a fee is paid twice."""
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
-            s.owner.syncs = True
-            asked = asyncio.create_task(s.hand_in(message("m1")))
-            while not s.owner.taken:
+        async with OwnerOverSocket(tmp_path) as remote:
+            remote.owner.syncs = True
+            asked = asyncio.create_task(remote.hand_in(message("m1")))
+            while not remote.owner.taken:
                 await asyncio.sleep(0)
-            s.owner_sides[0].frames.close()
+            remote.owner_sides[0].frames.close()
             with pytest.raises(UnansweredError):
                 await asked
     run(work())
@@ -165,75 +163,75 @@
 def test_message_begins_if_the_asker_ends_after_the_answer(tmp_path: Path) -> None:
     """Guards against the loss of a message whose client may have been answered 202."""
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
-            await s.hand_in(message("m1"))
-            s.client.close()
-            await s.owner.until(lambda: s.owner.begun == ["m1"])
+        async with OwnerOverSocket(tmp_path) as remote:
+            await remote.hand_in(message("m1"))
+            remote.client.close()
+            await remote.owner.until(lambda: remote.owner.begun == ["m1"])
     run(work())
 
 
 def test_message_is_withdrawn_if_the_asker_ends_before_the_answer(tmp_path: Path) -> None:
     """Guards against a second delivery: the client was not answered and hands it in again under another id."""
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
-            s.owner.syncs = True
-            asked = asyncio.create_task(s.hand_in(message("m1")))
-            while not s.owner.taken:
+        async with OwnerOverSocket(tmp_path) as remote:
+            remote.owner.syncs = True
+            asked = asyncio.create_task(remote.hand_in(message("m1")))
+            while not remote.owner.taken:
                 await asyncio.sleep(0)
-            s.client.close()
-            await s.owner.until(lambda: s.owner.withdrawn == ["m1"])
+            remote.client.close()
+            await remote.owner.until(lambda: remote.owner.withdrawn == ["m1"])
             with pytest.raises(UnansweredError):
                 await asked
-            assert s.owner.begun == []
+            assert remote.owner.begun == []
     run(work())
 
 
 def test_second_client_with_a_message_is_not_answered_until_the_first_is(tmp_path: Path) -> None:
     """Guards against a lost message: the second client got 202, then the first left, which withdrew the message."""
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
-            first = await s.hand_in(message("m1"))  # taken, its client is not answered yet
+        async with OwnerOverSocket(tmp_path) as remote:
+            first = await remote.hand_in(message("m1"))  # taken, its client is not answered yet
             with pytest.raises(UnansweredError, match="another client"):
-                await s.hand_in(message("m1"))
+                await remote.hand_in(message("m1"))
             first.withdraw("m1")
-            await s.owner.until(lambda: s.owner.withdrawn == ["m1"])
-            (await s.hand_in(message("m1"))).begin("m1")
-            await s.owner.until(lambda: s.owner.begun == ["m1"])
-            assert (await s.hand_in(message("m1"))).known
+            await remote.owner.until(lambda: remote.owner.withdrawn == ["m1"])
+            (await remote.hand_in(message("m1"))).begin("m1")
+            await remote.owner.until(lambda: remote.owner.begun == ["m1"])
+            assert (await remote.hand_in(message("m1"))).known
     run(work())
 
 
 def test_answer_to_an_earlier_ask_does_not_count_for_a_later_one(tmp_path: Path) -> None:
     """Guards against an answer to a client's first ask that counts for its second, which was refused."""
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
-            await s.hand_in(message("m0"))
-            gone = RemoteDesk(s.client)
+        async with OwnerOverSocket(tmp_path) as remote:
+            await remote.hand_in(message("m0"))
+            gone = RemoteDesk(remote.client)
             gone.take(message("m1"))
             gone.durable().cancel()
             gone.withdraw("m1")
-            s.owner.no_room = False
-            again = asyncio.create_task(s.hand_in(message("m1")))
-            await s.owner.until(lambda: s.owner.withdrawn == ["m1"])
-            s.owner.is_full = True
+            remote.owner.no_room = False
+            again = asyncio.create_task(remote.hand_in(message("m1")))
+            await remote.owner.until(lambda: remote.owner.withdrawn == ["m1"])
+            remote.owner.is_full = True
             try:
                 desk = await again
             except NoRoomError:
-                assert "m1" not in s.owner.taken
+                assert "m1" not in remote.owner.taken
             else:
                 desk.begin("m1")
-                await s.owner.until(lambda: s.owner.begun == ["m1"])
+                await remote.owner.until(lambda: remote.owner.begun == ["m1"])
     run(work())
 
 
 def test_ask_that_the_owner_does_not_answer_in_time_is_withdrawn(tmp_path: Path) -> None:
     async def work() -> None:
-        async with OwnerOverSocket(tmp_path) as s:
-            s.owner.syncs = True
+        async with OwnerOverSocket(tmp_path) as remote:
+            remote.owner.syncs = True
             with pytest.raises(UnansweredError, match="did not answer"):
-                await s.hand_in(message("m1"))
-            await s.owner.until(lambda: s.owner.withdrawn == ["m1"])
-            assert s.owner.begun == []
+                await remote.hand_in(message("m1"))
+            await remote.owner.until(lambda: remote.owner.withdrawn == ["m1"])
+            assert remote.owner.begun == []
     run(work())
 
 
@@ -241,7 +239,6 @@
 
 
 def operator(folder: Path, workers: int, shares: int = 4) -> Path:
-    """Write an operator file with this number of workers and shares."""
     path = folder / "operator.toml"
     path.write_text(f"[workers]\ncount = {workers}\nshares = {shares}\n")
     return path
