--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -24,7 +24,6 @@
 
 
 def message(name: str, destination: int = 7) -> StoredMessage:
-    """Return a message with a body."""
     return StoredMessage(name, "once", destination, 10**13, body=b"body of " + name.encode())
 
 
@@ -103,7 +102,6 @@
         self.server.close()
 
     async def hand_in(self, one: StoredMessage) -> RemoteDesk:
-        """Ask the owner to take a message and return its desk once it has."""
         desk = RemoteDesk(self.client)
         desk.take(one)
         await desk.durable()
@@ -241,7 +239,6 @@
 
 
 def operator(folder: Path, workers: int, shares: int = 4) -> Path:
-    """Write an operator file with this number of workers and shares."""
     path = folder / "operator.toml"
     path.write_text(f"[workers]\ncount = {workers}\nshares = {shares}\n")
     return path
