--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -1,5 +1,5 @@
-"""A courier of `tests/move_world.py`: what a node does with a giver's acts, a taker's records and the register's news,
-as little of it as shows whether a move keeps its word. What it does here a node has to do as well."""
+"""A courier of `tests/move_world.py`: a minimal node that handles a giver's acts, a taker's records and register news.
+The real node must keep the same order of actions."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 class Store:
-    """A `Content` of one strict channel. `disk` is what a crash leaves: "m:N" is b"w" (waits) or b"o" (a call is, or
-    was, out), "c:p" the channel's next number."""
+    """A `Content` of one strict channel. `disk` survives a crash: "m:N" is b"w" (waiting) or b"o" (a call is or was
+    under way), "c:p" the channel's next number."""
 
     version = 1
 
@@ -69,7 +69,7 @@
 
 
 class Courier:
-    """`log`, `disk` and the newest epoch `opened` outlive a crash, all else is of one life."""
+    """A simulated courier. `log`, `disk` and the newest epoch `opened` survive a crash, all other state does not."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.life, self.alive = world, name, 0, True
@@ -84,7 +84,7 @@
         self.giver: Giver | None = None
         self.known: Holding | None = None
         self.lease_us = 0
-        self.want = 0  # the epoch that this life has asked for
+        self.want = 0  # the epoch requested since the last start
         self.adopting = False
         self.wakes = 0
         self.later(0, self.read)
@@ -109,7 +109,7 @@
                 and self.known == Holding(self.store.epoch, self.name))
 
     def hand_in(self) -> None:
-        self.world.served(self)
+        self.world.check_sole_owner(self)
         number = int(self.disk.get("c:p", b"1"))
         self.store.put(f"m:{number}", b"w")
         self.store.put("c:p", b"%d" % (number + 1))
@@ -121,7 +121,7 @@
         waiting = [int(name[2:]) for name, data in self.disk.items() if data == b"w" and name[0] == "m"]
         if self.store.out or not waiting or not self.serves():
             return
-        self.world.served(self)
+        self.world.check_sole_owner(self)
         number = min(waiting)
         self.world.attempts.append(number)
         self.store.out.add(number)
@@ -138,7 +138,7 @@
     # --- the register ---
 
     def read(self) -> None:
-        """Now and then: learn what stands, and renew one's own lease by it."""
+        """Every `READ_US`: read the register's holding, which also renews this courier's lease."""
         self.ask(0, "")
         now_us = self.world.now_us
         if self.giver is not None and not self.giver.over and now_us >= self.lease_us:
@@ -147,23 +147,23 @@
         self.later(READ_US, self.read)
 
     def ask(self, epoch: int, owner: str) -> None:
-        """For `owner` the epoch after this one; after 0, only what stands."""
+        """Request the epoch after `epoch` for `owner`; epoch 0 only reads the holding."""
         now_us = self.world.now_us
         if owner == self.name:
             self.want = epoch + 1
-        self.world.register(self, epoch, owner, lambda held: self.learn(held, now_us, epoch == 0))
+        self.world.register(self, epoch, owner, lambda held: self.receive_holding(held, now_us, epoch == 0))
 
-    def learn(self, held: Holding, asked_us: int, read: bool) -> None:
-        """Only what was read leads to another asking, so that a refusal is not asked again at once."""
+    def receive_holding(self, held: Holding, asked_us: int, read: bool) -> None:
+        """Handle a holding. Only a read leads to a new request, so that a refused one is not repeated at once."""
         if self.known is not None and held.epoch < self.known.epoch:
             return
         self.known = held
         if held.owner == self.name:
             self.lease_us = max(self.lease_us, asked_us + LEASE_US * 9 // 10)
         records = self.taker.passed(PART, held.epoch, held.owner)
-        self.later(SYNC_US if records else 0, lambda: self.learnt(held, records, read))
+        self.later(SYNC_US if records else 0, lambda: self.apply_holding(held, records, read))
 
-    def learnt(self, held: Holding, records: list[bytes], read: bool) -> None:
+    def apply_holding(self, held: Holding, records: list[bytes], read: bool) -> None:
         self.log += records
         sealed = self.taker.sealed(PART)
         if self.giver is not None and not self.giver.over:
@@ -172,7 +172,7 @@
             return
         elif held.owner != self.name:
             if sealed == held.epoch and read:
-                self.ask(held.epoch, self.name)  # has it only once the giver's lease has run out
+                self.ask(held.epoch, self.name)  # granted only once the giver's lease has run out
             elif self.disk and read:
                 stands = held.epoch if held.epoch > self.opened + 1 else 0
                 self.tell(Given(PART, self.opened + 1, stands),
@@ -185,7 +185,7 @@
             elif self.want == held.epoch:
                 self.store.open(PART, held.epoch)
             elif read:
-                self.ask(held.epoch, self.name)  # a courier that starts has its parts under newer epochs
+                self.ask(held.epoch, self.name)  # a restarted courier needs newer epochs for its parts
 
     def adopted(self, held: Holding) -> None:
         records = self.taker.adopted(PART, held.epoch)
@@ -224,7 +224,7 @@
             self.world.ended.append(act)
 
     def tell(self, ask: Move, heard: Callable[[Moved | None], object]) -> None:
-        """One call: its answer or, after a time, None."""
+        """Send a request; `heard` gets its answer, or None after a timeout."""
         waits = [heard]
         other = self.world.couriers["t" if self.name == "g" else "g"]
         life = self.life
--- a/tests/move_world.py
+++ b/tests/move_world.py
@@ -1,5 +1,5 @@
-"""Two couriers, `g` and `t`, a register and a partner in virtual time, for one part that `g` gives to `t` while clients
-hand in. What has to hold is asserted at each act of serving; all of it is the same again from the same arguments."""
+"""Two couriers `g` and `t` and a register in virtual time: `g` gives one part to `t` while clients hand in messages.
+The invariants are asserted whenever a courier serves. The same arguments give the same run."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 
 class World:
-    """`crash` says who crashes ("g", "t" or "gt") before which event after the move's start, for `down_us`. `fault`
-    tells what happens to a message, by its number and itself: "", "lost", "dup" (again, later) or "late";
-    `register_fault` the same for an asking of the register, by who asks, when and for which owner, or "unheard" (done,
-    but not told). `call_us` is for the first calls, one of which is out when the part is shut."""
+    """`crash` maps the number of an event since the move's start to the couriers that crash before it ("g", "t" or
+    "gt"), for `down_us`. `fault` returns the fault of a message from its number and content: "", "lost", "dup" (sent
+    again later) or "late". `register_fault` does so for a register request from its sender, time and owner; "unheard"
+    means done, but its answer is lost. `call_us` is the length of the first calls, one of which is under way when the
+    part is shut."""
 
     def __init__(self, crash: dict[int, str] | None = None, down_us: int = 50 * MS,
                  fault: Callable[[int, object], str] = lambda number, message: "",
@@ -34,14 +35,14 @@
         self.crash, self.down_us, self.fault, self.register_fault = crash or {}, down_us, fault, register_fault
         self.call_us, self.link_us, self.limits = call_us, link_us, limits
         self.giver_class, self.taker_class = giver_class, taker_class
-        self.now_us, self.events, self.messages = 0, 0, 0  # events count from the move's start
-        self.move_events = 0  # until some time after its end
+        self.now_us, self.events, self.messages = 0, 0, 0  # events are counted from the move's start
+        self.move_events = 0  # events until `AFTER_US` after its end
         self._heap: list[tuple[int, int, Callable[[], object]]] = []
         self._order = count()
         self.holding, self.lease_us, self.owners = Holding(1, "g"), LEASE_US, {1: "g"}
-        self.top = 0  # the newest epoch that anybody has served under
+        self.top = 0  # the newest epoch under which a courier has served
         self.owed: set[int] = set()
-        self.next = 1  # what the channel's newest 202 told
+        self.next = 1  # the channel's next number after the newest 202
         self.attempts: list[int] = []
         self.unclear: set[int] = set()
         self.opens: list[tuple[int, str, int]] = []
@@ -56,7 +57,7 @@
         heapq.heappush(self._heap, (self.now_us + delay_us, next(self._order), do))
 
     def run(self, end_us: int = END_US) -> World:
-        """Clients hand in often at first, then now and then; the move begins at `START_US`."""
+        """Hand in every 7 ms for 310 ms, then every 500 ms; the move begins at `START_US`."""
         for when_us in [*range(0, 310 * MS, 7 * MS), *range(310 * MS, end_us, 500 * MS), end_us]:
             self.at(when_us, self.hand_in)
         self.at(START_US, lambda: self.couriers["g"].give("t"))
@@ -88,7 +89,7 @@
             self.at(self.link_us + delay_us, lambda: arrive() if to.alive else None)
 
     def register(self, asker: Courier, epoch: int, owner: str, heard: Callable[[Holding], object]) -> None:
-        """For `owner` the epoch after `epoch`, if that stands and no lease forbids it; the answer is what stands."""
+        """Grant `owner` the epoch after `epoch` if that is current and no lease forbids it; return the holding."""
         fault = self.register_fault(asker.name, self.now_us, owner)
         life = asker.life
         delay_us = self.link_us + (150 * MS if fault == "late" else 0)
@@ -106,10 +107,10 @@
         if fault != "lost":
             self.at(delay_us, arrive)
 
-    # --- what has to hold ---
+    # --- invariants ---
 
-    def served(self, courier: Courier) -> None:
-        """A 202 is given, or the first byte of an attempt is written."""
+    def check_sole_owner(self, courier: Courier) -> None:
+        """Checked when a 202 is sent or the first byte of an attempt is written: only the owner serves."""
         epoch = courier.store.epoch
         assert [each.name for each in self.couriers.values() if each.serves()] == [courier.name], "two serve"
         assert epoch >= self.top and self.owners[epoch] == courier.name, f"{courier.name} serves under {epoch}"
@@ -129,8 +130,8 @@
         assert not again, f"{courier.name} opens {epoch}, and would send {sorted(again)} again"
         self.opens.append((self.now_us, courier.name, epoch))
 
-    def settled(self) -> None:
-        """At the end: one serves and has done all it owes, nothing of the move is left anywhere."""
+    def check_settled(self) -> None:
+        """Checked at the end: one courier serves, nothing is owed, and no courier keeps remains of the move."""
         serving = [courier for courier in self.couriers.values() if courier.serves()]
         assert len(serving) == 1, f"nobody serves; {self.holding}"
         assert not self.owed, f"still owed: {sorted(self.owed)}"
--- a/tests/test_move_crashes.py
+++ b/tests/test_move_crashes.py
@@ -1,5 +1,5 @@
-"""A move under crashes of either courier or both before every event, and under messages and register answers that are
-lost, late or doubled: whatever happens, one owner serves, with everything it owes, and nothing is done twice."""
+"""Moves with a crash of either courier or both before each event, and with messages and register answers that are lost,
+late or duplicated. Guards against two couriers serving one part, lost messages, and calls made twice."""
 
 from __future__ import annotations
 
@@ -17,85 +17,85 @@
 from wheelstep.moves.taker import Ask, Taker
 from wheelstep.moves.types import Move, Moved, Seal
 
-DOWN_US = (50 * MS, 1_200 * MS)  # back within the lease, and long after it
+DOWN_US = (50 * MS, 1_200 * MS)  # restart within the lease, and long after its end
 
 
-def seal_unheard(number: int, message: object) -> str:
-    """The taker is silent from the `Seal` on, for a while."""
+def lose_seal_answer(number: int, message: object) -> str:
+    """The taker's answers from the `Seal` on are lost for a while."""
     return "lost" if 5 < number < 20 and isinstance(message, Moved) else ""
 
 
-def register(fault: str, of: str) -> Callable[[str, int, str], str]:
-    """What `g` asks of the register for `of` (for anybody, where empty) goes wrong for half a second of the move."""
+def register_fault_for(fault: str, of: str) -> Callable[[str, int, str], str]:
+    """A fault of `g`'s register requests for owner `of` (any if empty), for the first 600 ms of the move."""
     return lambda asker, now_us, owner: (
         fault if asker == "g" and of in owner and START_US < now_us < START_US + 600 * MS else "")
 
 
 SCRIPTS: dict[str, dict[str, Any]] = {
     "nothing else": {},
-    "the seal unheard": {"fault": seal_unheard},
+    "the seal unheard": {"fault": lose_seal_answer},
     "a call too long": {"call_us": 90 * MS},
-    "commit lost": {"register_fault": register("lost", "t")},
-    "commit late": {"register_fault": register("late", "t")},
-    "register unheard": {"register_fault": register("unheard", "")},
+    "commit lost": {"register_fault": register_fault_for("lost", "t")},
+    "commit late": {"register_fault": register_fault_for("late", "t")},
+    "register unheard": {"register_fault": register_fault_for("unheard", "")},
 }
 
 
-def points(script: dict[str, Any]) -> int:
-    """How many events there are until some time after the move is over."""
+def event_count(script: dict[str, Any]) -> int:
+    """Number of events until `AFTER_US` after the end of the move."""
     world = World(**script).run()
-    world.settled()
+    world.check_settled()
     assert len(world.ended) == 1
     return world.move_events
 
 
-def check(world: World, end_us: int = END_US) -> World:
-    """Play it and hold it to what has to hold. A message may end unclear only by a crash or a call beyond its bound."""
+def run_checked(world: World, end_us: int = END_US) -> World:
+    """Run the world and check its invariants. A message ends unclear only by a crash or a call beyond its bound."""
     world.run(end_us)
-    world.settled()
+    world.check_settled()
     may = world.crash or world.call_us > world.limits.call_bound_us
     assert may or not world.unclear, "ended unclear for no reason"
     return world
 
 
-def crash_everywhere(script: dict[str, Any], who: str, **world: Any) -> int:
-    last = points(script)
+def crash_before_each_event(script: dict[str, Any], who: str, **world: Any) -> int:
+    last = event_count(script)
     for place in range(last):
         for down_us in DOWN_US:
-            check(World({place: who}, down_us, **script, **world))
+            run_checked(World({place: who}, down_us, **script, **world))
     return last
 
 
 @pytest.mark.parametrize("who", ["g", "t", "gt"])
 @pytest.mark.parametrize("name", SCRIPTS)
-def test_a_crash_before_every_event(name: str, who: str) -> None:
-    assert crash_everywhere(SCRIPTS[name], who) > 40
+def test_a_move_with_a_crash_before_any_event_keeps_one_owner_and_all_messages(name: str, who: str) -> None:
+    assert crash_before_each_event(SCRIPTS[name], who) > 40
 
 
-def test_the_scripts_end_as_they_should() -> None:
+def test_each_script_without_a_crash_ends_as_expected() -> None:
     ends = {name: World(**script).run().ended[0].done for name, script in SCRIPTS.items()}
     assert ends == {"nothing else": True, "the seal unheard": False, "a call too long": True, "commit lost": False,
                     "commit late": False, "register unheard": True}
 
 
 @pytest.mark.parametrize("fault", ["lost", "dup", "late"])
-def test_each_message_lost_doubled_or_late_with_and_without_a_crash(fault: str) -> None:
+def test_any_message_lost_duplicated_or_late_keeps_the_invariants(fault: str) -> None:
     for number in range(World().run().messages):
         script = {"fault": lambda place, message, number=number: fault if place == number else ""}
-        check(World(**script))
-        for place in range(0, points(script), 7):
-            check(World({place: "gt"[number % 2]}, DOWN_US[place % 2], **script))
+        run_checked(World(**script))
+        for place in range(0, event_count(script), 7):
+            run_checked(World({place: "gt"[number % 2]}, DOWN_US[place % 2], **script))
 
 
 @pytest.mark.parametrize("who", ["g", "t", "gt"])
-def test_no_register_for_longer_than_a_lease_from_any_moment(who: str) -> None:
+def test_a_register_lost_for_longer_than_a_lease_keeps_the_invariants(who: str) -> None:
     for since_us in range(0, 80 * MS, 2 * MS):
         def cut(asker: str, now_us: int, owner: str, since_us: int = since_us) -> str:
             return "lost" if asker in who and since_us <= now_us < since_us + 1_500 * MS else ""
-        check(World(register_fault=cut))
+        run_checked(World(register_fault=cut))
 
 
-def test_faults_at_random() -> None:
+def test_random_crashes_and_faults_keep_the_invariants() -> None:
     for seed in range(200):
         draw = random.Random(seed)
         messages = {draw.randrange(16): draw.choice(["lost", "dup", "late"]) for _ in range(3)}
@@ -106,23 +106,23 @@
                       lambda asker, now_us, owner, asked=asked, count=count: asked.get(next(count), ""),
                       call_us=draw.choice([2, 6, 30, 90]) * MS)
         try:
-            check(world, 9_000 * MS)  # three long crashes one after another
+            run_checked(world, 9_000 * MS)  # long enough for three long crashes in sequence
         except AssertionError as error:
             raise AssertionError(f"seed {seed}: {error}") from error
 
 
-# --- broken ones, each of which has to be caught ---
+# --- faulty variants, each of which must be detected ---
 
 class ReopensAfterSeal(Giver):
-    """Serves on under the old epoch although the taker may have a whole copy."""
+    """Reopens the part under the old epoch although the taker may have a whole copy."""
 
-    def _undo(self, now_us: int, why: str) -> list[Act]:
+    def _begin_undo(self, now_us: int, why: str) -> list[Act]:
         self._content.open(self.part, self.epoch)
         return self._off(why)
 
 
 class DropsAtSeal(Giver):
-    """Does not wait for the register."""
+    """Drops the part before the register has named the taker."""
 
     def answered(self, now_us: int, ask: Move, moved: Moved | None) -> list[Act]:
         acts = super().answered(now_us, ask, moved)
@@ -132,14 +132,14 @@
 
 
 class IgnoresCalls(Giver):
-    """Moves with a call out as if there were none."""
+    """Does not wait for calls under way."""
 
     def _quiet(self, now_us: int) -> bool:
         return True
 
 
 class SkipsTail(Giver):
-    """Thinks that nothing has changed once it is shut."""
+    """Discards the pieces that changed before the part was shut."""
 
     def _close(self, now_us: int) -> list[Act]:
         self._content.changed(self.part)
@@ -147,7 +147,7 @@
 
 
 class AnswersBeforeSaving(Taker):
-    """Says that the `Seal` is safe, and writes it with the next thing that it hears."""
+    """Confirms the `Seal` before its records are written; they are written with the next register news."""
 
     _owed: list[bytes] = []
 
@@ -165,7 +165,7 @@
 
 
 class ForgetsWhenNamed(Taker):
-    """Lets go of a whole copy when the register has passed on, though it is to this courier."""
+    """Drops a whole copy at any later epoch, even if the register names this courier."""
 
     def passed(self, part: int, epoch: int, owner: str) -> list[bytes]:
         records = super().passed(part, epoch, owner)
@@ -180,13 +180,13 @@
     ("nothing else", {"taker_class": AnswersBeforeSaving}, "t opens 3 at 1, the channel stood at"),
     ("nothing else", {"taker_class": ForgetsWhenNamed}, "t opens 3 at 1, the channel stood at"),
 ])
-def test_a_broken_one_is_caught(script: str, broken: dict[str, Any], seen: str) -> None:
+def test_a_faulty_giver_or_taker_is_detected(script: str, broken: dict[str, Any], seen: str) -> None:
     told = set()
-    for place in range(points(SCRIPTS[script])):
+    for place in range(event_count(SCRIPTS[script])):
         for who in ("", "g", "t", "gt"):
             for down_us in DOWN_US:
                 try:
-                    check(World({place: who} if who else {}, down_us, **SCRIPTS[script], **broken))
+                    run_checked(World({place: who} if who else {}, down_us, **SCRIPTS[script], **broken))
                 except AssertionError as error:
                     told.add(str(error))
                     if seen in str(error):
--- a/tests/test_move_swap.py
+++ b/tests/test_move_swap.py
@@ -1,11 +1,11 @@
-"""Which parts a courier that leaves gives first, to whom, and how it stops half way."""
+"""The order in which a leaving courier gives its parts, the choice of takers, and an early stop."""
 
 from __future__ import annotations
 
 from wheelstep.moves.swap import Pace, Start, Swap
 
 
-def test_a_swap_gives_the_smallest_first_and_so_many_at_once() -> None:
+def test_a_swap_moves_the_smallest_parts_first_within_the_concurrency_limit() -> None:
     swap, mine, takers = Swap(Pace(at_once=2), 0), {1: 30, 2: 10, 3: 20}, {part: ["a", "b"] for part in (1, 2, 3)}
     assert swap.tick(0, mine, takers) == [Start(2, "a"), Start(3, "a")]
     assert swap.tick(1, mine, takers) == []
@@ -18,7 +18,7 @@
     assert swap.tick(20, {}, {}) == [] and swap.over(20) and swap.progress(20).state == "given"
 
 
-def test_a_move_that_failed_is_tried_with_another_after_a_pause() -> None:
+def test_a_failed_move_is_retried_with_another_taker_after_a_pause() -> None:
     swap, takers = Swap(Pace(pause_us=100), 0), {1: ["a", "b"]}
     told, now_us = [], 0
     for _ in range(4):
@@ -27,17 +27,17 @@
         assert swap.tick(now_us + 99, {1: 5}, takers) == []
         now_us += 1_000
     assert told == ["a", "b", "a", "b"] and swap.progress(0).failed == 4 and "part 1 to b: full" in swap.why
-    assert swap.tick(now_us, {1: 5}, {1: []}) == []  # nobody may have it: it waits
+    assert swap.tick(now_us, {1: 5}, {1: []}) == []  # no possible taker: the part waits
 
 
-def test_a_swap_stops_half_way_or_when_its_time_is_over() -> None:
+def test_a_swap_begins_no_move_after_cancel_or_its_time_limit() -> None:
     for stop, state in (("cancel", "stopped"), ("late", "late")):
         swap = Swap(Pace(at_once=1, bound_us=1_000), 0)
         swap.tick(0, {1: 5, 2: 6}, {1: ["a"], 2: ["a"]})
         if stop == "cancel":
             swap.cancel()
             assert swap.tick(1, {1: 5, 2: 6}, {2: ["a"]}) == [] and swap.progress(1).state == "stopping"
-        assert not swap.over(1_000)  # one is moving still
+        assert not swap.over(1_000)  # one move is still in progress
         now_us = 500 if stop == "cancel" else 1_000
         swap.ended(now_us, 1, True, "")
         assert swap.tick(now_us, {2: 6}, {2: ["a"]}) == [] and swap.progress(now_us).state == state
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""A move's steps, what either side refuses, and what it does with answers that are lost, late or doubled."""
+"""The giver's steps, and its handling of answers that are lost, late, duplicate or refusals."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 HOLDING = Holding(5, "g")
 
 
-class Shelf:
-    """A content; `busy` pieces change each time that it is asked, for as long as it is open."""
+class MemoryContent:
+    """A `Content` in memory; while it is open, `busy` pieces change before each call of `changed`."""
 
     version = 2
 
@@ -37,9 +37,9 @@
         if not self.is_open:
             return []
         self.turn += 1
-        new = [Piece(f"m:{number}", b"%d.%d" % (number, self.turn)) for number in range(self.busy)]
-        self.held.update({piece.name: piece.data for piece in new})
-        return new
+        updates = [Piece(f"m:{number}", b"%d.%d" % (number, self.turn)) for number in range(self.busy)]
+        self.held.update({piece.name: piece.data for piece in updates})
+        return updates
 
     def under_way(self, part: int) -> int:
         return self.out
@@ -59,11 +59,11 @@
         self.held = {piece.name: piece.data for piece in pieces}
 
 
-def new(shelf: Shelf, limits: Limits = LIMITS) -> Giver:
-    return Giver(3, 5, "t", shelf, limits, 0, "g")  # type: ignore[arg-type]
+def new_giver(content: MemoryContent, limits: Limits = LIMITS) -> Giver:
+    return Giver(3, 5, "t", content, limits, 0, "g")  # type: ignore[arg-type]
 
 
-def asks(acts: list[Act]) -> list[Move]:
+def requests(acts: list[Act]) -> list[Move]:
     return [act.ask for act in acts if isinstance(act, Tell)]
 
 
@@ -71,76 +71,76 @@
     return Taker("t", 2, room, stored)
 
 
-def play(giver: Giver, to: Taker, until: Step, acts: list[Act] | None = None) -> tuple[int, list[Act]]:
-    """Both sides, with answers that come at once, until the giver is at a step: the time, and what it asks for then."""
+def run_until(giver: Giver, to: Taker, until: Step, acts: list[Act] | None = None) -> tuple[int, list[Act]]:
+    """Run both sides with immediate answers until the giver reaches a step. Returns the time and its last acts."""
     now_us = giver.next_us()
     acts = giver.tick(now_us) if acts is None else acts
     while giver.step is not until and not giver.over:
-        if asks(acts):
-            moved, _ = to.heard(now_us, "g", asks(acts)[0], HOLDING)  # type: ignore[arg-type]
-            acts = giver.answered(now_us, asks(acts)[0], moved)
+        if requests(acts):
+            moved, _ = to.heard(now_us, "g", requests(acts)[0], HOLDING)  # type: ignore[arg-type]
+            acts = giver.answered(now_us, requests(acts)[0], moved)
         else:
             now_us = max(now_us, giver.next_us())
             acts = giver.tick(now_us)
     return now_us, acts
 
 
-def test_the_steps_and_who_serves_at_each() -> None:
-    shelf, to = Shelf(pieces=10, busy=3), taker()
-    giver = new(shelf)
+def test_a_move_without_faults_passes_each_step_and_serves_until_closing() -> None:
+    content, to = MemoryContent(pieces=10, busy=3), taker()
+    giver = new_giver(content)
     assert giver.step is Step.PLANNED
-    _, acts = play(giver, to, Step.COPYING)
-    assert shelf.is_open and isinstance(asks(acts)[0], Chunk)
-    shelf.out = 1
-    now_us, acts = play(giver, to, Step.CLOSING, acts)
-    assert not shelf.is_open and not acts and giver.next_us() == now_us + LIMITS.poll_us
-    shelf.out = 0
-    now_us, acts = play(giver, to, Step.HANDING)
-    assert isinstance(seal := asks(acts)[0], Seal) and to.sealed(3) is None and to.pieces(3) == []
+    _, acts = run_until(giver, to, Step.COPYING)
+    assert content.is_open and isinstance(requests(acts)[0], Chunk)
+    content.out = 1
+    now_us, acts = run_until(giver, to, Step.CLOSING, acts)
+    assert not content.is_open and not acts and giver.next_us() == now_us + LIMITS.poll_us
+    content.out = 0
+    now_us, acts = run_until(giver, to, Step.HANDING)
+    assert isinstance(seal := requests(acts)[0], Seal) and to.sealed(3) is None and to.pieces(3) == []
     moved, _ = to.heard(now_us, "g", seal, HOLDING)
     assert moved.ok and to.sealed(3) == 5
-    assert {piece.name: piece.data for piece in to.pieces(3)} == shelf.held
+    assert {piece.name: piece.data for piece in to.pieces(3)} == content.held
     assert giver.answered(now_us, seal, moved) == [Commit(3, "t")] and giver.step is Step.COMMITTING
-    assert giver.decided(now_us, 5, "g") == [] and not shelf.dropped  # old news
-    assert giver.decided(now_us, 6, "t") == [Tell(Given(3, 6))] and giver.step is Step.OPEN and shelf.dropped == 1
+    assert giver.decided(now_us, 5, "g") == [] and not content.dropped  # the holding that the move began with
+    assert giver.decided(now_us, 6, "t") == [Tell(Given(3, 6))] and giver.step is Step.OPEN and content.dropped == 1
     assert to.passed(3, 6, "t") and to.sealed(3) == 5 and to.adopted(3, 6) and to.sealed(3) is None
     moved, _ = to.heard(now_us, "g", Given(3, 6), Holding(6, "t"))
     assert giver.answered(now_us, Given(3, 6), moved) == [Ended(True, "given to t")] and giver.step is Step.DONE
-    assert giver.next_us() == NEVER_US and giver.tick(10**12) == [] and shelf.dropped == 1 and not shelf.opened
+    assert giver.next_us() == NEVER_US and giver.tick(10**12) == [] and content.dropped == 1 and not content.opened
 
 
-def test_a_content_that_never_stops_changing_is_shut_after_so_many_rounds() -> None:
-    shelf, to = Shelf(pieces=40, busy=20), taker()
-    giver = new(shelf)
-    play(giver, to, Step.COMMITTING)
-    assert giver.step is Step.COMMITTING and shelf.turn == LIMITS.rounds and shelf.shuts == 1
-    assert {piece.name: piece.data for piece in to.pieces(3)} == shelf.held
+def test_a_content_that_never_stops_changing_is_shut_after_the_round_limit() -> None:
+    content, to = MemoryContent(pieces=40, busy=20), taker()
+    giver = new_giver(content)
+    run_until(giver, to, Step.COMMITTING)
+    assert giver.step is Step.COMMITTING and content.turn == LIMITS.rounds and content.shuts == 1
+    assert {piece.name: piece.data for piece in to.pieces(3)} == content.held
 
 
-def test_a_call_that_does_not_end_is_waited_for_so_long() -> None:
-    shelf = Shelf()
-    shelf.out = 1
-    giver = new(shelf)
-    now_us, _ = play(giver, taker(), Step.COMMITTING)
+def test_a_call_that_does_not_end_is_waited_for_until_its_bound() -> None:
+    content = MemoryContent()
+    content.out = 1
+    giver = new_giver(content)
+    now_us, _ = run_until(giver, taker(), Step.COMMITTING)
     assert LIMITS.call_bound_us <= now_us - giver.shut_us <= LIMITS.call_bound_us + LIMITS.poll_us
 
 
-def test_a_tail_that_takes_too_long_is_given_up_and_the_part_served_on() -> None:
-    shelf, to = Shelf(), taker()
-    shelf.out = 1
-    giver = new(shelf, replace(LIMITS, call_bound_us=10**6))
-    _, acts = play(giver, to, Step.HANDING)
-    assert giver.step is Step.UNDONE and shelf.opened == [5] and shelf.is_open and "tail" in giver.why
-    assert asks(acts) == [Cancel(3, 5, 0)] and to.heard(0, "g", Cancel(3, 5, 0), HOLDING)[1] != []
+def test_a_tail_that_takes_too_long_cancels_the_move_and_reopens_the_part() -> None:
+    content, to = MemoryContent(), taker()
+    content.out = 1
+    giver = new_giver(content, replace(LIMITS, call_bound_us=10**6))
+    _, acts = run_until(giver, to, Step.HANDING)
+    assert giver.step is Step.UNDONE and content.opened == [5] and content.is_open and "tail" in giver.why
+    assert requests(acts) == [Cancel(3, 5, 0)] and to.heard(0, "g", Cancel(3, 5, 0), HOLDING)[1] != []
     assert to.snapshot() == []
 
 
-def silent(giver: Giver, acts: list[Act]) -> tuple[int, list[Act], int]:
-    """Nobody answers: when the giver has had enough, what it does then, and how often it asked."""
-    tries, step, now_us, ask = 1, giver.step, 0, asks(acts)[0]
+def leave_unanswered(giver: Giver, acts: list[Act]) -> tuple[int, list[Act], int]:
+    """Leave every request unanswered. Returns when the giver gives up, what it does then, and its number of tries."""
+    tries, step, now_us, ask = 1, giver.step, 0, requests(acts)[0]
     while True:
         acts = giver.answered(now_us, ask, None)
-        while giver.step is step and not asks(acts):
+        while giver.step is step and not requests(acts):
             now_us = giver.next_us()
             acts = giver.tick(now_us)
         if giver.step is not step:
@@ -148,16 +148,16 @@
         tries += 1
 
 
-def test_a_silent_taker_is_asked_so_often_and_the_part_served_on() -> None:
-    shelf = Shelf()
-    giver = new(shelf)
-    now_us, acts, tries = silent(giver, giver.tick(0))
+def test_a_silent_taker_is_tried_up_to_the_limit_and_the_part_reopened() -> None:
+    content = MemoryContent()
+    giver = new_giver(content)
+    now_us, acts, tries = leave_unanswered(giver, giver.tick(0))
     assert tries == LIMITS.tries and 50 + 100 <= now_us <= LIMITS.silence_us
-    assert giver.step is Step.UNDONE and shelf.opened == [5] and acts[-1] == Ended(False, "t does not answer")
+    assert giver.step is Step.UNDONE and content.opened == [5] and acts[-1] == Ended(False, "t does not answer")
 
 
-def test_a_call_that_never_comes_back_is_bounded_as_well() -> None:
-    giver = new(Shelf())
+def test_a_request_without_answer_or_timeout_ends_at_the_silence_limit() -> None:
+    giver = new_giver(MemoryContent())
     giver.tick(0)
     assert giver.tick(LIMITS.silence_us - 1) == [] and giver.next_us() == LIMITS.silence_us
     giver.tick(LIMITS.silence_us)
@@ -165,77 +165,77 @@
 
 
 @pytest.mark.parametrize("answer", [None, Moved(3, 5, False, why="digest"), Moved(3, 5, True, 1), Moved(3, 4, True)])
-def test_after_the_seal_only_the_register_opens_the_part_again(answer: Moved | None) -> None:
-    shelf = Shelf()
-    giver = new(shelf)
-    now_us, acts = play(giver, taker(), Step.HANDING)
-    seal = asks(acts)[0]
+def test_after_the_seal_the_part_is_reopened_only_by_the_register(answer: Moved | None) -> None:
+    content = MemoryContent()
+    giver = new_giver(content)
+    now_us, acts = run_until(giver, taker(), Step.HANDING)
+    seal = requests(acts)[0]
     if answer is None or answer.epoch != 5:
-        _, acts, _ = silent(giver, acts)
+        _, acts, _ = leave_unanswered(giver, acts)
     else:
         acts = giver.answered(now_us, seal, answer)
-    assert acts == [TakeBack(3)] and giver.step is Step.UNDOING and not shelf.opened
+    assert acts == [TakeBack(3)] and giver.step is Step.UNDOING and not content.opened
     assert giver.answered(now_us, seal, None) == []
     assert giver.tick(giver.next_us()) == [TakeBack(3)]
-    assert isinstance(giver.decided(now_us, 6, "g")[-1], Ended) and shelf.opened == [6] and not shelf.dropped
+    assert isinstance(giver.decided(now_us, 6, "g")[-1], Ended) and content.opened == [6] and not content.dropped
 
 
 def test_a_register_that_never_decides_leaves_the_part_shut() -> None:
-    shelf = Shelf()
-    giver = new(shelf)
-    since_us, acts = play(giver, taker(), Step.COMMITTING)
+    content = MemoryContent()
+    giver = new_giver(content)
+    since_us, acts = run_until(giver, taker(), Step.COMMITTING)
     asked = 0
     while not giver.over:
         acts = giver.tick(giver.next_us())
         asked += acts == [TakeBack(3)]
         now_us = giver.next_us()
-    assert 3 < asked < 30 and not shelf.is_open and not shelf.opened and not shelf.dropped and now_us == NEVER_US
+    assert 3 < asked < 30 and not content.is_open and not content.opened and not content.dropped and now_us == NEVER_US
 
 
 @pytest.mark.parametrize(("safe", "answer", "done"), [
     (True, None, True), (True, Moved(3, 6, False, why="?"), True), (False, Moved(3, 6, True), True),
     (False, Moved(3, 6, False, why="none"), False), (False, None, False)])
-def test_it_drops_only_what_the_taker_surely_has(safe: bool, answer: Moved | None, done: bool) -> None:
-    """Without the `Seal`'s answer the taker may have won the register with nothing in its hands."""
-    shelf = Shelf()
-    giver = new(shelf)
-    _, acts = play(giver, taker(), Step.COMMITTING if safe else Step.HANDING)
+def test_a_giver_drops_the_part_only_once_its_copy_is_confirmed(safe: bool, answer: Moved | None, done: bool) -> None:
+    """Without an answer to the `Seal`, the taker may own the part in the register and hold no copy of it."""
+    content = MemoryContent()
+    giver = new_giver(content)
+    _, acts = run_until(giver, taker(), Step.COMMITTING if safe else Step.HANDING)
     acts = giver.decided(0, 6, "t")
-    acts = silent(giver, acts)[1] if answer is None else giver.answered(0, Given(3, 6), answer)
-    assert isinstance(end := acts[-1], Ended) and end.done is done and shelf.dropped == done and not shelf.opened
+    acts = leave_unanswered(giver, acts)[1] if answer is None else giver.answered(0, Given(3, 6), answer)
+    assert isinstance(end := acts[-1], Ended) and end.done is done and content.dropped == done and not content.opened
 
 
-def test_a_lease_lost_on_the_way_leaves_the_part_shut() -> None:
+def test_a_lease_lost_during_a_move_leaves_the_part_shut() -> None:
     for step in (Step.COPYING, Step.CLOSING):
-        shelf, to = Shelf(), taker()
-        shelf.out = 1
-        giver = new(shelf)
-        now_us, acts = play(giver, to, step)
+        content, to = MemoryContent(), taker()
+        content.out = 1
+        giver = new_giver(content)
+        now_us, acts = run_until(giver, to, step)
         giver.lost(now_us)
         refused = Moved(3, 5, False, why="full")
-        assert not shelf.is_open and giver.next_us() == now_us
-        acts = giver.answered(now_us, asks(acts)[0], refused) if acts else giver.tick(now_us)
-        assert giver.step is Step.UNDONE and not shelf.opened
-    giver = new(shelf := Shelf())
-    now_us, acts = play(giver, taker(), Step.HANDING)
+        assert not content.is_open and giver.next_us() == now_us
+        acts = giver.answered(now_us, requests(acts)[0], refused) if acts else giver.tick(now_us)
+        assert giver.step is Step.UNDONE and not content.opened
+    giver = new_giver(content := MemoryContent())
+    now_us, acts = run_until(giver, taker(), Step.HANDING)
     giver.lost(now_us)
     assert giver.step is Step.HANDING
     giver.decided(now_us, 6, "x")
-    assert giver.step is Step.UNDONE and not shelf.is_open and not shelf.dropped
+    assert giver.step is Step.UNDONE and not content.is_open and not content.dropped
 
 
-def test_news_of_a_later_epoch_opens_nothing_here() -> None:
-    giver = new(shelf := Shelf())
-    play(giver, taker(), Step.COMMITTING)
+def test_a_holding_two_epochs_later_leaves_the_part_shut() -> None:
+    giver = new_giver(content := MemoryContent())
+    run_until(giver, taker(), Step.COMMITTING)
     giver.decided(0, 7, "g")
-    assert giver.step is Step.UNDONE and not shelf.opened and not shelf.dropped
+    assert giver.step is Step.UNDONE and not content.opened and not content.dropped
 
 
-def test_a_taker_that_took_over_before_the_seal_has_not_been_given_anything() -> None:
-    giver = new(shelf := Shelf())
-    play(giver, taker(), Step.COPYING)
+def test_a_part_is_not_dropped_when_its_taker_owned_it_before_the_seal_or_at_a_later_epoch() -> None:
+    giver = new_giver(content := MemoryContent())
+    run_until(giver, taker(), Step.COPYING)
     giver.decided(0, 6, "t")
-    assert giver.step is Step.UNDONE and not shelf.dropped and not shelf.is_open
-    giver = new(shelf := Shelf())
-    play(giver, taker(), Step.COMMITTING)
-    assert giver.decided(0, 7, "t") == [Tell(Given(3, 6, 7))] and not shelf.dropped
+    assert giver.step is Step.UNDONE and not content.dropped and not content.is_open
+    giver = new_giver(content := MemoryContent())
+    run_until(giver, taker(), Step.COMMITTING)
+    assert giver.decided(0, 7, "t") == [Tell(Given(3, 6, 7))] and not content.dropped
--- a/wheelstep/moves/__init__.py
+++ b/wheelstep/moves/__init__.py
@@ -1,4 +1,4 @@
-"""A part of the channels moves from one courier to another: two machines, the giver's and the taker's, without I/O.
+"""Moves a part of the channels from one courier (the giver) to another (the taker): two state machines without I/O.
 
-Reading order: `types` (what travels), `steps`, `asking`, `giver`, `staged` and `taker`, `swap`.
+Reading order: `types` (the messages), `steps`, `asking`, `giver`, `staged` and `taker`, `swap`.
 """
--- a/wheelstep/moves/asking.py
+++ b/wheelstep/moves/asking.py
@@ -1,4 +1,4 @@
-"""One ask to the taker at a time: when it is tried again, and when the taker counts as silent. No I/O."""
+"""Retries and timeout of the giver's one outstanding request to the taker. No I/O."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from wheelstep.moves.types import Move
 
 
-class Asking:
-    """The ask that has no answer yet, if any. Its tries and its time are both bounded."""
+class PendingRequest:
+    """The unanswered request to the taker, if any, limited in both its tries and its total time."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -15,36 +15,36 @@
         self._since_us = 0
         self._due_us = 0
         self._tries = 0
-        self._out = False  # else it waits for its next try
+        self._in_flight = False  # whether a try was sent and has no answer; else the next try is due at `_due_us`
 
-    def tell(self, now_us: int, ask: Move) -> list[Act]:
-        """Begin it, in the place of any other."""
-        self.ask, self._since_us, self._tries, self._out = ask, now_us, 1, True
+    def send(self, now_us: int, ask: Move) -> list[Act]:
+        """Send a new request, which replaces any earlier one."""
+        self.ask, self._since_us, self._tries, self._in_flight = ask, now_us, 1, True
         return [Tell(ask)]
 
-    def answers(self, ask: Move) -> bool:
-        """Whether an answer to this ask is the one waited for."""
-        return self.ask is not None and self._out and ask == self.ask
+    def awaits(self, ask: Move) -> bool:
+        """Whether `ask` is the request in flight; answers to any other are ignored."""
+        return self.ask is not None and self._in_flight and ask == self.ask
 
-    def again(self, now_us: int, again_us: int) -> bool:
-        """No answer, or the taker wants it later: wait for the next try. False where there is none left."""
+    def schedule_retry(self, now_us: int, again_us: int) -> bool:
+        """Schedule the next try, at least `again_us` from now, with exponential backoff. False when no try is left."""
         limits = self._limits
-        self._out = False
+        self._in_flight = False
         self._due_us = now_us + max(again_us, min(limits.backoff_most_us, limits.backoff_us << (self._tries - 1)))
         return self._tries < limits.tries
 
-    def wait(self, now_us: int) -> list[Act] | None:
-        """The next try if it is due; None once the taker counts as silent."""
+    def retry_if_due(self, now_us: int) -> list[Act] | None:
+        """Return the next try if it is due, else []; None once `Limits.silence_us` have passed since the first try."""
         if now_us - self._since_us >= self._limits.silence_us:
             return None
-        if self.ask is None or self._out or now_us < self._due_us:
+        if self.ask is None or self._in_flight or now_us < self._due_us:
             return []
-        self._tries, self._out = self._tries + 1, True
+        self._tries, self._in_flight = self._tries + 1, True
         return [Tell(self.ask)]
 
     def next_us(self) -> int:
-        """When `wait` has something to do."""
+        """When `retry_if_due` has to be called next, NEVER_US if nothing is pending."""
         if self.ask is None:
             return NEVER_US
         silent_us = self._since_us + self._limits.silence_us
-        return silent_us if self._out else min(silent_us, self._due_us)
+        return silent_us if self._in_flight else min(silent_us, self._due_us)
--- a/wheelstep/moves/staged.py
+++ b/wheelstep/moves/staged.py
@@ -1,5 +1,5 @@
-"""A part's copy on its way to this courier, and the records of it in the fleet's log. No I/O; imports msgspec and the
-types of moves.
+"""The copy of a part that is being moved to this courier, and its records in the fleet's log. No I/O; imports msgspec
+and the types of moves.
 """
 
 from __future__ import annotations
@@ -10,118 +10,119 @@
 
 import msgspec
 
-from wheelstep.moves.steps import Limits, digest_of, mark, size_of, take
+from wheelstep.moves.steps import Limits, part_digest, piece_size, take_chunk, update_digests
 from wheelstep.moves.types import Chunk, Offer, Piece, Seal
 
-PREFIX = b"move:"  # of these records, among others in one log
+RECORD_PREFIX = b"move:"  # tells these records from others in the same log
 
 
-class Opened(msgspec.Struct, frozen=True, array_like=True, tag=30):
-    """A copy was begun."""
+class CopyStarted(msgspec.Struct, frozen=True, array_like=True, tag=30):
+    """An offer was accepted and its copy started."""
 
     sender: str
     offer: Offer
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True, tag=31):
-    """The register has named this courier at `epoch`, nobody else since the copy was whole."""
+class OwnershipConfirmed(msgspec.Struct, frozen=True, array_like=True, tag=31):
+    """The register has named this courier at `epoch`, and no other courier since the copy was whole."""
 
     part: int
     epoch: int
 
 
-class Over(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """The copy of `epoch` has gone: adopted into the journal, or forgotten."""
+class CopyRemoved(msgspec.Struct, frozen=True, array_like=True, tag=32):
+    """The copy of `epoch` was removed: adopted into the journal, or dropped."""
 
     part: int
     epoch: int
     adopted: bool
 
 
-Record = Opened | Chunk | Seal | Held | Over
+Record = CopyStarted | Chunk | Seal | OwnershipConfirmed | CopyRemoved
 
 _decoder = msgspec.msgpack.Decoder(Record)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def packed(record: Record) -> bytes:
-    """A record as it stands in the log."""
-    return PREFIX + _encoder.encode(record)
+def encode_record(record: Record) -> bytes:
+    """Encode a record for the log."""
+    return RECORD_PREFIX + _encoder.encode(record)
 
 
-def unpacked(data: bytes) -> Record | None:
-    """A record from the log, None where it is not a move's. Raises msgspec.ValidationError or DecodeError."""
-    return _decoder.decode(data[len(PREFIX):]) if data.startswith(PREFIX) else None
+def decode_record(data: bytes) -> Record | None:
+    """Decode a log record; None if it is not a move's. Raises msgspec.ValidationError or DecodeError."""
+    return _decoder.decode(data[len(RECORD_PREFIX):]) if data.startswith(RECORD_PREFIX) else None
 
 
 @dataclass
 class Copy:
-    """What there is of a part. `place` is that of the last chunk taken."""
+    """The pieces received of a part. `place` is that of the last chunk added, -1 for none."""
 
     sender: str
     offer: Offer
-    seen_us: int  # when its giver was last heard
+    last_heard_us: int  # time of the giver's last message; -1 if before a restart
     place: int = -1
     size: int = 0
-    seal: Seal | None = None  # it is whole
-    held: int = 0  # the newest epoch under which the register has named this courier since, 0 none
+    seal: Seal | None = None  # set once the copy is whole
+    owned_epoch: int = 0  # newest epoch under which the register named this courier; 0 for none
     pieces: dict[str, Piece] = field(default_factory=dict)
-    marks: dict[str, bytes] = field(default_factory=dict)
+    digests: dict[str, bytes] = field(default_factory=dict)
 
-    def digest_with(self, pieces: tuple[Piece, ...]) -> str:
-        """Its digest if it took these."""
-        marks = dict(self.marks)
-        mark(marks, pieces)
-        return digest_of(marks)
+    def digest_after(self, pieces: tuple[Piece, ...]) -> str:
+        """The digest that the copy would have with these pieces added."""
+        digests = dict(self.digests)
+        update_digests(digests, pieces)
+        return part_digest(digests)
 
-    def take(self, place: int, pieces: tuple[Piece, ...]) -> None:
-        """Have these as well."""
+    def add_pieces(self, place: int, pieces: tuple[Piece, ...]) -> None:
+        """Add the pieces of chunk `place`."""
         self.place = place
         for piece in pieces:
             before = self.pieces.pop(piece.name, None)
             if before is not None:
-                self.size -= size_of(before)
+                self.size -= piece_size(before)
             if piece.data:
-                self.size += size_of(piece)
+                self.size += piece_size(piece)
                 self.pieces[piece.name] = piece
-        mark(self.marks, pieces)
+        update_digests(self.digests, pieces)
 
     def records(self) -> Iterator[bytes]:
-        """All of it again, in records of a bounded size each."""
+        """Encode the whole copy as log records of limited size."""
         offer = self.offer
-        yield packed(Opened(self.sender, offer))
+        yield encode_record(CopyStarted(self.sender, offer))
         waiting = deque(self.pieces.values())
         while waiting:
-            yield packed(Chunk(offer.part, offer.epoch, self.place, take(waiting, Limits()), offer.attempt))
-        yield packed(Chunk(offer.part, offer.epoch, self.place, (), offer.attempt))
+            yield encode_record(
+                Chunk(offer.part, offer.epoch, self.place, take_chunk(waiting, Limits()), offer.attempt))
+        yield encode_record(Chunk(offer.part, offer.epoch, self.place, (), offer.attempt))
         if self.seal is not None:
-            yield packed(Seal(offer.part, offer.epoch, self.place, self.seal.digest, (), offer.attempt))
-        if self.held:
-            yield packed(Held(offer.part, self.held))
+            yield encode_record(Seal(offer.part, offer.epoch, self.place, self.seal.digest, (), offer.attempt))
+        if self.owned_epoch:
+            yield encode_record(OwnershipConfirmed(offer.part, self.owned_epoch))
 
 
-def replay(copies: dict[int, Copy], over: dict[int, Over], record: Record) -> bool:
-    """Do again what a record tells; a record that was written twice does no harm. False where a copy that was whole is
-    not: the disk has lost some of it, and it is forgotten."""
-    if isinstance(record, Opened):
+def apply_record(copies: dict[int, Copy], removed: dict[int, CopyRemoved], record: Record) -> bool:
+    """Apply a log record; a record written twice has no further effect. False if the digest of a sealed copy does not
+    match: the disk has lost some of its records, and the copy is dropped."""
+    if isinstance(record, CopyStarted):
         before = copies.get(record.offer.part)
         if before is None or before.offer != record.offer:
             copies[record.offer.part] = Copy(record.sender, record.offer, -1)
         return True
     copy = copies.get(record.part)
-    if isinstance(record, Over):
+    if isinstance(record, CopyRemoved):
         if record.adopted:
-            over[record.part] = record
+            removed[record.part] = record
         copies.pop(record.part, None)
     elif copy is None:
         return True
-    elif isinstance(record, Held):
-        copy.held = record.epoch
+    elif isinstance(record, OwnershipConfirmed):
+        copy.owned_epoch = record.epoch
     elif (record.epoch, record.attempt) == (copy.offer.epoch, copy.offer.attempt) and record.place >= copy.place:
-        copy.take(record.place, record.pieces)
+        copy.add_pieces(record.place, record.pieces)
         if isinstance(record, Seal):
             copy.seal = record
-            if digest_of(copy.marks) != record.digest:
+            if part_digest(copy.digests) != record.digest:
                 del copies[record.part]
                 return False
     return True
--- a/wheelstep/moves/steps.py
+++ b/wheelstep/moves/steps.py
@@ -1,4 +1,4 @@
-"""What both sides of a move share: its steps, their limits, what a giver asks of its node, and the digest over a part.
+"""Shared by both sides of a move: its steps and limits, the giver's actions for its node, and the digest of a part.
 No I/O; imports msgspec, xxhash and the types of moves.
 """
 
@@ -14,12 +14,12 @@
 
 from wheelstep.moves.types import Move, Piece
 
-OVERHEAD = 64  # bytes that a piece takes beside its name and data, as counted by both sides
+PIECE_OVERHEAD = 64  # bytes counted per piece besides its name and data; giver and taker must agree on it
 NEVER_US = 1 << 62
 
 
 class Step(IntEnum):
-    """Of a move, as its giver has it; docs/design/channels.md has the table."""
+    """State of a move at its giver; the transition table is in docs/design/channels.md."""
 
     PLANNED = 0
     COPYING = 1
@@ -27,63 +27,63 @@
     HANDING = 3
     COMMITTING = 4
     OPEN = 5  # the register has named the taker
-    UNDOING = 6  # the register is asked who has it
+    UNDOING = 6  # the giver asks the register for the part back
     DONE = 7
     UNDONE = 8
 
 
 @dataclass(frozen=True)
 class Limits:
-    """Of one move, at its giver."""
+    """The giver's limits for one move."""
 
-    chunk_bytes: int = 64 * 1024  # one larger piece goes alone
+    chunk_bytes: int = 64 * 1024  # a larger piece is sent in a chunk of its own
     chunk_pieces: int = 256
-    pace_us: int = 2_000  # between chunks while the part is served
-    tail: int = 64  # a round of so few changes is the last
-    rounds: int = 8
-    call_bound_us: int = 2_000_000  # for calls under way once the part is shut
-    shut_bound_us: int = 5_000_000  # from shutting to the `Seal`
-    silence_us: int = 3_000_000  # for one ask with all its tries
+    pace_us: int = 2_000  # pause between chunks while the part is still served
+    tail: int = 64  # the part is shut once a round has at most this many changed pieces
+    rounds: int = 8  # after so many rounds of changed pieces the part is shut in any case
+    call_bound_us: int = 2_000_000  # wait for calls under way once the part is shut
+    shut_bound_us: int = 5_000_000  # from shutting the part until the `Seal` is sent
+    silence_us: int = 3_000_000  # for one request with all its tries
     tries: int = 6
     backoff_us: int = 20_000  # doubles with each try
     backoff_most_us: int = 1_000_000
-    poll_us: int = 1_000  # how often calls under way are looked at
-    commit_us: int = 1_000_000  # for the register to take the commit
-    undecided_us: int = 60_000_000  # for the register to say who has the part
+    poll_us: int = 1_000  # interval of the check for calls under way
+    commit_us: int = 1_000_000  # for the register to accept the commit
+    undecided_us: int = 60_000_000  # for the register to answer who owns the part
 
 
 @dataclass(frozen=True)
 class Room:
-    """What a taker keeps at most of parts on their way to it."""
+    """A taker's limits for the parts that are being copied to it."""
 
     most_parts: int = 8
     most_bytes: int = 64 * 1024 * 1024
-    idle_us: int = 60_000_000  # a copy that isn't whole gives way to another part after so long without a word
-    again_us: int = 1_000_000  # what a giver is told where there is no room
-    parts: int = 1024  # of the fleet, at most
+    idle_us: int = 60_000_000  # an incomplete copy may be dropped for another part after so long without a message
+    again_us: int = 1_000_000  # retry delay that is sent to a giver when there is no room
+    parts: int = 1024  # in the fleet, at most
 
 
 class Tell(msgspec.Struct, frozen=True):
-    """Ask the taker; the answer, or None, goes to `answered` with the same ask."""
+    """Send `ask` to the taker; its answer, None after a timeout, goes to `Giver.answered` with the same `ask`."""
 
     ask: Move
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """Ask the register for (epoch + 1, to), only if it still stands at (epoch, me); the outcome goes to `decided`."""
+    """Set the register to (epoch + 1, to) if it is still at (epoch, me); the outcome goes to `Giver.decided`."""
 
     part: int
     to: str
 
 
 class TakeBack(msgspec.Struct, frozen=True):
-    """Ask the register for (epoch + 1, me), only if it still stands at (epoch, me); what stands goes to `decided`."""
+    """Set the register to (epoch + 1, me) if it is still at (epoch, me); its holding then goes to `Giver.decided`."""
 
     part: int
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """The move is over; nothing follows. `done`: the taker owes the part and this courier has dropped it."""
+    """The move has ended. `done`: the taker is responsible for the part and this courier has dropped its copy."""
 
     done: bool
     why: str
@@ -92,41 +92,41 @@
 Act = Tell | Commit | TakeBack | Ended
 
 
-def size_of(piece: Piece) -> int:
-    """Bytes that a piece counts for."""
-    return OVERHEAD + len(piece.name) + len(piece.data)
+def piece_size(piece: Piece) -> int:
+    """Bytes that a piece counts for against the limits."""
+    return PIECE_OVERHEAD + len(piece.name) + len(piece.data)
 
 
-def mark_of(data: bytes) -> bytes:
-    """Digest of one piece's data: 16 bytes."""
+def piece_digest(data: bytes) -> bytes:
+    """Digest of one piece's data, 16 bytes."""
     return xxhash.xxh3_128_digest(data)
 
 
-def mark(marks: dict[str, bytes], pieces: Iterable[Piece]) -> None:
-    """Bring the marks up to these pieces."""
+def update_digests(digests: dict[str, bytes], pieces: Iterable[Piece]) -> None:
+    """Update the digests by piece name; a piece with empty data removes its entry."""
     for piece in pieces:
         if piece.data:
-            marks[piece.name] = mark_of(piece.data)
+            digests[piece.name] = piece_digest(piece.data)
         else:
-            marks.pop(piece.name, None)
+            digests.pop(piece.name, None)
 
 
-def digest_of(marks: Mapping[str, bytes]) -> str:
-    """Digest over a part, by the marks of its pieces, whatever order they came in. 32 hex digits."""
+def part_digest(digests: Mapping[str, bytes]) -> str:
+    """Digest of a part from the digests of its pieces, independent of their order; 32 hex digits."""
     whole = xxhash.xxh3_128()
-    for name in sorted(marks):
+    for name in sorted(digests):
         whole.update(b"%d:" % len(name.encode()))
         whole.update(name.encode())
-        whole.update(marks[name])
+        whole.update(digests[name])
     return whole.hexdigest()
 
 
-def take(waiting: deque[Piece], limits: Limits) -> tuple[Piece, ...]:
-    """The next chunk off the waiting ones."""
+def take_chunk(waiting: deque[Piece], limits: Limits) -> tuple[Piece, ...]:
+    """Remove the next chunk's pieces from `waiting` and return them."""
     chunk: list[Piece] = []
     size = 0
     while waiting and len(chunk) < limits.chunk_pieces:
-        size += size_of(waiting[0])
+        size += piece_size(waiting[0])
         if chunk and size > limits.chunk_bytes:
             break
         chunk.append(waiting.popleft())
--- a/wheelstep/moves/swap.py
+++ b/wheelstep/moves/swap.py
@@ -1,6 +1,7 @@
-"""A courier that leaves gives all its parts away: which one next, and to whom after a failure. No I/O.
+"""Moves all parts away from a courier that leaves: the order of the parts and the choice of takers. No I/O.
 
-What it still has and who may take it is told at each turn: the registers' truth counts, not a list of its own.
+The parts still owned and the possible takers are passed in at each tick: the registers are authoritative, so no list
+is kept here.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 
 @dataclass(frozen=True)
 class Pace:
-    """How fast, and for how long at most."""
+    """Limits on the rate and duration of a swap."""
 
-    at_once: int = 4
+    at_once: int = 4  # moves in progress at the same time
     pause_us: int = 1_000_000  # before a part whose move failed is tried again; doubles with each failure
     pause_most_us: int = 30_000_000
-    bound_us: int = 600_000_000  # for all of it
+    bound_us: int = 600_000_000  # for the whole swap; after it no move begins
 
 
 @dataclass(frozen=True)
 class Start:
-    """Begin to move this part."""
+    """Begin to move `part` to courier `to`."""
 
     part: int
     to: str
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Progress:
-    """`estimated_us`: until all are gone at the pace so far, -1 while nothing has moved."""
+    """Progress of a swap. `estimated_us` is the time until all parts are moved at the rate so far, -1 while unknown."""
 
     left: int
     moving: int
@@ -41,82 +42,84 @@
 
 
 @dataclass
-class _Trouble:
+class _FailedMoves:
+    """The failed moves of one part and the takers that were tried."""
+
     again_us: int = 0
-    failures: int = 0
+    failure_count: int = 0
     tried: list[str] = field(default_factory=list)
 
 
 class Swap:
-    """All parts of one courier go. `cancel` goes back: moves that have begun end as they end, no more begin."""
+    """Moves all parts of one courier away. After `cancel`, moves in progress run to their end and no more begin."""
 
     def __init__(self, pace: Pace, now_us: int) -> None:
-        self._pace, self._since_us = pace, now_us
+        self._pace, self._started_us = pace, now_us
         self._moving: dict[int, str] = {}
-        self._troubles: dict[int, _Trouble] = {}
-        self._left = -1  # not told yet
+        self._failed_moves: dict[int, _FailedMoves] = {}
+        self._left = -1  # unknown until the first tick
         self._cancelled = False
         self.moved = 0
         self.failed = 0
-        self.why: deque[str] = deque(maxlen=16)  # of the newest failures
+        self.why: deque[str] = deque(maxlen=16)  # reasons of the newest failures
 
     def tick(self, now_us: int, mine: Mapping[int, int], takers: Mapping[int, Sequence[str]]) -> list[Start]:
-        """Moves to begin now. `mine`: the parts that this courier has still, with their pieces; `takers`: by part who
-        may have it, the one who should first. The smallest part goes first: most channels are safe soonest."""
+        """Return the moves to begin now. `mine` maps each part still owned to its number of pieces, `takers` each
+        part to its possible takers, the preferred one first. The smallest part goes first: most channels move early."""
         self._left = len(mine)
-        for part in [part for part in self._troubles if part not in mine]:
-            del self._troubles[part]
+        for part in [part for part in self._failed_moves if part not in mine]:
+            del self._failed_moves[part]
         starts: list[Start] = []
-        if self._cancelled or self._late(now_us):
+        if self._cancelled or self._out_of_time(now_us):
             return starts
         for part in sorted(mine, key=lambda part: (mine[part], part)):
             if len(self._moving) >= self._pace.at_once:
                 break
-            trouble = self._troubles.get(part)
-            if part in self._moving or not takers.get(part) or (trouble is not None and now_us < trouble.again_us):
+            earlier = self._failed_moves.get(part)
+            if part in self._moving or not takers.get(part) or (earlier is not None and now_us < earlier.again_us):
                 continue
-            to = self._choose(takers[part], trouble)
+            to = self._choose_taker(takers[part], earlier)
             self._moving[part] = to
             starts.append(Start(part, to))
         return starts
 
-    def _choose(self, takers: Sequence[str], trouble: _Trouble | None) -> str:
-        """One that has not failed with this part; where all have, a new turn begins."""
-        if trouble is None:
+    def _choose_taker(self, takers: Sequence[str], earlier: _FailedMoves | None) -> str:
+        """The first taker not yet tried for this part; once all have failed, start over."""
+        if earlier is None:
             return takers[0]
-        fresh = [taker for taker in takers if taker not in trouble.tried]
-        if not fresh:
-            trouble.tried.clear()
-        return (fresh or takers)[0]
+        untried = [taker for taker in takers if taker not in earlier.tried]
+        if not untried:
+            earlier.tried.clear()
+        return (untried or takers)[0]
 
     def ended(self, now_us: int, part: int, done: bool, why: str) -> None:
-        """A move that was begun has ended. One that wasn't is none of this swap's."""
+        """Record the end of a move; moves that this swap did not begin are ignored."""
         to = self._moving.pop(part, None)
         if to is None:
             return
         if done:
             self.moved += 1
             self._left -= 1
-            self._troubles.pop(part, None)
+            self._failed_moves.pop(part, None)
             return
         self.failed += 1
         self.why.append(f"part {part} to {to}: {why}")
-        trouble = self._troubles.setdefault(part, _Trouble())
-        pause_us = min(self._pace.pause_most_us, self._pace.pause_us << min(trouble.failures, 16))
-        trouble.again_us, trouble.failures = now_us + pause_us, trouble.failures + 1
-        trouble.tried.append(to)
+        earlier = self._failed_moves.setdefault(part, _FailedMoves())
+        pause_us = min(self._pace.pause_most_us, self._pace.pause_us << min(earlier.failure_count, 16))
+        earlier.again_us, earlier.failure_count = now_us + pause_us, earlier.failure_count + 1
+        earlier.tried.append(to)
 
     def cancel(self) -> None:
-        """Stop half way: this courier stays, with what it has still."""
+        """Begin no more moves: the courier keeps the parts it still owns."""
         self._cancelled = True
 
     def over(self, now_us: int) -> bool:
-        """Nothing is moving, and nothing will be: all given, stopped, or out of time."""
+        """Whether no move is in progress and none will begin: all given, cancelled, or out of time."""
         return self.progress(now_us).state in ("given", "stopped", "late")
 
     def progress(self, now_us: int) -> Progress:
-        """For those who look on."""
-        took_us = now_us - self._since_us
+        """Counts, estimate and state for operators."""
+        took_us = now_us - self._started_us
         estimated_us = took_us * max(self._left, 0) // self.moved if self.moved else -1
         if self._moving:
             state = "stopping" if self._cancelled else "giving"
@@ -125,9 +128,9 @@
         elif self._cancelled:
             state = "stopped"
         else:
-            state = "late" if self._late(now_us) else "giving"
+            state = "late" if self._out_of_time(now_us) else "giving"
         return Progress(max(self._left, 0), len(self._moving), self.moved, self.failed,
                         0 if self._left == 0 else estimated_us, state)
 
-    def _late(self, now_us: int) -> bool:
-        return now_us - self._since_us >= self._pace.bound_us
+    def _out_of_time(self, now_us: int) -> bool:
+        return now_us - self._started_us >= self._pace.bound_us
--- a/wheelstep/moves/types.py
+++ b/wheelstep/moves/types.py
@@ -1,5 +1,5 @@
-"""What the two sides of a move tell each other; the steps are in docs/design/channels.md. No I/O; imports msgspec
-alone.
+"""Messages between giver and taker of a move; docs/design/channels.md describes the steps. No I/O; imports msgspec
+only.
 """
 
 from __future__ import annotations
@@ -8,16 +8,17 @@
 
 
 class Piece(msgspec.Struct, frozen=True, array_like=True):
-    """Something of a part by name ("m:" a message, "c:" a channel's position); a later one replaces it, empty data
-    removes it. What the data mean is for the content's owner to know."""
+    """One named item of a part: "m:..." is a message, "c:..." a channel's position. A later piece of the same name
+    replaces it, empty data remove it. The data are opaque here; only the `Content` interprets them."""
 
     name: str
     data: bytes
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """Will you take this part, which I own since `epoch`? `state` is the version of its pieces, `size` their bytes.
-    `attempt` rises with each new offer of a part under one epoch: what is left of an earlier one is told apart."""
+    """Offers a part that the sender has owned since `epoch`. `state` is the format version of its pieces, `size` their
+    bytes. `attempt` rises with each new offer of a part under one epoch, so that late messages of an earlier offer
+    are recognised."""
 
     part: int
     epoch: int
@@ -28,7 +29,7 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """Pieces, the chunks of a move counted from 0."""
+    """Some pieces of the part; `place` numbers the chunks of a move from 0."""
 
     part: int
     epoch: int
@@ -38,7 +39,7 @@
 
 
 class Seal(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """The last pieces; with them the part is whole, and has this digest. Nothing changes any more at the giver."""
+    """The last pieces of the part. `digest` covers the whole part, which no longer changes at the giver."""
 
     part: int
     epoch: int
@@ -49,7 +50,7 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """The move is off: forget what you have of it, unless it is whole (then the register decides)."""
+    """Cancels the move: the taker drops its copy unless it is whole; then the register decides who owns the part."""
 
     part: int
     epoch: int
@@ -57,9 +58,9 @@
 
 
 class Given(msgspec.Struct, frozen=True, array_like=True, tag=24):
-    """The register says that you own it; `epoch` is the one after the giver's own, under which it was given. `ok` to it
-    says: your copy is whole here, or in my journal by now, and you may drop yours. `stands` is the register's epoch
-    where the giver has seen a later one only: then it does not know who had `epoch`."""
+    """Tells the taker that the register names it as owner; `epoch` is the giver's own epoch plus one. The answer `ok`
+    means that the taker holds the whole copy, or has it in its journal, and the giver may drop its own. `stands` is the
+    register's epoch if the giver has seen only a later one and does not know who owned `epoch`; else 0."""
 
     part: int
     epoch: int
@@ -67,23 +68,24 @@
 
 
 class Late(msgspec.Struct, frozen=True, array_like=True, tag=25):
-    """What became of a call that was out when the part was handed over, or a message that the part's former owner finds
-    on its disk (`piece`): the present owner decides by the contract."""
+    """Reports the outcome of a call that was under way when the part was handed over, or a message that the part's
+    former owner found on its disk (`piece`). The present owner decides by the channel's contract what follows."""
 
     part: int
-    epoch: int  # under which the teller had it
+    epoch: int  # under which the sender owned the part
     message: str
-    outcome: str  # an `Outcome` value; empty for a found message
+    outcome: str  # an `Outcome` value; empty for a message found on disk
     piece: bytes = b""
 
 
 class Moved(msgspec.Struct, frozen=True, array_like=True, tag=26):
-    """The answer to all of these. `ok` false: `why` tells, on one line; `again_us` when to come again, 0 never."""
+    """The answer to each of these messages. If `ok` is false, `why` gives the reason on one line and `again_us` the
+    delay before a retry, 0 for no retry."""
 
     part: int
     epoch: int
     ok: bool
-    place: int = -1  # of the last chunk that is safe on this disk
+    place: int = -1  # of the last chunk stored durably; -1 for none
     why: str = ""
     again_us: int = 0
 
