--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -160,7 +160,7 @@
         self.known = held
         if held.owner == self.name:
             self.lease_us = max(self.lease_us, asked_us + LEASE_US * 9 // 10)
-        records = self.taker.passed(PART, held.epoch, held.owner)
+        records = self.taker.observe_holding(PART, held.epoch, held.owner)
         self.later(SYNC_US if records else 0, lambda: self.apply_holding(held, records, read))
 
     def apply_holding(self, held: Holding, records: list[bytes], read: bool) -> None:
--- a/tests/test_move_crashes.py
+++ b/tests/test_move_crashes.py
@@ -158,8 +158,8 @@
             return moved, []
         return moved, records
 
-    def passed(self, part: int, epoch: int, owner: str) -> list[bytes]:
-        records = super().passed(part, epoch, owner)
+    def observe_holding(self, part: int, epoch: int, owner: str) -> list[bytes]:
+        records = super().observe_holding(part, epoch, owner)
         owed, self._owed = self._owed, []
         return owed + records
 
@@ -167,8 +167,8 @@
 class ForgetsWhenNamed(Taker):
     """Drops a whole copy at any later epoch, even if the register names this courier."""
 
-    def passed(self, part: int, epoch: int, owner: str) -> list[bytes]:
-        records = super().passed(part, epoch, owner)
+    def observe_holding(self, part: int, epoch: int, owner: str) -> list[bytes]:
+        records = super().observe_holding(part, epoch, owner)
         return records + (self._forget(part) if self.sealed(part) is not None and epoch > self.sealed(part) else [])
 
 
--- a/tests/test_move_taker.py
+++ b/tests/test_move_taker.py
@@ -61,7 +61,7 @@
         before: tuple[Ask, ...], sender: str, ask: Ask, owner: Holding | None, reason: str) -> None:
     to = taker_after(*before, room=Room(most_parts=2, most_bytes=2_000))
     if owner is not None and owner.epoch > 5:  # so that only the effect of the request is compared
-        to.passed(ask.part, owner.epoch, owner.owner)
+        to.observe_holding(ask.part, owner.epoch, owner.owner)
     stood = to.snapshot()
     moved, records = to.heard(1, sender, ask, owner)
     assert not moved.ok and moved.why and "\n" not in moved.why and records == []
@@ -100,8 +100,8 @@
     assert giver.step is Step.COMMITTING
     to = taker(stored=log)
     assert to.sealed(3) == 5 and {piece.name: piece.data for piece in to.pieces(3)} == content.held
-    log += to.passed(3, 6, "t")
-    log += taker(stored=log).passed(3, 7, "t")  # owned by this courier for two epochs in a row
+    log += to.observe_holding(3, 6, "t")
+    log += taker(stored=log).observe_holding(3, 7, "t")  # owned by this courier for two epochs in a row
     to = taker(stored=taker(stored=log).snapshot())
     assert to.sealed(3) == 5
     log += to.adopted(3, 7)
@@ -139,24 +139,24 @@
 def test_a_whole_copy_is_valid_until_another_owns_the_part(news: list[tuple[int, str]], left: int | None) -> None:
     to = taker_after(OFFER, CHUNK, SEAL)
     for epoch, owner in news:
-        to.passed(3, epoch, owner)
+        to.observe_holding(3, epoch, owner)
     assert to.sealed(3) == left
 
 
 def test_a_copy_confirmed_by_given_stays_valid_when_the_register_skips_an_epoch() -> None:
     to, log = taker_after(OFFER, CHUNK, SEAL), []
     assert to.heard(0, "g", Given(3, 6, 7), HOLDING)[0].again_us > 0  # the owner of epoch 6 is not known
-    assert to.passed(3, 7, "t") and to.sealed(3) is None
+    assert to.observe_holding(3, 7, "t") and to.sealed(3) is None
     to = taker_after(OFFER, CHUNK, SEAL)
     log = to.snapshot() + to.heard(0, "g", Given(3, 6), HOLDING)[1]
     for each in (to, taker(stored=log), taker(stored=taker(stored=log).snapshot())):
-        assert each.passed(3, 7, "t") and each.sealed(3) == 5
+        assert each.observe_holding(3, 7, "t") and each.sealed(3) == 5
 
 
 def test_an_incomplete_copy_is_dropped_when_its_epoch_is_over_or_it_is_idle() -> None:
     for name in ("t", "g"):
         to = taker_after(OFFER, CHUNK)
-        assert to.passed(3, 6, name) and to.snapshot() == []
+        assert to.observe_holding(3, 6, name) and to.snapshot() == []
     to = taker_after(OFFER, CHUNK, room=Room(most_parts=1, idle_us=100))
     assert to.heard(99, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].again_us > 0
     assert to.heard(100, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -84,7 +84,7 @@
             if event.epoch > self._decided.get(event.part, Holding(0, "")).epoch:
                 self._decided[event.part] = holding
             first = event.first if isinstance(event, Gained) else 0
-            records = self.taker.passed(event.part, holding.epoch, holding.owner, first)
+            records = self.taker.observe_holding(event.part, holding.epoch, holding.owner, first)
             if (giver := self.givers.get(event.part)) is not None:
                 actions += self._errands.save(now_us, records)
                 actions += self._execute(now_us, giver, giver.decided(now_us, holding.epoch, holding.owner))
--- a/wheelstep/moves/taker.py
+++ b/wheelstep/moves/taker.py
@@ -50,7 +50,7 @@
         lost."""
         if not 0 <= ask.part < self._room.parts:
             return self._refuse(ask, "part", f"part {ask.part}, expected 0 to {self._room.parts - 1}"), []
-        records = self.passed(ask.part, owner.epoch, owner.owner) if owner is not None else []
+        records = self.observe_holding(ask.part, owner.epoch, owner.owner) if owner is not None else []
         if isinstance(ask, Given):
             return self._handle_given(sender, ask, records)
         copy, holding, removal = self._copies.get(ask.part), self._holdings.get(ask.part), self._adopted.get(ask.part)
@@ -176,7 +176,7 @@
         copy = self._copies.get(part)
         return list(copy.pieces.values()) if copy is not None and copy.seal is not None else []
 
-    def passed(self, part: int, epoch: int, owner: str, first: int = 0) -> list[bytes]:
+    def observe_holding(self, part: int, epoch: int, owner: str, first: int = 0) -> list[bytes]:
         """Handle news from the register: drop a copy that is obsolete. Since epoch `first` only `owner` can have owned
         the part; 0 if that is not known. Before a part is taken over, the register's holding must be passed here and
         the returned records be on disk before the next epoch is requested: a whole copy is valid only while this
