--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -165,7 +165,7 @@
 
     def apply_holding(self, held: Holding, records: list[bytes], read: bool) -> None:
         self.log += records
-        sealed = self.taker.sealed(PART)
+        sealed = self.taker.sealed_epoch(PART)
         if self.giver is not None and not self.giver.over:
             self.turn(self.giver.decided(self.world.now_us, held.epoch, held.owner))
         elif self.adopting or self.known != held:
--- a/tests/move_world.py
+++ b/tests/move_world.py
@@ -138,5 +138,5 @@
         assert self.attempts == sorted(set(self.attempts)), "twice, or out of order"
         for courier in self.couriers.values():
             assert courier.giver is None or courier.giver.over
-            assert courier.taker.sealed(PART) is None, f"{courier.name} keeps a whole copy"
+            assert courier.taker.sealed_epoch(PART) is None, f"{courier.name} keeps a whole copy"
             assert courier in serving or not courier.disk, f"{courier.name} keeps pieces of a part that is another's"
--- a/tests/test_move_taker.py
+++ b/tests/test_move_taker.py
@@ -99,14 +99,14 @@
     run_until(giver, Restarted(), Step.COMMITTING)  # type: ignore[arg-type]
     assert giver.step is Step.COMMITTING
     to = taker(stored=log)
-    assert to.sealed(3) == 5 and {piece.name: piece.data for piece in to.pieces(3)} == content.held
+    assert to.sealed_epoch(3) == 5 and {piece.name: piece.data for piece in to.pieces(3)} == content.held
     log += to.observe_holding(3, 6, "t")
     log += taker(stored=log).observe_holding(3, 7, "t")  # owned by this courier for two epochs in a row
     to = taker(stored=taker(stored=log).snapshot())
-    assert to.sealed(3) == 5
+    assert to.sealed_epoch(3) == 5
     log += to.adopted(3, 7)
     to = taker(stored=taker(stored=log).snapshot())
-    assert to.sealed(3) is None and to.heard(0, "g", Given(3, 6), None)[0].ok
+    assert to.sealed_epoch(3) is None and to.heard(0, "g", Given(3, 6), None)[0].ok
     assert not to.heard(0, "g", OFFER, None)[0].ok
 
 
@@ -128,8 +128,8 @@
 def test_a_log_without_one_chunk_restores_no_whole_copy() -> None:
     to = taker()
     records = [record for ask in (OFFER, CHUNK, SEAL) for record in to.heard(0, "g", ask, HOLDING)[1]]
-    assert taker(stored=records).sealed(3) == 5
-    assert (lost := taker(stored=[records[0], records[2]])).sealed(3) is None and lost.forgotten == 1
+    assert taker(stored=records).sealed_epoch(3) == 5
+    assert (lost := taker(stored=[records[0], records[2]])).sealed_epoch(3) is None and lost.forgotten == 1
 
 
 @pytest.mark.parametrize(("news", "left"), [
@@ -140,17 +140,17 @@
     to = taker_after(OFFER, CHUNK, SEAL)
     for epoch, owner in news:
         to.observe_holding(3, epoch, owner)
-    assert to.sealed(3) == left
+    assert to.sealed_epoch(3) == left
 
 
 def test_a_copy_confirmed_by_given_stays_valid_when_the_register_skips_an_epoch() -> None:
     to, log = taker_after(OFFER, CHUNK, SEAL), []
     assert to.heard(0, "g", Given(3, 6, 7), HOLDING)[0].again_us > 0  # the owner of epoch 6 is not known
-    assert to.observe_holding(3, 7, "t") and to.sealed(3) is None
+    assert to.observe_holding(3, 7, "t") and to.sealed_epoch(3) is None
     to = taker_after(OFFER, CHUNK, SEAL)
     log = to.snapshot() + to.heard(0, "g", Given(3, 6), HOLDING)[1]
     for each in (to, taker(stored=log), taker(stored=taker(stored=log).snapshot())):
-        assert each.observe_holding(3, 7, "t") and each.sealed(3) == 5
+        assert each.observe_holding(3, 7, "t") and each.sealed_epoch(3) == 5
 
 
 def test_an_incomplete_copy_is_dropped_when_its_epoch_is_over_or_it_is_idle() -> None:
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -96,14 +96,14 @@
     assert not content.is_open and not acts and giver.next_us() == now_us + LIMITS.poll_us
     content.out = 0
     now_us, acts = run_until(giver, to, Step.HANDING)
-    assert isinstance(seal := requests(acts)[0], Seal) and to.sealed(3) is None and to.pieces(3) == []
+    assert isinstance(seal := requests(acts)[0], Seal) and to.sealed_epoch(3) is None and to.pieces(3) == []
     moved, _ = to.heard(now_us, "g", seal, HOLDING)
-    assert moved.ok and to.sealed(3) == 5
+    assert moved.ok and to.sealed_epoch(3) == 5
     assert {piece.name: piece.data for piece in to.pieces(3)} == content.held
     assert giver.answered(now_us, seal, moved) == [Commit(3, "t")] and giver.step is Step.COMMITTING
     assert giver.decided(now_us, 5, "g") == [] and not content.dropped  # the holding that the move began with
     assert giver.decided(now_us, 6, "t") == [Tell(Given(3, 6))] and giver.step is Step.OPEN and content.dropped == 1
-    assert to.observe_holding(3, 6, "t") and to.sealed(3) == 5 and to.adopted(3, 6) and to.sealed(3) is None
+    assert to.observe_holding(3, 6, "t") and to.sealed_epoch(3) == 5 and to.adopted(3, 6) and to.sealed_epoch(3) is None
     moved, _ = to.heard(now_us, "g", Given(3, 6), Holding(6, "t"))
     assert giver.answered(now_us, Given(3, 6), moved) == [Ended(True, "given to t")] and giver.step is Step.DONE
     assert giver.next_us() == NEVER_US and giver.tick(10**12) == [] and content.dropped == 1 and not content.opened
--- a/wheelstep/fleet/node.py
+++ b/wheelstep/fleet/node.py
@@ -59,7 +59,7 @@
         self._me = me.name
         for part in range(settings.parts):
             content.shut(part)
-            if self.taker.sealed(part) is not None:
+            if self.taker.sealed_epoch(part) is not None:
                 self.owner.want(part)
 
     # --- queries and commands ---
@@ -78,7 +78,7 @@
 
     def moving(self, part: int) -> bool:
         """Return whether the part is moving from or to this courier."""
-        return part in self.tenure.givers or part in self.tenure.opening or self.taker.sealed(part) is not None
+        return part in self.tenure.givers or part in self.tenure.opening or self.taker.sealed_epoch(part) is not None
 
     def serves(self, part: int) -> str:
         """Return the client address of the present or next owner of the part; "" if it is unknown or gone."""
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -132,7 +132,7 @@
             return []
         plan = self._placement.plan(now_us, self._tenure.givers)
         for part in parts:
-            mine = self.owner_of(part) == self._me or self._tenure.taker.sealed(part) is not None
+            mine = self.owner_of(part) == self._me or self._tenure.taker.sealed_epoch(part) is not None
             (self._owner.want if part in plan.free or mine else self._owner.unwant)(part)
         actions: list[Action] = []
         for part, to in plan.away.items():
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -58,7 +58,7 @@
         for giver in list(self.givers.values()):
             actions += self._execute(now_us, giver, giver.tick(now_us))
         for part, at_us in list(self._sealed_check_us.items()):
-            if self.taker.sealed(part) is None:
+            if self.taker.sealed_epoch(part) is None:
                 del self._sealed_check_us[part]
             elif now_us >= at_us:  # the giver may be dead; only this courier can continue without loss
                 self._sealed_check_us[part] = now_us + self.owner.timeout_us * 6
@@ -108,7 +108,7 @@
 
     def _gained(self, now_us: int, event: Gained, records: list[bytes]) -> list[Action]:
         part, epoch = event.part, event.epoch
-        if self.taker.sealed(part) is None:
+        if self.taker.sealed_epoch(part) is None:
             return [*self._errands.save(now_us, records), *self._open(event, now_us)]
         self.opening.add(part)
         self._content.adopt(part, epoch, self.taker.pieces(part))
@@ -187,7 +187,7 @@
         for part in range(self._parts):
             holding = known(part)
             if holding is None or holding.owner == self.me or holding.owner not in here or part in self.givers \
-                    or part in self._reporting or self.taker.sealed(part) is not None:
+                    or part in self._reporting or self.taker.sealed_epoch(part) is not None:
                 continue
             pieces = self._content.orphans(part)[:MAX_ORPHANS]
             if pieces:
--- a/wheelstep/moves/taker.py
+++ b/wheelstep/moves/taker.py
@@ -161,7 +161,7 @@
         return self._refuse(
             ask, "given", f"part {ask.part}: no whole copy of epoch {ask.epoch - 1} from {sender}"), records
 
-    def sealed(self, part: int) -> int | None:
+    def sealed_epoch(self, part: int) -> int | None:
         """The epoch of a whole copy, None if there is none. While the register names its giver at that epoch, or only
         this courier since, this courier can take over without loss."""
         copy = self._copies.get(part)
--- a/wheelstep/rehearsal/fleet/points.py
+++ b/wheelstep/rehearsal/fleet/points.py
@@ -67,7 +67,7 @@
         return asked(self, now_us, token, sender, ask)
 
     def gains(self: PartCoordinator, *given: Any) -> list[Action]:
-        if self.taker.sealed(given[1].part) is not None:
+        if self.taker.sealed_epoch(given[1].part) is not None:
             reached("adopted")
         return gained(self, *given)
 
