--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -134,7 +134,7 @@
         while not (self.node.left and not self.content.owed()) and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
         log.info("left: %d parts and %d messages remain here", len({*self.node.owned(now_us()),
-                 *self.node.taker.whole()}), self.content.owed())
+                 *self.node.taker.sealed_parts()}), self.content.owed())
 
     async def close(self) -> None:
         """Stop serving all parts, and close the sockets and the log."""
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -72,7 +72,7 @@
         if self._swap is None or self._tenure.givers or not self._swap.over(self._next_plan_us):
             return False
         late = self._swap.progress(self._next_plan_us).state == "late"
-        return late or not (self._owner.leased() or self._tenure.opening or self._tenure.taker.whole())
+        return late or not (self._owner.leased() or self._tenure.opening or self._tenure.taker.sealed_parts())
 
     def leave(self, now_us: int) -> None:
         """Start giving all parts away."""
--- a/wheelstep/moves/taker.py
+++ b/wheelstep/moves/taker.py
@@ -167,7 +167,7 @@
         copy = self._copies.get(part)
         return copy.offer.epoch if copy is not None and copy.seal is not None else None
 
-    def whole(self) -> list[int]:
+    def sealed_parts(self) -> list[int]:
         """Parts with a whole copy that is not in the journal yet; this may be the only copy."""
         return [part for part, copy in self._copies.items() if copy.seal is not None]
 
