--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -142,7 +142,7 @@
         self.ask(0, "")
         now_us = self.world.now_us
         if self.giver is not None and not self.giver.over and now_us >= self.lease_us:
-            self.giver.lost(now_us)
+            self.giver.lease_lost(now_us)
             self.turn()
         self.later(READ_US, self.read)
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -211,14 +211,14 @@
         content.out = 1
         giver = new_giver(content)
         now_us, acts = run_until(giver, to, step)
-        giver.lost(now_us)
+        giver.lease_lost(now_us)
         refused = Moved(3, 5, False, why="full")
         assert not content.is_open and giver.next_us() == now_us
         acts = giver.answered(now_us, requests(acts)[0], refused) if acts else giver.tick(now_us)
         assert giver.step is Step.UNDONE and not content.opened
     giver = new_giver(content := MemoryContent())
     now_us, acts = run_until(giver, taker(), Step.HANDING)
-    giver.lost(now_us)
+    giver.lease_lost(now_us)
     assert giver.step is Step.HANDING
     giver.decided(now_us, 6, "x")
     assert giver.step is Step.UNDONE and not content.is_open and not content.dropped
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -78,7 +78,7 @@
                 self.opening.discard(event.part)
                 self._content.shut(event.part)
                 if (giver := self.givers.get(event.part)) is not None:
-                    giver.lost(now_us)
+                    giver.lease_lost(now_us)
                 continue
             holding = Holding(event.epoch, self.me if isinstance(event, Gained) else event.owner)
             if event.epoch > self._decided.get(event.part, Holding(0, "")).epoch:
--- a/wheelstep/moves/giver.py
+++ b/wheelstep/moves/giver.py
@@ -64,7 +64,7 @@
             return self._due_us
         return self._pending.next_us()
 
-    def lost(self, now_us: int) -> None:
+    def lease_lost(self, now_us: int) -> None:
         """Handle the end of this courier's lease: the part is shut here, and the register decides who owns it."""
         if not self.over:
             self._lease_lost, self._due_us = True, now_us
