--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -8,7 +8,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import Commit, Ended, Room, TakeBack, Tell
+from wheelstep.moves.steps import Commit, Ended, TakeBack, TakerLimits, Tell
 from wheelstep.moves.types import Given, Move, Moved, Piece
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
         self.begin()
 
     def begin(self) -> None:
-        self.taker = self.world.taker_class(self.name, 1, Room(), list(self.log))
+        self.taker = self.world.taker_class(self.name, 1, TakerLimits(), list(self.log))
         self.store = Store(self, self.disk)
         self.giver: Giver | None = None
         self.known: Holding | None = None
--- a/tests/test_move_taker.py
+++ b/tests/test_move_taker.py
@@ -9,7 +9,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.staged import encode_record
-from wheelstep.moves.steps import Limits, Room, Step, part_digest, piece_digest, take_chunk
+from wheelstep.moves.steps import Limits, Step, TakerLimits, part_digest, piece_digest, take_chunk
 from wheelstep.moves.taker import Ask, Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Offer, Piece, Seal
 
@@ -19,7 +19,7 @@
 WRONG = Seal(3, 5, 1, "0" * 32, (TWO,), 7)
 
 
-def taker_after(*before: Ask, room: Room = Room()) -> Taker:  # noqa: B008
+def taker_after(*before: Ask, room: TakerLimits = TakerLimits()) -> Taker:  # noqa: B008
     to = taker(room)
     for ask in before:
         assert to.heard(0, "g", ask, HOLDING)[0].ok
@@ -59,7 +59,7 @@
 ])
 def test_an_invalid_request_is_refused_with_one_line_and_changes_nothing(
         before: tuple[Ask, ...], sender: str, ask: Ask, owner: Holding | None, reason: str) -> None:
-    to = taker_after(*before, room=Room(most_parts=2, most_bytes=2_000))
+    to = taker_after(*before, room=TakerLimits(most_parts=2, most_bytes=2_000))
     if owner is not None and owner.epoch > 5:  # so that only the effect of the request is compared
         to.observe_holding(ask.part, owner.epoch, owner.owner)
     stood = to.snapshot()
@@ -120,7 +120,7 @@
 
 
 def test_a_replaced_piece_counts_once_against_the_size_limit() -> None:
-    to = taker_after(OFFER, room=Room(most_bytes=500))
+    to = taker_after(OFFER, room=TakerLimits(most_bytes=500))
     for place in range(20):
         assert to.heard(0, "g", Chunk(3, 5, place, (Piece("m:1", b"%d" % place),), 7), HOLDING)[0].ok
 
@@ -157,10 +157,10 @@
     for name in ("t", "g"):
         to = taker_after(OFFER, CHUNK)
         assert to.observe_holding(3, 6, name) and to.snapshot() == []
-    to = taker_after(OFFER, CHUNK, room=Room(most_parts=1, idle_us=100))
+    to = taker_after(OFFER, CHUNK, room=TakerLimits(most_parts=1, idle_us=100))
     assert to.heard(99, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].again_us > 0
     assert to.heard(100, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok
-    whole = taker_after(OFFER, CHUNK, SEAL, room=Room(most_parts=1, idle_us=100))
+    whole = taker_after(OFFER, CHUNK, SEAL, room=TakerLimits(most_parts=1, idle_us=100))
     assert not whole.heard(100, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok
 
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -9,7 +9,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, Room, Step, TakeBack, Tell
+from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, Step, TakeBack, TakerLimits, Tell
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Move, Moved, Piece, Seal
 
@@ -67,7 +67,7 @@
     return [act.ask for act in acts if isinstance(act, Tell)]
 
 
-def taker(room: Room = Room(), stored: Iterable[bytes] = ()) -> Taker:  # noqa: B008
+def taker(room: TakerLimits = TakerLimits(), stored: Iterable[bytes] = ()) -> Taker:  # noqa: B008
     return Taker("t", 2, room, stored)
 
 
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -13,7 +13,7 @@
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Action, Answer, Holding, Member, Stand, State, Stood
-from wheelstep.moves.steps import Limits, Room
+from wheelstep.moves.steps import Limits, TakerLimits
 from wheelstep.moves.swap import Pace, Swap
 
 
@@ -31,7 +31,7 @@
     probation_us: int = 10_000_000
     members: MemberLimits = field(default_factory=MemberLimits)
     moves: Limits = field(default_factory=Limits)
-    room: Room = field(default_factory=Room)
+    room: TakerLimits = field(default_factory=TakerLimits)
     leaving: Pace = field(default_factory=Pace)
 
 
--- a/wheelstep/moves/steps.py
+++ b/wheelstep/moves/steps.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Room:
+class TakerLimits:
     """A taker's limits for the parts that are being copied to it."""
 
     most_parts: int = 8
--- a/wheelstep/moves/taker.py
+++ b/wheelstep/moves/taker.py
@@ -20,7 +20,7 @@
     decode_record,
     encode_record,
 )
-from wheelstep.moves.steps import Room, piece_size
+from wheelstep.moves.steps import TakerLimits, piece_size
 from wheelstep.moves.types import Cancel, Chunk, Given, Moved, Offer, Piece, Seal
 
 Ask = Offer | Chunk | Seal | Cancel | Given
@@ -30,7 +30,7 @@
     """All moves to this courier. `stored` holds the records of the fleet's log from before a restart; records that are
     not of moves are ignored. Raises msgspec.DecodeError for a malformed record."""
 
-    def __init__(self, me: str, state_version: int, room: Room, stored: Iterable[bytes] = ()) -> None:
+    def __init__(self, me: str, state_version: int, room: TakerLimits, stored: Iterable[bytes] = ()) -> None:
         self.me = me
         self.refused: Counter[str] = Counter()  # number of refused requests, by reason
         self.leaving = False  # if set, no new part is accepted
