--- a/tests/test_move_swap.py
+++ b/tests/test_move_swap.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from wheelstep.moves.swap import Pace, Start, Swap
+from wheelstep.moves.swap import Start, Swap, SwapLimits
 
 
 def test_a_swap_moves_the_smallest_parts_first_within_the_concurrency_limit() -> None:
-    swap, mine, takers = Swap(Pace(at_once=2), 0), {1: 30, 2: 10, 3: 20}, {part: ["a", "b"] for part in (1, 2, 3)}
+    swap, mine, takers = Swap(SwapLimits(at_once=2), 0), {1: 30, 2: 10, 3: 20}, {part: ["a", "b"] for part in (1, 2, 3)}
     assert swap.tick(0, mine, takers) == [Start(2, "a"), Start(3, "a")]
     assert swap.tick(1, mine, takers) == []
     swap.ended(10, 2, True, "")
@@ -19,7 +19,7 @@
 
 
 def test_a_failed_move_is_retried_with_another_taker_after_a_pause() -> None:
-    swap, takers = Swap(Pace(pause_us=100), 0), {1: ["a", "b"]}
+    swap, takers = Swap(SwapLimits(pause_us=100), 0), {1: ["a", "b"]}
     told, now_us = [], 0
     for _ in range(4):
         told += [start.to for start in swap.tick(now_us, {1: 5}, takers)]
@@ -32,7 +32,7 @@
 
 def test_a_swap_begins_no_move_after_cancel_or_its_time_limit() -> None:
     for stop, state in (("cancel", "stopped"), ("late", "late")):
-        swap = Swap(Pace(at_once=1, bound_us=1_000), 0)
+        swap = Swap(SwapLimits(at_once=1, bound_us=1_000), 0)
         swap.tick(0, {1: 5, 2: 6}, {1: ["a"], 2: ["a"]})
         if stop == "cancel":
             swap.cancel()
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -14,7 +14,7 @@
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Action, Answer, Holding, Member, Stand, State, Stood
 from wheelstep.moves.steps import Limits, TakerLimits
-from wheelstep.moves.swap import Pace, Swap
+from wheelstep.moves.swap import Swap, SwapLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     members: MemberLimits = field(default_factory=MemberLimits)
     moves: Limits = field(default_factory=Limits)
     room: TakerLimits = field(default_factory=TakerLimits)
-    leaving: Pace = field(default_factory=Pace)
+    leaving: SwapLimits = field(default_factory=SwapLimits)
 
 
 class PlacementRunner:
--- a/wheelstep/moves/swap.py
+++ b/wheelstep/moves/swap.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Pace:
+class SwapLimits:
     """Limits on the rate and duration of a swap."""
 
     at_once: int = 4  # moves in progress at the same time
@@ -53,7 +53,7 @@
 class Swap:
     """Moves all parts of one courier away. After `cancel`, moves in progress run to their end and no more begin."""
 
-    def __init__(self, pace: Pace, now_us: int) -> None:
+    def __init__(self, pace: SwapLimits, now_us: int) -> None:
         self._pace, self._started_us = pace, now_us
         self._moving: dict[int, str] = {}
         self._failed_moves: dict[int, _FailedMoves] = {}
