--- a/benchmarks/move_pause.py
+++ b/benchmarks/move_pause.py
@@ -20,7 +20,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import Commit, Ended, Limits, TakerLimits, Tell
+from wheelstep.moves.steps import Commit, Ended, Limits, SendRequest, TakerLimits
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Given, Piece, Seal
 
@@ -104,14 +104,14 @@
                 acts = giver.decided(now_us, 2, "t")
         busy_s = max(busy_s, time.thread_time() - began)
         for act in acts:
-            if isinstance(act, Tell):
+            if isinstance(act, SendRequest):
                 tail = len(act.ask.pieces) if isinstance(act.ask, Seal) else tail
                 at(1, 0, "arrive", act.ask)
             elif isinstance(act, Commit):
                 at(2, 1, "decided")
             else:
                 assert isinstance(act, Ended) and act.done, act
-        if not giver.over and not any(isinstance(act, Tell | Commit) for act in acts):
+        if not giver.over and not any(isinstance(act, SendRequest | Commit) for act in acts):
             heapq.heappush(heap, (max(now_us, giver.next_us()), next(order), None))
     return opened_us - giver.shut_us, now_us, tail, round(busy_s * 1_000_000)
 
--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -8,7 +8,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import Commit, Ended, TakeBack, TakerLimits, Tell
+from wheelstep.moves.steps import Commit, Ended, SendRequest, TakeBack, TakerLimits
 from wheelstep.moves.types import Given, Move, Moved, Piece
 
 if TYPE_CHECKING:
@@ -214,7 +214,7 @@
             self.later(max(0, giver.next_us() - self.world.now_us), lambda: self.turn() if wake == self.wakes else None)
 
     def do(self, giver: Giver, act: object) -> None:
-        if isinstance(act, Tell):
+        if isinstance(act, SendRequest):
             self.tell(act.ask, lambda moved: self.turn(giver.answered(self.world.now_us, act.ask, moved)))
         elif isinstance(act, Commit):
             self.ask(giver.epoch, act.to)
--- a/tests/test_move_crashes.py
+++ b/tests/test_move_crashes.py
@@ -169,7 +169,8 @@
 
     def observe_holding(self, part: int, epoch: int, owner: str) -> list[bytes]:
         records = super().observe_holding(part, epoch, owner)
-        return records + (self._forget(part) if self.sealed_epoch(part) is not None and epoch > self.sealed_epoch(part) else [])
+        return records + (
+            self._forget(part) if self.sealed_epoch(part) is not None and epoch > self.sealed_epoch(part) else [])
 
 
 @pytest.mark.parametrize(("script", "broken", "seen"), [
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -9,7 +9,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, Step, TakeBack, TakerLimits, Tell
+from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, SendRequest, Step, TakeBack, TakerLimits
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Move, Moved, Piece, Seal
 
@@ -64,7 +64,7 @@
 
 
 def requests(acts: list[Act]) -> list[Move]:
-    return [act.ask for act in acts if isinstance(act, Tell)]
+    return [act.ask for act in acts if isinstance(act, SendRequest)]
 
 
 def taker(room: TakerLimits = TakerLimits(), stored: Iterable[bytes] = ()) -> Taker:  # noqa: B008
@@ -102,7 +102,8 @@
     assert {piece.name: piece.data for piece in to.pieces(3)} == content.held
     assert giver.answered(now_us, seal, moved) == [Commit(3, "t")] and giver.step is Step.COMMITTING
     assert giver.decided(now_us, 5, "g") == [] and not content.dropped  # the holding that the move began with
-    assert giver.decided(now_us, 6, "t") == [Tell(Given(3, 6))] and giver.step is Step.OPEN and content.dropped == 1
+    assert giver.decided(
+        now_us, 6, "t") == [SendRequest(Given(3, 6))] and giver.step is Step.OPEN and content.dropped == 1
     assert to.observe_holding(3, 6, "t") and to.sealed_epoch(3) == 5 and to.adopted(3, 6) and to.sealed_epoch(3) is None
     moved, _ = to.heard(now_us, "g", Given(3, 6), Holding(6, "t"))
     assert giver.answered(now_us, Given(3, 6), moved) == [Ended(True, "given to t")] and giver.step is Step.DONE
@@ -238,4 +239,4 @@
     assert giver.step is Step.UNDONE and not content.dropped and not content.is_open
     giver = new_giver(content := MemoryContent())
     run_until(giver, taker(), Step.COMMITTING)
-    assert giver.decided(0, 7, "t") == [Tell(Given(3, 6, 7))] and not content.dropped
+    assert giver.decided(0, 7, "t") == [SendRequest(Given(3, 6, 7))] and not content.dropped
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -14,7 +14,7 @@
 from wheelstep.fleet.owner import Event, Gained, Lost, Owner
 from wheelstep.fleet.types import Action, Answer, Ask, Holding, Note, Reply
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, TakeBack, Tell
+from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, SendRequest, TakeBack
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Late, Move, Moved, Offer, Piece, Seal
 
@@ -136,7 +136,7 @@
         actions: list[Action] = []
         for act in acts:
             match act:
-                case Tell(ask):
+                case SendRequest(ask):
                     actions.append(self._errands.call(giver.to, ask, CALL_US, partial(self._on_answer, giver, ask)))
                 case Commit(part, to):
                     self.owner.give(now_us, part, to)
--- a/wheelstep/moves/asking.py
+++ b/wheelstep/moves/asking.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wheelstep.moves.steps import NEVER_US, Act, Limits, Tell
+from wheelstep.moves.steps import NEVER_US, Act, Limits, SendRequest
 from wheelstep.moves.types import Move
 
 
@@ -20,7 +20,7 @@
     def send(self, now_us: int, ask: Move) -> list[Act]:
         """Send a new request, which replaces any earlier one."""
         self.ask, self._since_us, self._tries, self._in_flight = ask, now_us, 1, True
-        return [Tell(ask)]
+        return [SendRequest(ask)]
 
     def awaits(self, ask: Move) -> bool:
         """Whether `ask` is the request in flight; answers to any other are ignored."""
@@ -40,7 +40,7 @@
         if self.ask is None or self._in_flight or now_us < self._due_us:
             return []
         self._tries, self._in_flight = self._tries + 1, True
-        return [Tell(self.ask)]
+        return [SendRequest(self.ask)]
 
     def next_us(self) -> int:
         """When `retry_if_due` has to be called next, NEVER_US if nothing is pending."""
--- a/wheelstep/moves/giver.py
+++ b/wheelstep/moves/giver.py
@@ -18,9 +18,9 @@
     Commit,
     Ended,
     Limits,
+    SendRequest,
     Step,
     TakeBack,
-    Tell,
     part_digest,
     piece_size,
     take_chunk,
@@ -240,7 +240,7 @@
 
     def _off(self, why: str) -> list[Act]:
         """End the move as undone; cancel a copy without a `Seal`. The caller decides whether the part is open here."""
-        acts: list[Act] = [Tell(Cancel(self.part, self.epoch, self._attempt))] if self._seal is None else []
+        acts: list[Act] = [SendRequest(Cancel(self.part, self.epoch, self._attempt))] if self._seal is None else []
         return [*acts, *self._finish(Step.UNDONE, why)]
 
     def _finish(self, step: Step, why: str) -> list[Act]:
--- a/wheelstep/moves/steps.py
+++ b/wheelstep/moves/steps.py
@@ -63,7 +63,7 @@
     parts: int = 1024  # in the fleet, at most
 
 
-class Tell(msgspec.Struct, frozen=True):
+class SendRequest(msgspec.Struct, frozen=True):
     """Send `ask` to the taker; its answer, None after a timeout, goes to `Giver.answered` with the same `ask`."""
 
     ask: Move
@@ -89,7 +89,7 @@
     why: str
 
 
-Act = Tell | Commit | TakeBack | Ended
+Act = SendRequest | Commit | TakeBack | Ended
 
 
 def piece_size(piece: Piece) -> int:
