--- a/wheelstep/moves/swap.py
+++ b/wheelstep/moves/swap.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Progress:
-    """Progress of a swap. `estimated_us` is the time until all parts are moved at the rate so far, -1 while unknown."""
+    """Progress of a swap. `estimated_us`: time until all parts are moved at the rate so far, -1 if none has moved."""
 
     left: int
     moving: int
