--- a/benchmarks/move_pause.py
+++ b/benchmarks/move_pause.py
@@ -20,7 +20,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import Commit, Ended, Limits, SendRequest, TakerLimits
+from wheelstep.moves.steps import Commit, Ended, GiverLimits, SendRequest, TakerLimits
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Given, Piece, Seal
 
@@ -71,7 +71,7 @@
 def pause_us(seed: int, link_us: int, rate: int, pieces: int) -> tuple[int, int, int, int]:
     """One move: its pause, all of its time, the pieces that went with the `Seal`, and the longest decision in µs."""
     shelf, taker = Shelf(pieces, rate, random.Random(seed)), Taker("t", 1, TakerLimits())
-    giver = Giver(PART, 1, "t", shelf, Limits(), 0, "g")  # type: ignore[arg-type]
+    giver = Giver(PART, 1, "t", shelf, GiverLimits(), 0, "g")  # type: ignore[arg-type]
     heap, order, opened_us, tail, now_us, busy_s = [(0, 0, None)], count(1), -1, 0, 0, 0.0
     draw = random.Random(f"{seed} times")
 
--- a/tests/move_world.py
+++ b/tests/move_world.py
@@ -11,12 +11,12 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import Ended, Limits
+from wheelstep.moves.steps import Ended, GiverLimits
 from wheelstep.moves.taker import Taker
 
-LIMITS = Limits(chunk_pieces=3, pace_us=1 * MS, tail=2, rounds=3, call_bound_us=40 * MS, shut_bound_us=400 * MS,
-                silence_us=300 * MS, tries=3, backoff_us=10 * MS, poll_us=2 * MS, commit_us=80 * MS,
-                undecided_us=3_000 * MS)
+LIMITS = GiverLimits(chunk_pieces=3, pace_us=1 * MS, tail=2, rounds=3, call_bound_us=40 * MS, shut_bound_us=400 * MS,
+                     silence_us=300 * MS, tries=3, backoff_us=10 * MS, poll_us=2 * MS, commit_us=80 * MS,
+                     undecided_us=3_000 * MS)
 START_US, AFTER_US, END_US = 20 * MS, 60 * MS, 3_500 * MS
 
 
@@ -30,7 +30,7 @@
     def __init__(self, crash: dict[int, str] | None = None, down_us: int = 50 * MS,
                  fault: Callable[[int, object], str] = lambda number, message: "",
                  register_fault: Callable[[str, int, str], str] = lambda asker, now_us, owner: "",
-                 call_us: int = 6 * MS, link_us: int = MS, limits: Limits = LIMITS,
+                 call_us: int = 6 * MS, link_us: int = MS, limits: GiverLimits = LIMITS,
                  giver_class: type[Giver] = Giver, taker_class: type[Taker] = Taker) -> None:
         self.crash, self.down_us, self.fault, self.register_fault = crash or {}, down_us, fault, register_fault
         self.call_us, self.link_us, self.limits = call_us, link_us, limits
--- a/tests/test_move_taker.py
+++ b/tests/test_move_taker.py
@@ -9,7 +9,7 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.staged import encode_record
-from wheelstep.moves.steps import Limits, Step, TakerLimits, part_digest, piece_digest, take_chunk
+from wheelstep.moves.steps import GiverLimits, Step, TakerLimits, part_digest, piece_digest, take_chunk
 from wheelstep.moves.taker import Ask, Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Offer, Piece, Seal
 
@@ -186,7 +186,7 @@
 
 def test_chunks_are_limited_and_a_long_tail_is_sent_in_several() -> None:
     waiting = deque([Piece("a", b"x" * 500), Piece("b", b"x" * 500), Piece("c", b"x" * 5_000)])
-    assert [len(take_chunk(waiting, Limits(chunk_bytes=1_200))) for _ in range(2)] == [2, 1]
+    assert [len(take_chunk(waiting, GiverLimits(chunk_bytes=1_200))) for _ in range(2)] == [2, 1]
     giver = new_giver(MemoryContent())
     for name in "abcdefgh":
         giver._unsent.append(Piece(name, b"x"))
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -9,12 +9,13 @@
 
 from wheelstep.fleet.types import Holding
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, SendRequest, Step, TakeBack, TakerLimits
+from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, GiverLimits, SendRequest, Step, TakeBack, TakerLimits
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Move, Moved, Piece, Seal
 
-LIMITS = Limits(chunk_pieces=4, tail=2, rounds=3, pace_us=10, call_bound_us=1_000, shut_bound_us=5_000, poll_us=100,
-                backoff_us=50, backoff_most_us=150, tries=3, silence_us=2_000, commit_us=500, undecided_us=20_000)
+LIMITS = GiverLimits(chunk_pieces=4, tail=2, rounds=3, pace_us=10, call_bound_us=1_000, shut_bound_us=5_000,
+                     poll_us=100, backoff_us=50, backoff_most_us=150, tries=3, silence_us=2_000, commit_us=500,
+                     undecided_us=20_000)
 HOLDING = Holding(5, "g")
 
 
@@ -59,7 +60,7 @@
         self.held = {piece.name: piece.data for piece in pieces}
 
 
-def new_giver(content: MemoryContent, limits: Limits = LIMITS) -> Giver:
+def new_giver(content: MemoryContent, limits: GiverLimits = LIMITS) -> Giver:
     return Giver(3, 5, "t", content, limits, 0, "g")  # type: ignore[arg-type]
 
 
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -13,7 +13,7 @@
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Action, Answer, Holding, Member, Stand, State, Stood
-from wheelstep.moves.steps import Limits, TakerLimits
+from wheelstep.moves.steps import GiverLimits, TakerLimits
 from wheelstep.moves.swap import Swap, SwapLimits
 
 
@@ -30,7 +30,7 @@
     pace_us: int = 50_000
     probation_us: int = 10_000_000
     members: MemberLimits = field(default_factory=MemberLimits)
-    moves: Limits = field(default_factory=Limits)
+    moves: GiverLimits = field(default_factory=GiverLimits)
     room: TakerLimits = field(default_factory=TakerLimits)
     leaving: SwapLimits = field(default_factory=SwapLimits)
 
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -12,7 +12,7 @@
 from wheelstep.fields import Duration, Table, describe_error
 from wheelstep.fleet.membership import Limits as MemberLimits
 from wheelstep.fleet.placing import NodeSettings
-from wheelstep.moves.steps import Limits
+from wheelstep.moves.steps import GiverLimits
 from wheelstep.moves.swap import SwapLimits
 
 KEY_BYTES = 32  # minimum length of a fleet key
@@ -72,7 +72,7 @@
     return NodeSettings(
         part.voters, part.parts, part.lease, part.clock_drift, margin_us=part.lease // 30, at_once=part.moves_at_once,
         pace_us=part.move_pace, probation_us=part.probation, members=MemberLimits(period_us=part.probe_every),
-        moves=Limits(call_bound_us=part.call_bound),
+        moves=GiverLimits(call_bound_us=part.call_bound),
         leaving=SwapLimits(at_once=part.moves_at_once * 2, pause_us=100_000, bound_us=part.give_away_within))
 
 
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -14,7 +14,7 @@
 from wheelstep.fleet.owner import Event, Gained, Lost, Owner
 from wheelstep.fleet.types import Action, Answer, Ask, Holding, Note, Reply
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, SendRequest, TakeBack
+from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, GiverLimits, SendRequest, TakeBack
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Late, Move, Moved, Offer, Piece, Seal
 
@@ -28,7 +28,7 @@
     """Moves of parts to and from this courier. `ended` lists finished moves: part, whether it was given, reason."""
 
     def __init__(self, me: str, owner: Owner, taker: Taker, content: Content, errands: PendingOperations,
-                 limits: Limits, parts: int, now_us: int) -> None:
+                 limits: GiverLimits, parts: int, now_us: int) -> None:
         self.me, self.owner, self.taker = me, owner, taker
         self._content, self._errands, self._limits, self._parts = content, errands, limits, parts
         self.givers: dict[int, Giver] = {}
--- a/wheelstep/moves/asking.py
+++ b/wheelstep/moves/asking.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from wheelstep.moves.steps import NEVER_US, Act, Limits, SendRequest
+from wheelstep.moves.steps import NEVER_US, Act, GiverLimits, SendRequest
 from wheelstep.moves.types import Move
 
 
 class PendingRequest:
     """The unanswered request to the taker, if any, limited in both its tries and its total time."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: GiverLimits) -> None:
         self._limits = limits
         self.ask: Move | None = None
         self._since_us = 0
@@ -34,7 +34,7 @@
         return self._tries < limits.tries
 
     def retry_if_due(self, now_us: int) -> list[Act] | None:
-        """Return the next try if it is due, else []; None once `Limits.silence_us` have passed since the first try."""
+        """Return the next try if it is due, else []; None once `silence_us` have passed since the first try."""
         if now_us - self._since_us >= self._limits.silence_us:
             return None
         if self.ask is None or self._in_flight or now_us < self._due_us:
--- a/wheelstep/moves/giver.py
+++ b/wheelstep/moves/giver.py
@@ -17,7 +17,7 @@
     Act,
     Commit,
     Ended,
-    Limits,
+    GiverLimits,
     SendRequest,
     Step,
     TakeBack,
@@ -32,7 +32,8 @@
 class Giver:
     """One move of a part that `me` has owned since `epoch`. `step` and `why` show its state to operators."""
 
-    def __init__(self, part: int, epoch: int, to: str, content: Content, limits: Limits, now_us: int, me: str) -> None:
+    def __init__(self, part: int, epoch: int, to: str, content: Content, limits: GiverLimits, now_us: int,
+                 me: str) -> None:
         self.part, self.epoch, self.to, self.me = part, epoch, to, me
         self.step = Step.PLANNED
         self.why = ""
@@ -94,8 +95,7 @@
                 return self._take_back(now_us)
 
     def answered(self, now_us: int, ask: Move, moved: Moved | None) -> list[Act]:
-        """Handle the taker's answer, None after a timeout. Late and duplicate answers are ignored, but one to the
-        `Seal` may still confirm the copy."""
+        """Handle the taker's answer, None after a timeout; late and duplicate ones can only confirm a sealed copy."""
         if moved is not None and (moved.part, moved.epoch) != (ask.part, ask.epoch):
             moved = None
         if moved is not None and moved.ok and ask == self._seal and self.step is not Step.OPEN:
--- a/wheelstep/moves/staged.py
+++ b/wheelstep/moves/staged.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from wheelstep.moves.steps import Limits, part_digest, piece_size, take_chunk, update_digests
+from wheelstep.moves.steps import GiverLimits, part_digest, piece_size, take_chunk, update_digests
 from wheelstep.moves.types import Chunk, Offer, Piece, Seal
 
 RECORD_PREFIX = b"move:"  # tells these records from others in the same log
@@ -93,7 +93,7 @@
         waiting = deque(self.pieces.values())
         while waiting:
             yield encode_record(
-                Chunk(offer.part, offer.epoch, self.place, take_chunk(waiting, Limits()), offer.attempt))
+                Chunk(offer.part, offer.epoch, self.place, take_chunk(waiting, GiverLimits()), offer.attempt))
         yield encode_record(Chunk(offer.part, offer.epoch, self.place, (), offer.attempt))
         if self.seal is not None:
             yield encode_record(Seal(offer.part, offer.epoch, self.place, self.seal.digest, (), offer.attempt))
--- a/wheelstep/moves/steps.py
+++ b/wheelstep/moves/steps.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class GiverLimits:
     """The giver's limits for one move."""
 
     chunk_bytes: int = 64 * 1024  # a larger piece is sent in a chunk of its own
@@ -121,7 +121,7 @@
     return whole.hexdigest()
 
 
-def take_chunk(waiting: deque[Piece], limits: Limits) -> tuple[Piece, ...]:
+def take_chunk(waiting: deque[Piece], limits: GiverLimits) -> tuple[Piece, ...]:
     """Remove the next chunk's pieces from `waiting` and return them."""
     chunk: list[Piece] = []
     size = 0
