--- a/wheelstep/moves/giver.py
+++ b/wheelstep/moves/giver.py
@@ -39,7 +39,7 @@
         self.why = ""
         self.shut_us = -1  # when the part was shut; -1 before
         self._content, self._limits = content, limits
-        self._attempt = now_us  # rises per offer; a restarted courier owns its parts under newer epochs
+        self._attempt = now_us  # rises with each move; a restarted courier owns its parts under newer epochs
         self._unsent: deque[Piece] = deque()
         self._digests: dict[str, bytes] = {}
         self._next_place = 0
--- a/wheelstep/moves/staged.py
+++ b/wheelstep/moves/staged.py
@@ -64,7 +64,7 @@
     place: int = -1
     size: int = 0
     seal: Seal | None = None  # set once the copy is whole
-    owned_epoch: int = 0  # newest epoch under which the register named this courier; 0 for none
+    owned_epoch: int = 0  # newest epoch at which the register named this courier since then; 0 for none
     pieces: dict[str, Piece] = field(default_factory=dict)
     digests: dict[str, bytes] = field(default_factory=dict)
 
--- a/wheelstep/moves/swap.py
+++ b/wheelstep/moves/swap.py
@@ -64,7 +64,7 @@
         self.why: deque[str] = deque(maxlen=16)  # reasons of the newest failures
 
     def tick(self, now_us: int, mine: Mapping[int, int], takers: Mapping[int, Sequence[str]]) -> list[Start]:
-        """Return the moves to begin now. `mine` maps each part still owned to its number of pieces, `takers` each
+        """Return the moves to begin now. `mine` maps each part still owned to its approximate size, `takers` each
         part to its possible takers, the preferred one first. The smallest part goes first: most channels move early."""
         self._left = len(mine)
         for part in [part for part in self._failed_moves if part not in mine]:
