--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -13,8 +13,8 @@
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Action, Answer, Member, Ownership, Stand, State, Stood
-from wheelstep.moves.steps import Limits, Room
-from wheelstep.moves.swap import Pace, Swap
+from wheelstep.moves.steps import GiverLimits, TakerLimits
+from wheelstep.moves.swap import Swap, SwapLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +30,9 @@
     pace_us: int = 50_000
     probation_us: int = 10_000_000
     members: MemberLimits = field(default_factory=MemberLimits)
-    moves: Limits = field(default_factory=Limits)
-    room: Room = field(default_factory=Room)
-    leaving: Pace = field(default_factory=Pace)
+    moves: GiverLimits = field(default_factory=GiverLimits)
+    room: TakerLimits = field(default_factory=TakerLimits)
+    leaving: SwapLimits = field(default_factory=SwapLimits)
 
 
 class PlacementRunner:
@@ -72,7 +72,7 @@
         if self._swap is None or self._tenure.givers or not self._swap.over(self._next_plan_us):
             return False
         late = self._swap.progress(self._next_plan_us).state == "late"
-        return late or not (self._owner.leased() or self._tenure.opening or self._tenure.taker.whole())
+        return late or not (self._owner.leased() or self._tenure.opening or self._tenure.taker.sealed_parts())
 
     def leave(self, now_us: int) -> None:
         """Start giving all parts away."""
@@ -132,7 +132,7 @@
             return []
         plan = self._placement.plan(now_us, self._tenure.givers)
         for part in parts:
-            mine = self.owner_of(part) == self._me or self._tenure.taker.sealed(part) is not None
+            mine = self.owner_of(part) == self._me or self._tenure.taker.sealed_epoch(part) is not None
             (self._owner.want if part in plan.free or mine else self._owner.unwant)(part)
         actions: list[Action] = []
         for part, to in plan.away.items():
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -14,7 +14,7 @@
 from wheelstep.fleet.owner import Event, Gained, Lost, Owner
 from wheelstep.fleet.types import Action, Answer, Ask, Note, Ownership, Reply
 from wheelstep.moves.giver import Giver
-from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, Limits, TakeBack, Tell
+from wheelstep.moves.steps import NEVER_US, Act, Commit, Ended, GiverLimits, SendRequest, TakeBack
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Late, Move, Moved, Offer, Piece, Seal
 
@@ -28,7 +28,7 @@
     """Moves of parts to and from this courier. `ended` lists finished moves: part, whether it was given, reason."""
 
     def __init__(self, me: str, owner: Owner, taker: Taker, content: Content, errands: PendingOperations,
-                 limits: Limits, parts: int, now_us: int) -> None:
+                 limits: GiverLimits, parts: int, now_us: int) -> None:
         self.me, self.owner, self.taker = me, owner, taker
         self._content, self._errands, self._limits, self._parts = content, errands, limits, parts
         self.givers: dict[int, Giver] = {}
@@ -58,7 +58,7 @@
         for giver in list(self.givers.values()):
             actions += self._execute(now_us, giver, giver.tick(now_us))
         for part, at_us in list(self._sealed_check_us.items()):
-            if self.taker.sealed(part) is None:
+            if self.taker.sealed_epoch(part) is None:
                 del self._sealed_check_us[part]
             elif now_us >= at_us:  # the giver may be dead; only this courier can continue without loss
                 self._sealed_check_us[part] = now_us + self.owner.timeout_us * 6
@@ -78,13 +78,13 @@
                 self.opening.discard(event.part)
                 self._content.shut(event.part)
                 if (giver := self.givers.get(event.part)) is not None:
-                    giver.lost(now_us)
+                    giver.lease_lost(now_us)
                 continue
             holding = Ownership(event.epoch, self.me if isinstance(event, Gained) else event.owner)
             if event.epoch > self._decided.get(event.part, Ownership(0, "")).epoch:
                 self._decided[event.part] = holding
             first = event.first if isinstance(event, Gained) else 0
-            records = self.taker.passed(event.part, holding.epoch, holding.owner, first)
+            records = self.taker.observe_holding(event.part, holding.epoch, holding.owner, first)
             if (giver := self.givers.get(event.part)) is not None:
                 actions += self._errands.save(now_us, records)
                 actions += self._execute(now_us, giver, giver.decided(now_us, holding.epoch, holding.owner))
@@ -108,7 +108,7 @@
 
     def _gained(self, now_us: int, event: Gained, records: list[bytes]) -> list[Action]:
         part, epoch = event.part, event.epoch
-        if self.taker.sealed(part) is None:
+        if self.taker.sealed_epoch(part) is None:
             return [*self._errands.save(now_us, records), *self._open(event, now_us)]
         self.opening.add(part)
         self._content.adopt(part, epoch, self.taker.pieces(part))
@@ -136,7 +136,7 @@
         actions: list[Action] = []
         for act in acts:
             match act:
-                case Tell(ask):
+                case SendRequest(ask):
                     actions.append(self._errands.call(giver.to, ask, CALL_US, partial(self._on_answer, giver, ask)))
                 case Commit(part, to):
                     self.owner.give(now_us, part, to)
@@ -188,7 +188,7 @@
         for part in range(self._parts):
             holding = known(part)
             if holding is None or holding.owner == self.me or holding.owner not in here or part in self.givers \
-                    or part in self._reporting or self.taker.sealed(part) is not None:
+                    or part in self._reporting or self.taker.sealed_epoch(part) is not None:
                 continue
             pieces = self._content.orphans(part)[:MAX_ORPHANS]
             if pieces:
