--- a/wheelstep/moves/taker.py
+++ b/wheelstep/moves/taker.py
@@ -58,7 +58,7 @@
                             removal.epoch + 1 if removal is not None else 0)
         if ask.epoch < current_epoch:
             return self._refuse(ask, "epoch", f"part {ask.part}: epoch {ask.epoch} is over, "
-                                f"expected at least {current_epoch}"), records
+                                f"expected {current_epoch}"), records
         expected_sender = holding.owner if holding is not None and holding.epoch == ask.epoch else None
         if expected_sender is None and copy is not None and copy.offer.epoch == ask.epoch:
             expected_sender = copy.sender
@@ -71,7 +71,7 @@
             moved, new_records = self._handle_cancel(ask, copy)
         elif copy is None or (copy.offer.epoch, copy.offer.attempt) != (ask.epoch, ask.attempt):
             moved, new_records = self._refuse(
-                ask, "offer", f"part {ask.part}: no current offer for this {_type_name(ask)}"), []
+                ask, "offer", f"part {ask.part}: no offer stands for this {_type_name(ask)}"), []
         else:
             copy.last_heard_us = now_us
             moved, new_records = self._handle_pieces(ask, copy)
@@ -89,16 +89,16 @@
                 return Moved(ask.part, ask.epoch, True, copy.place), [encode_record(CopyStarted(sender, ask))]
             if copy.seal is not None:
                 return self._refuse(ask, "whole", f"part {ask.part}: a whole copy of epoch {copy.offer.epoch} is here, "
-                                    "until the register names its owner", again_us=room.again_us), []
+                                    "until the register says whose it is", again_us=room.again_us), []
             if (ask.epoch, ask.attempt) <= (copy.offer.epoch, copy.offer.attempt):
-                return self._refuse(ask, "attempt", f"part {ask.part}: a later offer is current"), []
+                return self._refuse(ask, "attempt", f"part {ask.part}: a later offer stands"), []
         if ask.size > room.most_bytes:
             return self._refuse(ask, "size", f"{ask.size} bytes, expected at most {room.most_bytes}"), []
         records = self._drop_idle_copies(now_us, ask)
         others = [each for part, each in self._copies.items() if part != ask.part]
         taken = sum(max(each.size, each.offer.size) for each in others)
         if len(others) >= room.most_parts or taken + ask.size > room.most_bytes:
-            return self._refuse(ask, "room", f"{len(others)} parts with {taken} bytes are being copied here already",
+            return self._refuse(ask, "room", f"{len(others)} parts with {taken} bytes are on their way here already",
                                 again_us=room.again_us), records
         self._copies[ask.part] = Copy(sender, ask, now_us)
         return Moved(ask.part, ask.epoch, True), [*records, encode_record(CopyStarted(sender, ask))]
@@ -151,7 +151,7 @@
         accepted = Moved(ask.part, ask.epoch, True)
         if copy is not None and copy.seal is not None and (copy.offer.epoch, copy.sender) == (ask.epoch - 1, sender):
             if not copy.owned_epoch and ask.stands:
-                return self._refuse(ask, "given", f"part {ask.part}: the owner of epoch {ask.epoch} is not known yet",
+                return self._refuse(ask, "given", f"part {ask.part}: whose epoch {ask.epoch} was is not known here yet",
                                     again_us=self._room.again_us), records
             copy.owned_epoch = copy.owned_epoch or ask.epoch
             return accepted, [
