--- a/tests/crossings_world.py
+++ b/tests/crossings_world.py
@@ -128,15 +128,15 @@
     async def _pause(self) -> None:
         """The process gets no processor for a while: what came meanwhile lies in the kernel."""
         process = self._courier.process
-        self._signal(signal.SIGSTOP)
+        self._signal(signal.SIGSTOP, process)
         await asyncio.sleep(0.3)
-        if self._courier.process is process:
-            self._signal(signal.SIGCONT)
+        self._signal(signal.SIGCONT, process)  # also if a new version has taken over meanwhile
 
-    def _signal(self, number: int) -> None:
+    def _signal(self, number: int, process: asyncio.subprocess.Process | None = None) -> None:
         """Past `subprocess`, which looks first whether the process has ended and takes its exit code with it."""
-        if self._courier.process.returncode is None:
-            os.kill(self._courier.process.pid, number)
+        process = process or self._courier.process
+        if process.returncode is None:
+            os.kill(process.pid, number)
 
     async def _away(self, port: wire.Port, hush: bool) -> None:
         """An endpoint takes no connection for a while; what is written to one that waits in its queue is read later."""
