--- a/tests/stub_fleet.py
+++ b/tests/stub_fleet.py
@@ -1,6 +1,7 @@
-"""A courier of a fleet that is none of ours, for the rig: parts belong to voters by number and for good, nothing is
-written down. `python stub_fleet.py WHAT --operator FILE`: `plain` keeps order while all live; `greedy` serves every
-channel itself; `hasty` calls what it is handed at once.
+"""A minimal courier of a fleet, independent of umberchute, for the fleet rig. Parts belong to voters by number and do
+not move; nothing is stored. `python stub_fleet.py VARIANT --operator FILE`: `plain` keeps the order of each channel
+while all couriers run; `greedy` serves every channel itself instead of naming its owner; `hasty` starts each delivery
+without waiting for the one before.
 """
 
 from __future__ import annotations
@@ -17,18 +18,20 @@
 
 from wheelstep.rehearsal.standins.wire import Client, Request, Server
 
-WHAT, OPERATOR = sys.argv[1], tomllib.loads(Path(sys.argv[3]).read_text())
+VARIANT, OPERATOR = sys.argv[1], tomllib.loads(Path(sys.argv[3]).read_text())
 CONFIG = json.loads(Path(os.environ["RELAY_CONFIG"]).read_text())
-DIALS = [row["dial"].split(":") for row in CONFIG["known"]["hosts"]]
-DOORS = Path(os.environ["RELAY_STATE"]).parent.parent
+ENDPOINT_ADDRESSES = [row["dial"].split(":") for row in CONFIG["known"]["hosts"]]
+ADDRESS_DIR = Path(os.environ["RELAY_STATE"]).parent.parent
 NAME, VOTERS, PARTS = CONFIG["name"], OPERATOR["fleet"]["voters"], OPERATOR["fleet"]["parts"]
 
 
 class Channel:
+    """Messages of one channel: the next number to deliver, and those that wait for a lower number."""
+
     def __init__(self, name: str) -> None:
-        self.name, self.next = name, 1
+        self.name, self.next_number = name, 1
         self.waiting: dict[int, tuple[str, bytes]] = {}
-        self.turn = asyncio.Lock()
+        self.order_lock = asyncio.Lock()
 
 
 CHANNELS: dict[str, Channel] = {}
@@ -37,49 +40,54 @@
 
 
 async def deliver(channel: Channel, number: int, message: str, body: bytes) -> None:
-    async with asyncio.Lock() if WHAT == "hasty" else channel.turn:
+    """Deliver a message to the first endpoint of the configuration; unless `hasty`, one at a time per channel."""
+    async with asyncio.Lock() if VARIANT == "hasty" else channel.order_lock:
         head = (f"POST /inbox HTTP/1.1\r\nHost: x\r\nX-Request-Id: {message}\r\nX-Channel: {channel.name}\r\n"
                 f"X-Channel-Number: {number}\r\nX-Channel-Epoch: 1\r\nIdempotency-Key: {TOKENS[message]}\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n")
-        link = await Client.dial(DIALS[0][0], int(DIALS[0][1]))
+        link = await Client.dial(ENDPOINT_ADDRESSES[0][0], int(ENDPOINT_ADDRESSES[0][1]))
         await link.ask(head.encode() + body)
         link.close()
 
 
-TOKENS: dict[str, str] = {}
+TOKENS: dict[str, str] = {}  # idempotency key by message
+
 
+class ClientConnection(Server):
+    """A client's connection. The owner of the channel accepts messages; others answer 503 with the owner's address."""
 
-class Door(Server):
     def requested(self, request: Request) -> None:
+        """Answer a health check, a request for the channel's next number, or a message."""
         path = request.target.split("/")
         if request.target == "/healthz":
             self.answer(200)
             return
         name = f"updates/1/{path[-1]}"
         owner = VOTERS[xxhash.xxh3_64_intdigest(name.encode()) % PARTS % len(VOTERS)]
-        if owner != NAME and WHAT != "greedy":
-            address = (DOORS / f"{owner}.door").read_text() if (DOORS / f"{owner}.door").exists() else ""
+        if owner != NAME and VARIANT != "greedy":
+            address = (ADDRESS_DIR / f"{owner}.door").read_text() if (ADDRESS_DIR / f"{owner}.door").exists() else ""
             self.answer(503, {"X-Channel-Owner": address, "Retry-After": "0.1"})
             return
         channel = CHANNELS.setdefault(name, Channel(name))
         if request.method == "GET":
-            self.answer(200, {}, json.dumps({"next": channel.next, "session": 0}).encode())
+            self.answer(200, {}, json.dumps({"next": channel.next_number, "session": 0}).encode())
             return
         message, number = request.headers["x-request-id"], int(request.headers["x-channel-number"])
         if message not in TOKENS:
             TOKENS[message] = request.headers["idempotency-key"]
             channel.waiting[number] = message, request.body
-        while channel.next in channel.waiting:
-            task = asyncio.create_task(deliver(channel, channel.next, *channel.waiting.pop(channel.next)))
+        while channel.next_number in channel.waiting:
+            task = asyncio.create_task(deliver(channel, channel.next_number, *channel.waiting.pop(channel.next_number)))
             TASKS.add(task)
-            channel.next += 1
-        self.answer(202, {"X-Channel-Next": str(channel.next)})
+            channel.next_number += 1
+        self.answer(202, {"X-Channel-Next": str(channel.next_number)})
 
 
 async def main() -> None:
+    """Serve clients until the process ends. The address is written to a file that the other couriers read."""
     host, port = os.environ["RELAY_LISTEN"].split(":")
-    server = await asyncio.get_running_loop().create_server(Door, host, int(port))
-    (DOORS / f"{NAME}.door").write_text(f"{host}:{port}")
+    server = await asyncio.get_running_loop().create_server(ClientConnection, host, int(port))
+    (ADDRESS_DIR / f"{NAME}.door").write_text(f"{host}:{port}")
     await server.serve_forever()
 
 
--- a/tests/test_forwarding_heads.py
+++ b/tests/test_forwarding_heads.py
@@ -1,4 +1,4 @@
-"""Invalid forwarded frames end the connection, and nothing of them is taken."""
+"""Invalid forwarded frames end the connection, and no message of them is taken."""
 
 from __future__ import annotations
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -81,7 +81,7 @@
 
 
 class OwnerOverSocket:
-    """An owner behind a Unix socket, and a client that asks it."""
+    """An owner that accepts connections on a Unix socket, and a client that asks it."""
 
     def __init__(self, folder: Path) -> None:
         self.path = str(folder / "hop")
@@ -147,7 +147,7 @@
 
 
 def test_client_gets_no_answer_if_the_owner_ends_before_it_answers(tmp_path: Path) -> None:
-    """Guards against a 503 for what the owner's journal may hold: the client hands it in again, a fee is paid twice."""
+    """Guards against a 503 for what the owner's journal may hold: the client submits it again, a fee is paid twice."""
     async def work() -> None:
         async with OwnerOverSocket(tmp_path) as remote:
             remote.owner.syncs = True
@@ -171,7 +171,7 @@
 
 
 def test_message_is_withdrawn_if_the_asker_ends_before_the_answer(tmp_path: Path) -> None:
-    """Guards against a second delivery: the client was not answered and hands it in again under another id."""
+    """Guards against a second delivery: the client was not answered and submits it again under another id."""
     async def work() -> None:
         async with OwnerOverSocket(tmp_path) as remote:
             remote.owner.syncs = True
--- a/tests/test_workers_edges.py
+++ b/tests/test_workers_edges.py
@@ -116,17 +116,17 @@
     """Each worker has its part of the descriptors and closes silent connections when it runs out of them."""
     async def scene() -> None:
         async with TwoWorkers(tmp_path) as s:
-            crowd = []
+            silent = []
             for _ in range(300):  # 256 descriptors, a third for clients
                 try:
-                    crowd.append(await asyncio.open_connection(*s.courier.address.rsplit(":", 1)))
+                    silent.append(await asyncio.open_connection(*s.courier.address.rsplit(":", 1)))
                 except OSError:
                     break
             for number in range(20):
                 assert await s.hand_in(f"m{number}", s.number) == 202
                 assert await s.hand_in(f"n{number}", 7) == 202
             assert len(await s.other.wait(20)) == len(await s.endpoint.wait(20)) == 20
-            for _, writer in crowd:
+            for _, writer in silent:
                 writer.close()
             assert not any("Too many open files" in line or "Traceback" in line for line in s.courier.log)
             assert await s.courier.terminate() == 0
--- a/wheelstep/forwarding/client.py
+++ b/wheelstep/forwarding/client.py
@@ -1,9 +1,9 @@
-"""The asking side of forwarding: the process with the client answers 202, the owner delivers the message, and the
-owner's journal has the message before the client is answered. `server` is the owner's side.
+"""The asking side of forwarding. The process with the client answers 202; the owner journals the message before that,
+delivers it, and is responsible for its terminal outcome. `server` is the owner's side.
 
-The asker sends `ask` (a message, under a number). The owner answers `taken`, `known`, `unsettled`, `away`, or `bad` or
-`full` with the reason. The asker then sends `begin` (the client was answered 202) or `withdraw` (it left before). A
-connection that ends with neither counts as `begin`, as the client may have been answered.
+The asking process sends `ask` (a message, under a number); the owner sends an answer (`heads.Answer`). After `taken`
+the asking process sends `begin` (the client was answered 202) or `withdraw` (the client disconnected before). If the
+connection ends with neither, the owner begins the message, as the client may have been answered.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Ended(Enum):
-    """How an ask ended. SILENT: no answer came (in time), so the message may have been taken."""
+    """How an ask ended. NOT_ASKED: nothing was sent. SILENT: no answer came (in time), so it may have been taken."""
 
     TAKEN = "taken"
     KNOWN = "known"
@@ -43,19 +43,19 @@
 class ForwardClient:
     """Asks one other process. Connects on the first ask, and again after the connection has ended.
 
-    Each ask has a number, which its answer repeats: if a client leaves and hands in the same message again, the answer
-    to its first ask must not count as one to its second."""
+    Each ask has a number, which its answer repeats: if a client disconnects and submits the same message again, the
+    answer to its first ask must not count as one to its second."""
 
     def __init__(self, dial: Dial, *, what: str, wait_s: float = 0.35, most: int = 2_000) -> None:
-        """`what` names the other process in errors. An ask times out after `wait_s` seconds (a client waits 400 ms for
-        its own answer); at most `most` asks are open at once."""
+        """`what` names the other process in errors and logs. An ask times out after `wait_s` seconds (a client waits
+        400 ms for its own answer); at most `most` asks are open at once."""
         self._dial_link, self._what, self._wait_s, self._most = dial, what, wait_s, most
         self._link: Link | None = None
         self._generation = 0  # of the connection; raised by each dial and end, to ignore old ones
         self._dialling: asyncio.Task[None] | None = None
         self._waiting_for_dial = 0  # asks that wait until the connection is there
         self._numbers = itertools.count()
-        self._next_number = 0  # lowest number that was not asked yet
+        self._next_number = 0  # all asks so far had lower numbers
         self._asked: dict[int, tuple[RemoteDesk, asyncio.Future[None], float]] = {}  # by number, oldest first
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._closed = False
@@ -66,15 +66,15 @@
         generation = self._generation
         link = await self._dial_link(functools.partial(self._on_frame, generation),
                                      functools.partial(self._on_end, generation))
-        if link is not None and generation != self._generation:  # it ended while it was dialled
+        if link is not None and generation != self._generation:  # the connection ended while it was dialled
             link.close()
         elif link is not None:
             self._link = link
 
     def ask(self, desk: RemoteDesk, message: StoredMessage) -> asyncio.Future[None]:
         """Return a future that is done once the owner has taken the message. It fails with `NotAskedError` if nothing
-        was sent, `AwayError`, `NoRoomError` or `BadRequestError` if it was refused, and `UnansweredError` if it may
-        have been taken. No task per message: a hop costs a third less this way."""
+        was sent, `AwayError`, `NoRoomError` or `BadRequestError` if the owner refused, and `UnansweredError` if it may
+        have been taken. Creates no task per message, which cuts the cost of a hop by a third."""
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self._closed:
             self._not_asked(desk, answer)
@@ -83,7 +83,7 @@
                        NotAskedError(f"too many messages are under way to {self._what}"))
         elif self._link is not None:
             self._send(self._link, desk, message, answer)
-        else:  # by callback, so that this dial's end is not mistaken for the next one's
+        else:  # waits for this very dial, whose end must not be mistaken for the next one's
             if self._dialling is None or self._dialling.done():
                 self._dialling = asyncio.create_task(self._dial())
             self._waiting_for_dial += 1
@@ -119,7 +119,7 @@
         answer.set_exception(error)
 
     def _expire(self) -> None:
-        """Time out the asks that are due. One timer serves all: timeouts are equal, so the oldest is due first."""
+        """Time out the asks that are due. One timer serves all: timeouts are equal, so the oldest ask is due first."""
         loop = asyncio.get_running_loop()
         self._expiry_timer = None
         while self._asked:
@@ -133,7 +133,7 @@
                 self._fail(desk, answer, Ended.SILENT, UnansweredError(f"{self._what} did not answer"))
 
     def tell(self, what: str, desk: RemoteDesk) -> None:
-        """Send `begin` or `withdraw` (`what`). The owner takes the end of the connection as `begin`."""
+        """Send `begin` or `withdraw` (`what`), unless the connection has ended, which the owner takes as `begin`."""
         if self._link is not None and self._link is desk.link:
             self._link.send({"do": what, "n": desk.number})
 
--- a/wheelstep/forwarding/errors.py
+++ b/wheelstep/forwarding/errors.py
@@ -1,4 +1,4 @@
-"""Errors that tell an asker that nobody has taken the message, so that it may ask again. No I/O."""
+"""Errors that tell the asking process that nobody has taken the message, so that it may ask again. No I/O."""
 
 from __future__ import annotations
 
--- a/wheelstep/forwarding/server.py
+++ b/wheelstep/forwarding/server.py
@@ -1,4 +1,4 @@
-"""The owner's side of forwarding: takes, begins or withdraws the messages that other processes hand in."""
+"""The owner's side of forwarding: takes, begins or withdraws the messages that other processes forward."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Turned:
-    """No desk takes the message here: `away` if another process serves it, `full` if none can at the moment."""
+    """Why the message can't be taken here: `away` if another process serves its destination, `full` if none can at the
+    moment. `why` is the reason that the asking process is told."""
 
     is_: Literal["full", "away"]
     why: str
 
 
 class ForwardServer:
-    """The owner's side of one connection from another process. `find` returns the desk of a message, or why there is
-    none. Its user passes the connection to `attach`, each frame to `heard`, and calls `lost` at its end."""
+    """The owner's side of one connection from another process. `find` returns what admits a message, or why nothing
+    does. Its user passes the connection to `attach`, each frame to `heard`, and calls `lost` at its end."""
 
     def __init__(self, find: Callable[[StoredMessage], Admission | Turned], *, most: int = 20_000) -> None:
-        """With `most` messages taken and not begun, further asks are answered `full`."""
+        """While `most` messages are taken that were neither begun nor withdrawn, asks are answered `full`."""
         self._find, self._most = find, most
         self._link: Link | None = None
         self._ended = False
-        self._next_number = 0  # lowest number that was not asked yet
+        self._next_number = 0  # all asks so far had lower numbers
         self._pending: dict[int, tuple[Admission, StoredMessage]] = {}  # taken, neither begun nor withdrawn
         self._tasks: dict[int, asyncio.Task[None]] = {}  # taken, waiting for the journal's sync
         self.refused: Counter[str] = Counter()  # invalid frames, by reason
@@ -47,7 +48,7 @@
         self._link = link
 
     def heard(self, head: dict[str, Any], body: bytes) -> None:
-        """Handle a frame. An invalid one ends the connection, and is itself ignored."""
+        """Handle a frame of the asking process. An invalid one is ignored, and the connection is closed."""
         if self._ended:
             return
         try:
@@ -116,7 +117,8 @@
             self._tasks.pop(number, None)
 
     def _answer_error(self, number: int, error: Exception) -> None:
-        """Answer by the kind of error. After other errors the outcome is unknown, so the asker times out."""
+        """Answer by the kind of error. After other errors the outcome is unknown, so no answer is sent and the asking
+        process times out."""
         match error:
             case NotAskedError():
                 self._answer(number, "away", str(error))
--- a/wheelstep/workers/between.py
+++ b/wheelstep/workers/between.py
@@ -10,15 +10,15 @@
 from wheelstep.forwarding.link import Heard, Link, Lost
 from wheelstep.forwarding.server import ForwardServer, Turned
 from wheelstep.journal import StoredMessage
-from wheelstep.workers.frames import Frames
+from wheelstep.workers.frames import FrameConnection
 
 _DIAL_S = 0.2
 
 
 def forward_client(path: str) -> ForwardClient:
-    """Return the client that asks the worker that listens at `path`."""
+    """Return the client that forwards to the worker that listens at the Unix socket `path`."""
     async def dial(heard: Heard, lost: Lost) -> Link | None:
-        frames = Frames(heard, lost)
+        frames = FrameConnection(heard, lost)
         try:
             async with asyncio.timeout(_DIAL_S):
                 await asyncio.get_running_loop().create_unix_connection(lambda: frames, path)
@@ -29,11 +29,12 @@
 
 
 class OwnerSide:
-    """One connection from another worker. `find` returns a destination's desk, None if its share is not open here."""
+    """One connection from another worker. `find` returns what admits the messages of a destination, None if its share
+    is not open here."""
 
     def __init__(self, find: Callable[[int], Admission | None]) -> None:
         def desk(message: StoredMessage) -> Admission | Turned:
             return find(message.destination) or Turned("full", "its share is not open here just now")
         server = ForwardServer(desk)
-        self.frames = Frames(server.heard, server.lost)
+        self.frames = FrameConnection(server.heard, server.lost)
         server.attach(self.frames)
--- a/wheelstep/workers/closed.py
+++ b/wheelstep/workers/closed.py
@@ -1,4 +1,4 @@
-"""The desk of a share that is not open in any worker: its clients are told so, and no message is taken."""
+"""Admission to a share that is not open in any worker: its clients are told so, and no message is taken."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from wheelstep.journal import NoRoomError, StoredMessage
 
 
-class ClosedDesk:
-    """Takes nothing and holds nothing (admission.Admission)."""
+class ClosedAdmission:
+    """Takes no message and holds none (admission.Admission)."""
 
     ready = False
     syncs = False
--- a/wheelstep/workers/frames.py
+++ b/wheelstep/workers/frames.py
@@ -25,9 +25,9 @@
     return _LENGTHS.pack(len(text), len(body)) + text + body
 
 
-class Frames(asyncio.Protocol):
-    """One connection: calls `heard` with each frame, in order, and `lost` at its end. It is closed when more than 4 MB
-    wait for a peer that does not read, and when a frame is longer than 16 MB."""
+class FrameConnection(asyncio.Protocol):
+    """One connection: calls `heard` with the head and body of each frame, in order, and `lost` at its end. It is closed
+    when more than 4 MB wait for a peer that does not read, and when a frame is invalid or longer than 16 MB."""
 
     def __init__(self, heard: Callable[[dict[str, Any], bytes], None], lost: Callable[[], None]) -> None:
         self._on_frame, self._on_end = heard, lost
--- a/wheelstep/workers/journals.py
+++ b/wheelstep/workers/journals.py
@@ -10,7 +10,8 @@
 
 
 class Journals:
-    """Journals by share. `share_of` returns a destination's share; `share_at` an endpoint's, None if unknown."""
+    """Journals of the shares that are open here. `share_of` returns the share of a destination, `share_at` that of an
+    endpoint, None if unknown."""
 
     def __init__(self, share_of: Callable[[int], int], share_at: Callable[[str], int | None]) -> None:
         self._share_of, self._share_at = share_of, share_at
@@ -64,7 +65,8 @@
             del self.messages[message]
 
     def mark(self, name: str, value: Any) -> None:
-        """As `Journal.mark`, in the journal of the endpoint's share; dropped if that is unknown or not open here."""
+        """As `Journal.mark`, in the journal of the endpoint's share; dropped if that share is unknown or not open here.
+        `name` is the endpoint; None as `value` removes its mark."""
         share = self._mark_shares.get(name, self._share_at(name))
         if share is None or share not in self._journals:
             return  # no message depends on a mark
--- a/wheelstep/workers/layout.py
+++ b/wheelstep/workers/layout.py
@@ -1,4 +1,5 @@
-"""The folders of the shares, and the migration of messages between layouts: one journal in all, or one per share.
+"""The folders of the shares, and the migration of messages between layouts: one journal in all, or one per share (a
+share is a fixed subset of the destinations).
 
 `layout.json` names the valid generation and its number of shares. It is replaced by rename, which is the commit point.
 The remains of an interrupted migration are removed, or it is completed, at the next start. Generation 0 is the folder
@@ -34,18 +35,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Which folders are valid."""
+    """Which folders are valid: those of one generation, one folder per share."""
 
     generation: int  # 0: one journal in the folder itself
     shares: int
 
     def folder(self, state: Path, share: int) -> Path:
-        """Return the folder of a share's journal."""
+        """Return the folder of a share's journal. `state`: folder of the courier."""
         return state / f"shares-{self.generation}" / str(share) if self.generation else state
 
 
 def read_layout(state: Path) -> Layout:
-    """Return the valid layout. Raises `LayoutError`."""
+    """Return the valid layout: that of a courier without workers if there is no layout file. Raises `LayoutError` if
+    the file is invalid."""
     path = state / LAYOUT_FILE
     try:
         data = json.loads(path.read_text(encoding="utf-8"))
@@ -62,8 +64,9 @@
 def prepare(state: Path, shares: int, limit_bytes: int) -> Layout:
     """Migrate the folder to `shares` shares, 0 for one journal in the folder itself, and return its layout. Each
     message moves to the share of its destination, in the order of acceptance. A migration that was interrupted is done
-    again. Raises `LayoutError` and changes nothing if another process uses a part of the folder, if it is damaged, or
-    if `limit_bytes` has no room for both copies."""
+    again; its remains are removed first. Raises `LayoutError`, with the valid layout unchanged, if a journal to migrate
+    is in use by another process or damaged, or if `limit_bytes` has no room for both copies (not checked for 0
+    shares)."""
     current = read_layout(state)
     try:
         _remove_stale(state, current)
@@ -147,8 +150,8 @@
 
 
 def _merge(state: Path, current: Layout) -> None:
-    """Merge the shares into one journal in the folder itself. The removal of `layout.json` is the commit point: before
-    it, the next start removes the journal in the folder itself and merges again."""
+    """Merge the shares into one journal in the folder itself. The removal of `layout.json` is the commit point: if
+    interrupted before, the next call of `prepare` removes the journal in the folder itself and merges again."""
     merged = Journal(state, _NO_LIMIT)
     sources = []
     try:
--- a/wheelstep/workers/ownership.py
+++ b/wheelstep/workers/ownership.py
@@ -19,8 +19,8 @@
 
 
 def assign(shares: Iterable[int], workers: Sequence[int], before: Mapping[int, int]) -> dict[int, int]:
-    """Assign shares to workers: evenly (numbers differ by one at most), with the fewest moves from `before`. Returns
-    the worker of each share; empty without workers."""
+    """Assign shares to workers: evenly (numbers differ by one at most), with the fewest moves from `before`, the former
+    worker of each share. Returns the worker of each share; empty without workers."""
     ordered_shares = sorted(shares)
     if not workers:
         return {}
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class SupervisionLimits:
     """When a worker counts as hung, or as one that keeps crashing."""
 
     hang_s: float = 3.0  # without a heartbeat
@@ -54,16 +54,16 @@
     crashes: int = 3  # within `crash_window_s`; then the worker is parked
     crash_window_s: float = 30.0
     restart_delay_s: float = 0.1  # doubled by each further crash within `crash_window_s`
-    quarantine_at: int = 2  # parked workers that owned a share, for it to be set aside
+    quarantine_at: int = 2  # number of parked workers that owned a share, at which it is set aside
 
 
-class State(Enum):
+class WorkerState(Enum):
     """State of a worker."""
 
-    DOWN = "down"  # will be started at `Worker.due_s`
+    DOWN = "down"  # starts at `WorkerRecord.due_s`
     STARTING = "starting"
     UP = "up"
-    PARKED = "parked"
+    PARKED = "parked"  # not started again before the next reload
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,22 +104,22 @@
 
 
 @dataclass(slots=True)
-class Worker:
-    """Known state of one worker; times in seconds of the caller's clock."""
+class WorkerRecord:
+    """Known state of one worker."""
 
-    state: State = State.DOWN
-    due_s: float = 0.0
-    silent_s: float = 0.0
-    killed: bool = False
-    crashes: deque[float] = field(default_factory=deque)
+    state: WorkerState = WorkerState.DOWN
+    due_s: float = 0.0  # clock time of the next start, while DOWN
+    silent_s: float = 0.0  # since its last frame, or its start
+    killed: bool = False  # for its silence; the end of its process is not known yet
+    crashes: deque[float] = field(default_factory=deque)  # clock times within the crash window
 
 
-class Fleet:
-    """All workers of one courier and the shares that each owns."""
+class WorkerPool:
+    """All workers of one courier and the shares that each owns. Times are in seconds of the caller's clock."""
 
-    def __init__(self, workers: int, shares: int, limits: Limits) -> None:
+    def __init__(self, workers: int, shares: int, limits: SupervisionLimits) -> None:
         self._limits = limits
-        self.workers = {number: Worker() for number in range(workers)}
+        self.workers = {number: WorkerRecord() for number in range(workers)}
         self.owners = assign(range(shares), range(workers), {})
         self.opened_by: dict[int, int] = {}  # share -> the worker that has opened it
         self.quarantined: set[int] = set()  # shares that no worker may open, as they seem to crash workers
@@ -129,16 +129,16 @@
         self.stopping = False
 
     def shares_of(self, worker: int) -> tuple[int, ...]:
-        """Return the shares that a worker owns."""
+        """Return the shares that a worker owns, open or not."""
         return tuple(sorted(share for share, owner in self.owners.items() if owner == worker))
 
     def all_open(self) -> bool:
-        """Return whether every share is open that is not set aside."""
+        """Return whether all shares are open, except those that are set aside."""
         return all(share in self.opened_by for share in self._all_shares if share not in self.quarantined)
 
     def all_parked(self) -> bool:
-        """Return whether no worker is left."""
-        return all(worker.state is State.PARKED for worker in self.workers.values())
+        """Return whether all workers are parked, so that none is left."""
+        return all(worker.state is WorkerState.PARKED for worker in self.workers.values())
 
     def tick(self, now_s: float) -> list[Action]:
         """Start workers that are due and kill those that hang. Called several times a second."""
@@ -149,13 +149,13 @@
             return []
         actions: list[Action] = []
         for number, worker in self.workers.items():
-            if worker.state is State.DOWN and worker.due_s <= now_s:
-                worker.state, worker.silent_s, worker.killed = State.STARTING, 0.0, False
+            if worker.state is WorkerState.DOWN and worker.due_s <= now_s:
+                worker.state, worker.silent_s, worker.killed = WorkerState.STARTING, 0.0, False
                 actions.append(Start(number))
-            elif worker.state in (State.STARTING, State.UP) and not worker.killed:
+            elif worker.state in (WorkerState.STARTING, WorkerState.UP) and not worker.killed:
                 worker.silent_s += passed_s
-                most_s = self._limits.hang_s if worker.state is State.UP else self._limits.start_s
-                if worker.silent_s > most_s:
+                limit_s = self._limits.hang_s if worker.state is WorkerState.UP else self._limits.start_s
+                if worker.silent_s > limit_s:
                     worker.killed = True
                     actions += [Warn(f"worker {number} was silent for {worker.silent_s:.1f} s: killed"), Kill(number)]
         return actions
@@ -164,8 +164,8 @@
         """Note a frame of a worker, which counts as a heartbeat."""
         worker = self.workers[number]
         worker.silent_s = 0.0
-        if worker.state is State.STARTING:
-            worker.state = State.UP
+        if worker.state is WorkerState.STARTING:
+            worker.state = WorkerState.UP
 
     def opened(self, number: int, share: int) -> list[Action]:
         """Note that a worker has opened a share. One that it does not own gets the worker killed."""
@@ -175,19 +175,20 @@
         return [Publish()]
 
     def died(self, number: int, now_s: float) -> list[Action]:
-        """Note that a worker's process has ended. It is restarted, or parked if it keeps crashing."""
+        """Note that a worker's process has ended, so that its shares are open no more. The worker is restarted, or
+        parked if it keeps crashing."""
         worker = self.workers[number]
         for share in [share for share, host in self.opened_by.items() if host == number]:
             del self.opened_by[share]
         if self.stopping:
-            worker.state = State.PARKED
+            worker.state = WorkerState.PARKED
             return []
         worker.crashes.append(now_s)
         while worker.crashes[0] < now_s - self._limits.crash_window_s:
             worker.crashes.popleft()
         count = len(worker.crashes)
         if count < self._limits.crashes:
-            worker.state = State.DOWN
+            worker.state = WorkerState.DOWN
             worker.due_s = now_s + self._limits.restart_delay_s * 2 ** (count - 1)
             return [Warn(f"worker {number} ended; started again, {count} of {self._limits.crashes} times within "
                          f"{self._limits.crash_window_s:g} s"), Publish()]
@@ -195,7 +196,7 @@
 
     def _park(self, number: int) -> list[Action]:
         """Give the worker's shares to others, and set aside shares that seem to crash every worker that owns them."""
-        self.workers[number].state = State.PARKED
+        self.workers[number].state = WorkerState.PARKED
         owned = self.shares_of(number)
         actions: list[Action] = [Warn(f"worker {number} keeps crashing: parked; its shares {list(owned)} go to others")]
         for share in owned:
@@ -209,7 +210,7 @@
 
     def _assign_free_shares(self) -> list[Action]:
         """Give shares without an owner to the workers that own the fewest."""
-        live = [number for number, worker in self.workers.items() if worker.state is not State.PARKED]
+        live = [number for number, worker in self.workers.items() if worker.state is not WorkerState.PARKED]
         given: dict[int, list[int]] = {}
         for share in self._all_shares:
             if share not in self.owners and share not in self.quarantined and live:
@@ -217,20 +218,20 @@
                 self.owners[share] = owner
                 given.setdefault(owner, []).append(share)
         actions: list[Action] = [Open(owner, tuple(owned)) for owner, owned in given.items()
-                                 if self.workers[owner].state in (State.STARTING, State.UP)]
+                                 if self.workers[owner].state in (WorkerState.STARTING, WorkerState.UP)]
         return [*actions, Publish()]
 
     def reload(self, now_s: float) -> list[Action]:
         """Start parked workers again and assign the shares that were set aside, as the operator has removed the cause
         of the crashes. The restarted workers own no shares until some need a new owner."""
         for worker in self.workers.values():
-            if worker.state is State.PARKED:
-                worker.state, worker.due_s = State.DOWN, now_s
+            if worker.state is WorkerState.PARKED:
+                worker.state, worker.due_s = WorkerState.DOWN, now_s
                 worker.crashes.clear()
         self.quarantined.clear()
         self._parked_owners.clear()
         return self._assign_free_shares()
 
     def stop(self) -> None:
-        """Start no worker from now on, and count no end as a crash."""
+        """Start no worker from now on, count no end as a crash, and give the shares of ended workers to no other."""
         self.stopping = True
--- a/wheelstep/workers/parts.py
+++ b/wheelstep/workers/parts.py
@@ -8,8 +8,9 @@
 
 
 def worker_config(config: Config, worker: int, workers: int) -> Config:
-    """Return a worker's configuration with its part of slots, held messages and descriptors. The parts add up to the
-    whole, so the platform's limits are never exceeded, even while a worker is parked."""
+    """Return the configuration of worker number `worker` of `workers`, with its part of slots, held messages and
+    descriptors. The parts add up to the whole, so the platform's limits are never exceeded, even while a worker is
+    parked."""
     def part(whole: int) -> int:
         return whole // workers + (worker < whole % workers)
     settings = replace(config.settings, slots=part(config.settings.slots),
--- a/wheelstep/workers/start.py
+++ b/wheelstep/workers/start.py
@@ -13,7 +13,7 @@
 from wheelstep.courier.listener import open_listener
 from wheelstep.journal.disk import Folder
 from wheelstep.workers.layout import LayoutError, prepare
-from wheelstep.workers.ownership import Fleet, Limits
+from wheelstep.workers.ownership import SupervisionLimits, WorkerPool
 from wheelstep.workers.supervisor import AllParkedError, Supervisor
 
 if TYPE_CHECKING:
@@ -24,12 +24,15 @@
 log = logging.getLogger("wheelstep.workers")
 
 
-async def supervise(config: Config, renewed: asyncio.Event, operator: Operator | None, workers: int,
+async def supervise(config: Config, reload_requested: asyncio.Event, operator: Operator | None, workers: int,
                     operator_file: str | None) -> int:
-    """Run a courier with `workers` worker processes until SIGTERM. Returns the exit code. Raises `ConfigError`."""
+    """Run a courier with `workers` worker processes until SIGTERM or SIGINT. `reload_requested`: set to have the
+    configuration read again. `operator_file`: path of the operator's file that workers load (default:
+    `UMBERCHUTE_OPERATOR`). Returns the exit code. Raises `ConfigError` if settings, port or folder can't be used, and
+    an exception group with `AllParkedError` once all workers are parked."""
     operator_settings = operator.workers if operator is not None else None
     shares = operator_settings.shares if operator_settings is not None else max(8, workers)
-    limits = Limits() if operator_settings is None else Limits(
+    limits = SupervisionLimits() if operator_settings is None else SupervisionLimits(
         hang_s=operator_settings.hang_after / 1e6, crashes=operator_settings.park_after,
         crash_window_s=operator_settings.park_within / 1e6)
     if shares < workers:
@@ -47,9 +50,9 @@
         raise ConfigError(f"{config.state}: in use by another process; expected a folder that no courier uses")
     try:
         with tempfile.TemporaryDirectory(prefix="umberchute-") as sockets:
-            supervisor = Supervisor(config, layout, Fleet(workers, shares, limits), listener, sockets,
+            supervisor = Supervisor(config, layout, WorkerPool(workers, shares, limits), listener, sockets,
                                     operator_file or os.environ.get("UMBERCHUTE_OPERATOR"))
-            await supervisor.run(renewed)
+            await supervisor.run(reload_requested)
         return 0
     except ExceptionGroup as group:
         if group.split(AllParkedError)[1] is not None:
--- a/wheelstep/workers/supervisor.py
+++ b/wheelstep/workers/supervisor.py
@@ -21,9 +21,9 @@
 from wheelstep.courier.spread import calling_couriers, max_retry_s
 from wheelstep.courier.watch import Watch
 from wheelstep.workers import ownership
-from wheelstep.workers.frames import Frames
+from wheelstep.workers.frames import FrameConnection
 from wheelstep.workers.layout import Layout
-from wheelstep.workers.ownership import Fleet, share_of
+from wheelstep.workers.ownership import WorkerPool, share_of
 
 if TYPE_CHECKING:
     pass
@@ -35,29 +35,31 @@
 
 
 class AllParkedError(Exception):
-    """No worker is left, as all are parked."""
+    """No worker is left, as each keeps crashing and is parked."""
 
 
 class Supervisor:
-    """Runs the worker processes of one courier."""
+    """Runs the worker processes of one courier. `listener` is the socket for clients, which the workers share;
+    `sockets` the folder of the Unix sockets over which they forward to each other."""
 
-    def __init__(self, config: Config, layout: Layout, fleet: Fleet, listener: socket.socket, sockets: str,
+    def __init__(self, config: Config, layout: Layout, pool: WorkerPool, listener: socket.socket, sockets: str,
                  operator_file: str | None) -> None:
-        self._config, self._layout, self._fleet = config, layout, fleet
+        self._config, self._layout, self._pool = config, layout, pool
         self._listener, self._sockets, self._operator_file = listener, sockets, operator_file
         self._rows: dict[str, Row] = {info.endpoint: (info, address)
                                       for info, address in entries(config.known, config.names)}
         self._share_by_destination: dict[int, int] = {}
         self._processes: dict[int, asyncio.subprocess.Process] = {}
-        self._controls: dict[int, Frames] = {}
+        self._controls: dict[int, FrameConnection] = {}
         self._discovery = config.discovery
         self._ready = False
         self._worker_ended = asyncio.Event()
 
-    async def run(self, renewed: asyncio.Event) -> None:
-        """Run until SIGTERM. Raises `AllParkedError`, in an exception group, once no worker is left."""
+    async def run(self, reload_requested: asyncio.Event) -> None:
+        """Run until SIGTERM or SIGINT. `reload_requested`: set to have the configuration read again. Raises
+        `AllParkedError`, in an exception group, once no worker is left."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, renewed.set)
+        loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
         terminated = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, terminated.set)
@@ -68,7 +70,7 @@
                           max_retry_s(self._config.settings))
             tasks = [self._group.create_task(work) for work in (
                 self._tick(), watch.run(),
-                follow_config(self._config, renewed, watch, self, on_applied=self._reload))]
+                follow_config(self._config, reload_requested, watch, self, on_applied=self._reload))]
             await terminated.wait()
             await self._stop_workers()
             for task in tasks:
@@ -93,7 +95,7 @@
         self._publish()
 
     def _rows_of(self, number: int, rows: Iterable[Row]) -> list[Row]:
-        mine = set(self._fleet.shares_of(number))
+        mine = set(self._pool.shares_of(number))
         return [row for row in rows if self._share_of(row[0].destination) in mine]
 
     def _share_of(self, destination: int) -> int:
@@ -105,8 +107,8 @@
 
     async def _tick(self) -> None:
         while True:
-            self._perform(self._fleet.tick(asyncio.get_running_loop().time()))
-            if self._fleet.all_parked():
+            self._perform(self._pool.tick(asyncio.get_running_loop().time()))
+            if self._pool.all_parked():
                 raise AllParkedError("all workers are parked, as each keeps crashing")
             await asyncio.sleep(_TICK_S)
 
@@ -128,7 +130,7 @@
     async def _run_worker(self, number: int) -> None:
         """Run a worker's process from its start to its end."""
         ours, theirs = socket.socketpair(socket.AF_UNIX)
-        description = {"number": number, "workers": len(self._fleet.workers), "shares": self._layout.shares,
+        description = {"number": number, "workers": len(self._pool.workers), "shares": self._layout.shares,
                 "generation": self._layout.generation, "listener": self._listener.fileno(),
                 "control": theirs.fileno(), "sockets": self._sockets, "operator": self._operator_file,
                 "parent": os.getpid()}
@@ -138,21 +140,21 @@
             env={**os.environ, "UMBERCHUTE_WORKER": json.dumps(description)})
         theirs.close()
         self._processes[number] = process
-        control = Frames(lambda head, body: self._on_worker_frame(number, head), lambda: None)
+        control = FrameConnection(lambda head, body: self._on_worker_frame(number, head), lambda: None)
         await asyncio.get_running_loop().create_unix_connection(lambda: control, sock=ours)
         self._controls[number] = control
-        if self._fleet.stopping:
+        if self._pool.stopping:
             control.send({"do": "leave"})
         control.send({"do": "discovery", "host": self._discovery.host, "port": self._discovery.port})
         self._send_view(control)
-        # Read only now, as it may have been given more shares since its start (found by tests/test_ownership.py).
-        self._send_open(number, self._fleet.shares_of(number))
+        # Shares are read only now, as some may have been assigned since its start (found by tests/test_ownership.py).
+        self._send_open(number, self._pool.shares_of(number))
         code = await process.wait()
         control.close()
         del self._controls[number], self._processes[number]
-        if not self._fleet.stopping:
+        if not self._pool.stopping:
             log.error("worker %d ended with %d", number, code)
-        self._perform(self._fleet.died(number, asyncio.get_running_loop().time()))
+        self._perform(self._pool.died(number, asyncio.get_running_loop().time()))
         self._worker_ended.set()
 
     def _send_open(self, number: int, shares: Sequence[int]) -> None:
@@ -162,20 +164,20 @@
                           "rows": write_rows(self._rows_of(number, self._rows.values()))})
 
     def _on_worker_frame(self, number: int, head: dict[str, Any]) -> None:
-        self._fleet.heartbeat(number)
+        self._pool.heartbeat(number)
         if head["is"] == "open":
-            self._perform(self._fleet.opened(number, int(head["share"])))
+            self._perform(self._pool.opened(number, int(head["share"])))
 
     def _publish(self) -> None:
-        if not self._ready and self._fleet.all_open():
+        if not self._ready and self._pool.all_open():
             self._ready = True
             log.info("%s serves on %s:%d with %d workers, %d shares", self._config.name, self._config.listen.host,
-                     self._listener.getsockname()[1], len(self._fleet.workers), self._layout.shares)
+                     self._listener.getsockname()[1], len(self._pool.workers), self._layout.shares)
         for control in self._controls.values():
             self._send_view(control)
 
-    def _send_view(self, control: Frames) -> None:
-        control.send({"do": "view", "owners": self._fleet.opened_by, "ready": self._ready and not self._fleet.stopping,
+    def _send_view(self, control: FrameConnection) -> None:
+        control.send({"do": "view", "owners": self._pool.opened_by, "ready": self._ready and not self._pool.stopping,
                       "knows": bool(self._rows)})
 
     # --- reload and shutdown ---
@@ -187,10 +189,10 @@
             control.send({"do": "discovery", "host": discovery.host, "port": discovery.port})
 
     def _reload(self) -> None:
-        self._perform(self._fleet.reload(asyncio.get_running_loop().time()))
+        self._perform(self._pool.reload(asyncio.get_running_loop().time()))
 
     async def _stop_workers(self) -> None:
-        self._fleet.stop()
+        self._pool.stop()
         self._publish()
         for control in self._controls.values():
             control.send({"do": "leave"})
--- a/wheelstep/workers/worker.py
+++ b/wheelstep/workers/worker.py
@@ -30,8 +30,8 @@
 from wheelstep.forwarding.client import RemoteDesk
 from wheelstep.journal import FolderInUseError, Journal
 from wheelstep.workers.between import OwnerSide, forward_client
-from wheelstep.workers.closed import ClosedDesk
-from wheelstep.workers.frames import Frames
+from wheelstep.workers.closed import ClosedAdmission
+from wheelstep.workers.frames import FrameConnection
 from wheelstep.workers.journals import Journals
 from wheelstep.workers.layout import Layout
 from wheelstep.workers.ownership import share_of
@@ -48,8 +48,9 @@
 log = logging.getLogger(__name__)
 
 
-class Worker(ClosedDesk):
-    """One worker. As a desk it reports whether the whole courier is ready."""
+class Worker(ClosedAdmission):
+    """One worker. To the client server, its `ready` tells whether the whole courier is ready. `paths`: Unix sockets of
+    all workers, by number."""
 
     def __init__(self, config: Config, layout: Layout, number: int, paths: list[str],
                  operator: Operator | None) -> None:
@@ -63,19 +64,20 @@
         self._path = paths[number]
         self._share_by_destination: dict[int, int] = {}  # destination -> share, a cache
         self._leaving = asyncio.Event()
-        self._control = Frames(self._on_supervisor_frame, self._on_supervisor_lost)
+        self._control = FrameConnection(self._on_supervisor_frame, self._on_supervisor_lost)
         if operator is not None:
             self._core.recorder, self._core.account = recorder(operator, config), account(operator, config)
 
     # --- for the client server ---
 
     def find(self, destination: int) -> Admission:
-        """Return the desk of a destination: this worker's core, one that forwards, or a closed one."""
+        """Return what admits the messages of a destination: this worker's core, one that forwards to the owner, or one
+        that refuses as the share is not open."""
         share = self._share_of(destination)
         if share in self._journals:
             return self._core
         owner = self._owners.get(share)
-        return ClosedDesk() if owner is None or owner == self._number else RemoteDesk(self._clients[owner])
+        return ClosedAdmission() if owner is None or owner == self._number else RemoteDesk(self._clients[owner])
 
     def _share_of(self, destination: int) -> int:
         if destination not in self._share_by_destination:
@@ -192,10 +194,11 @@
 
 
 def main() -> int:
-    """Run the worker that `UMBERCHUTE_WORKER` describes. Only a supervisor starts it."""
+    """Run the worker that `UMBERCHUTE_WORKER` describes; only a supervisor starts it. Returns the exit code: 0, or 1 if
+    the supervisor has ended already."""
     description = json.loads(os.environ["UMBERCHUTE_WORKER"])
     # The kernel kills this process when its supervisor ends, even if it hangs or is stopped, so that it does not keep
-    # its folders. Linux only; elsewhere the end of the control connection does it, later.
+    # its folders locked. Linux only; elsewhere the end of the control connection ends the process, later.
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != description["parent"]:
