--- a/wheelstep/workers/journals.py
+++ b/wheelstep/workers/journals.py
@@ -65,8 +65,8 @@
             del self.messages[message]
 
     def mark(self, name: str, value: Any) -> None:
-        """As `Journal.mark`, in the journal of the endpoint's share; dropped if that share is unknown or not open here.
-        `name` is the endpoint; None as `value` removes its mark."""
+        """As `Journal.mark`, in the journal that has the mark, or else in that of the share of the endpoint `name`.
+        Dropped if that share is unknown or not open here; so are new marks that are not named after an endpoint."""
         share = self._mark_shares.get(name, self._share_at(name))
         if share is None or share not in self._journals:
             return  # no message depends on a mark
