--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -3,8 +3,8 @@
 
     python benchmarks/forwarding_cost.py [--seconds 4] [--runs 3] [--body 200] [--under-way 64] [--json FILE]
 
-Closed loop: each of `--under-way` askers asks, begins, and asks again. The home's desk only remembers; nothing is
-written to disk. Processor time is that of the whole processes, by message.
+Closed loop: each of `--under-way` askers asks, begins, and asks again. The home only remembers the messages; nothing
+is written to disk. Processor time is that of the whole processes, by message.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from wheelstep.forwarding.client import ForwardClient, RemoteDesk  # noqa: E402
-from wheelstep.forwarding.link import Heard, Link, Lost  # noqa: E402
+from wheelstep.forwarding.client import ForwardClient, RemoteAdmission  # noqa: E402
+from wheelstep.forwarding.link import Link, OnEnd, OnFrame  # noqa: E402
 from wheelstep.forwarding.server import ForwardServer  # noqa: E402
 from wheelstep.journal import StoredMessage  # noqa: E402
 from wheelstep.shards.forward_link import ForwardLink  # noqa: E402
@@ -42,7 +42,7 @@
 
 
 class Remembers:
-    """A desk that takes all."""
+    """Admits every message (admission.Admission)."""
 
     ready, syncs = True, False
 
@@ -87,19 +87,19 @@
 def home(pipe: Connection, path: str) -> None:
     """The process that is asked, until it is told to tell its processor time and end."""
     async def serve() -> None:
-        desk, loop = Remembers(), asyncio.get_running_loop()
+        admission, loop = Remembers(), asyncio.get_running_loop()
         servers: dict[StreamLink, ForwardServer] = {}
 
         def heard(link: StreamLink, frame: Frame) -> None:
             assert isinstance(frame, Forwarded)
             if link not in servers:
-                servers[link] = ForwardServer(lambda message: desk)
+                servers[link] = ForwardServer(lambda message: admission)
                 servers[link].attach(ForwardLink(link))
-            servers[link].heard(frame.head, frame.body)
+            servers[link].on_frame(frame.head, frame.body)
         net = Sockets()
-        mine = streams(net, "home", heard, lambda link: servers.pop(link).lost())
+        mine = streams(net, "home", heard, lambda link: servers.pop(link).on_end())
         address = await net.listen("127.0.0.1:0", mine.accept, lambda *_: None)
-        server = await loop.create_unix_server(lambda: OwnerSide(lambda destination: desk).frames, path)
+        server = await loop.create_unix_server(lambda: OwnerSide(lambda destination: admission).connection, path)
         told = asyncio.Event()
         loop.add_reader(pipe.fileno(), told.set)
         pipe.send(address)
@@ -110,7 +110,7 @@
                 continue
             if pipe.recv() == "end":
                 break
-            pipe.send((time.process_time(), desk.begun))
+            pipe.send((time.process_time(), admission.begun))
         loop.remove_reader(pipe.fileno())
         server.close()
         await net.close()
@@ -119,29 +119,29 @@
 
 async def ask(client: ForwardClient, name: str, body: bytes) -> None:
     """One message: asked, taken, begun."""
-    desk = RemoteDesk(client)
-    desk.take(StoredMessage(name, "once", 7, 10**13, body=body))
-    await desk.durable()
-    desk.begin(name)
+    admission = RemoteAdmission(client)
+    admission.take(StoredMessage(name, "once", 7, 10**13, body=body))
+    await admission.durable()
+    admission.begin(name)
 
 
 async def measure(kind: str, pipe: Connection, address: str, path: str, options: argparse.Namespace) -> dict[str, Any]:
     """One run."""
     net = Sockets()
-    ends: dict[StreamLink, tuple[Heard, Lost]] = {}
+    ends: dict[StreamLink, tuple[OnFrame, OnEnd]] = {}
 
     def heard(link: StreamLink, frame: Frame) -> None:
         assert isinstance(frame, Forwarded)
         ends[link][0](frame.head, frame.body)
     mine = streams(net, "asker", heard, lambda link: ends.pop(link)[1]())
 
-    async def dial(told: Heard, lost: Lost) -> Link | None:
+    async def dial(on_frame: OnFrame, on_end: OnEnd) -> Link | None:
         link = await mine.dial("home", address, 5)
         if link is None:
             return None
-        ends[link] = told, lost
+        ends[link] = on_frame, on_end
         return ForwardLink(link)
-    client = forward_client(path) if kind == "unix" else ForwardClient(dial, what="the home")
+    client = forward_client(path) if kind == "unix" else ForwardClient(dial, peer_name="the home")
     body, done = b"b" * options.body, 0
     await ask(client, f"{kind}-first", body)
 
--- a/tests/forwarding_world.py
+++ b/tests/forwarding_world.py
@@ -8,9 +8,9 @@
 
 from shard_streams import Node
 
-from wheelstep.forwarding.client import ForwardClient, RemoteDesk
-from wheelstep.forwarding.link import Heard, Link, Lost
-from wheelstep.forwarding.server import ForwardServer, Turned
+from wheelstep.forwarding.client import ForwardClient, RemoteAdmission
+from wheelstep.forwarding.link import Link, OnEnd, OnFrame
+from wheelstep.forwarding.server import ForwardServer, Refusal
 from wheelstep.journal import StoredMessage
 from wheelstep.shards.forward_link import ForwardLink
 from wheelstep.shards.net import Sockets
@@ -23,8 +23,8 @@
     return StoredMessage(name, "once", destination, 10**13, "key", "token", True, b"body of " + name.encode())
 
 
-class OwnerDesk:
-    """The desk of the owner. With `syncs`, a message waits in `durable` until the test ends its future."""
+class OwnerAdmission:
+    """The admission of the owner. With `syncs`, a message waits in `durable` until the test ends its future."""
 
     ready = True
 
@@ -93,8 +93,8 @@
     def __init__(self) -> None:
         self.open, self.held, self.hold = True, list[Any](), False
         self.other: MemoryLink
-        self.heard: Heard
-        self.lost: Lost
+        self.on_frame: OnFrame
+        self.on_end: OnEnd
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
         """Send a frame, or keep it with `hold`."""
@@ -108,26 +108,26 @@
         """Deliver the frames that were kept."""
         held, self.held = self.held, []
         for one in held:
-            asyncio.get_running_loop().call_soon(self.other.heard, *one)
+            asyncio.get_running_loop().call_soon(self.other.on_frame, *one)
 
     def close(self) -> None:
         """End the connection for both sides."""
         for end in (self, self.other):
             if end.open:
                 end.open = False
-                asyncio.get_running_loop().call_soon(end.lost)
+                asyncio.get_running_loop().call_soon(end.on_end)
 
 
 class ForwardingPair:
     """An asker and an owner; `kind` is "memory" or "streams"."""
 
     def __init__(self, kind: str, **settings: Any) -> None:
-        self.kind, self.owner = kind, OwnerDesk()
-        self.turned_away: Turned | None = None
+        self.kind, self.owner = kind, OwnerAdmission()
+        self.refusal: Refusal | None = None
         self.servers: list[ForwardServer] = []
         self.links: list[Link] = []  # the owner's ends of the connections
         self.reachable, self.dials = True, 0
-        self.client = ForwardClient(self._dial, what="its owner", **{"wait_s": 10, **settings})
+        self.client = ForwardClient(self._dial, peer_name="its owner", **{"wait_s": 10, **settings})
 
     async def __aenter__(self) -> ForwardingPair:
         if self.kind == "streams":
@@ -136,7 +136,7 @@
             self._owner_node.streams._heard, self._owner_node.streams._lost = self._pass_frame_to_owner, self._end
             self._address = await self._owner_node.net.listen("127.0.0.1:0", self._owner_node.streams.accept,
                                                              lambda *_: None)
-            self._ends: dict[StreamLink, tuple[Heard, Lost]] = {}
+            self._ends: dict[StreamLink, tuple[OnFrame, OnEnd]] = {}
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -146,21 +146,21 @@
             await self._owner_node.net.close()
 
     def _serve(self) -> ForwardServer:
-        self.servers.append(ForwardServer(lambda one: self.turned_away or self.owner))
+        self.servers.append(ForwardServer(lambda one: self.refusal or self.owner))
         return self.servers[-1]
 
-    async def _dial(self, heard: Heard, lost: Lost) -> Link | None:
+    async def _dial(self, on_frame: OnFrame, on_end: OnEnd) -> Link | None:
         self.dials += 1
         if not self.reachable:
             return None
         if self.kind == "streams":
             link = await self._asker_node.streams.dial("b", self._address, 10)
             assert link is not None
-            self._ends[link] = heard, lost
+            self._ends[link] = on_frame, on_end
             return ForwardLink(link)
         asker_end, owner_end, server = MemoryLink(), MemoryLink(), self._serve()
-        asker_end.other, owner_end.other, asker_end.heard, asker_end.lost = owner_end, asker_end, heard, lost
-        owner_end.heard, owner_end.lost = server.heard, server.lost
+        asker_end.other, owner_end.other, asker_end.on_frame, asker_end.on_end = owner_end, asker_end, on_frame, on_end
+        owner_end.on_frame, owner_end.on_end = server.on_frame, server.on_end
         server.attach(owner_end)
         self.links.append(owner_end)
         return asker_end
@@ -174,7 +174,7 @@
             server = self._serve()
             self.links.append(ForwardLink(link))
             server.attach(self.links[-1])
-            self._ends[link] = server.heard, server.lost
+            self._ends[link] = server.on_frame, server.on_end
         self._pass_frame(link, frame)
 
     def _end(self, link: StreamLink) -> None:
@@ -182,14 +182,14 @@
 
     def time_out_all(self) -> None:
         """Time out all open asks, as if `wait_s` had passed."""
-        for number, (desk, answer, _) in list(self.client._asked.items()):
-            self.client._asked[number] = desk, answer, 0.0
+        for number, (remote, answer, _) in list(self.client._asked.items()):
+            self.client._asked[number] = remote, answer, 0.0
         assert self.client._expiry_timer is not None
         self.client._expiry_timer.cancel()
         self.client._expire()
 
-    def ask(self, one: StoredMessage) -> tuple[RemoteDesk, asyncio.Future[None]]:
-        """Ask the owner to take a message; return its desk and the future of the answer."""
-        desk = RemoteDesk(self.client)
-        desk.take(one)
-        return desk, desk.durable()
+    def ask(self, one: StoredMessage) -> tuple[RemoteAdmission, asyncio.Future[None]]:
+        """Ask the owner to take a message; return the asking side of the ask and the future of the answer."""
+        remote = RemoteAdmission(self.client)
+        remote.take(one)
+        return remote, remote.durable()
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -15,7 +15,7 @@
 from test_rehearsal import rehearse
 
 from wheelstep.courier.admission import BadRequestError, UnansweredError
-from wheelstep.forwarding.client import RemoteDesk
+from wheelstep.forwarding.client import RemoteAdmission
 from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.rehearsal.rig import module_command
 from wheelstep.rehearsal.standins.machine import children
@@ -91,7 +91,7 @@
 
     def _accept(self) -> Any:
         self.owner_sides.append(OwnerSide(lambda destination: self.owner))  # type: ignore[arg-type, return-value]
-        return self.owner_sides[-1].frames
+        return self.owner_sides[-1].connection
 
     async def __aenter__(self) -> OwnerOverSocket:
         self.server = await asyncio.get_running_loop().create_unix_server(self._accept, self.path)
@@ -101,23 +101,23 @@
         self.client.close()
         self.server.close()
 
-    async def hand_in(self, one: StoredMessage) -> RemoteDesk:
-        desk = RemoteDesk(self.client)
-        desk.take(one)
-        await desk.durable()
-        return desk
+    async def hand_in(self, one: StoredMessage) -> RemoteAdmission:
+        admission = RemoteAdmission(self.client)
+        admission.take(one)
+        await admission.durable()
+        return admission
 
 
 def test_owner_takes_before_the_client_is_answered_and_begins_after(tmp_path: Path) -> None:
     async def work() -> None:
         async with OwnerOverSocket(tmp_path) as remote:
-            desk = await remote.hand_in(message("m1"))
+            admission = await remote.hand_in(message("m1"))
             assert remote.owner.taken["m1"] == message("m1") and remote.owner.begun == []
-            desk.begin("m1")
+            admission.begin("m1")
             await remote.owner.until(lambda: remote.owner.begun == ["m1"])
             (await remote.hand_in(message("m1"))).begin("m1")  # known already, so it does not begin twice
-            desk = await remote.hand_in(message("m2"))
-            desk.withdraw("m2")
+            admission = await remote.hand_in(message("m2"))
+            admission.withdraw("m2")
             await remote.owner.until(lambda: remote.owner.withdrawn == ["m2"])
             assert remote.owner.begun == ["m1"]
     run(work())
@@ -135,7 +135,7 @@
             with pytest.raises(NoRoomError, match="holds all it can"):
                 await remote.hand_in(message("m3"))
             remote.server.close()
-            remote.owner_sides[0].frames.close()
+            remote.owner_sides[0].connection.close()
             await asyncio.sleep(0)
         with pytest.raises(NoRoomError, match="can't be reached"):  # nothing was sent, so a repeat is harmless
             while True:
@@ -154,7 +154,7 @@
             asked = asyncio.create_task(remote.hand_in(message("m1")))
             while not remote.owner.taken:
                 await asyncio.sleep(0)
-            remote.owner_sides[0].frames.close()
+            remote.owner_sides[0].connection.close()
             with pytest.raises(UnansweredError):
                 await asked
     run(work())
@@ -206,7 +206,7 @@
     async def work() -> None:
         async with OwnerOverSocket(tmp_path) as remote:
             await remote.hand_in(message("m0"))
-            gone = RemoteDesk(remote.client)
+            gone = RemoteAdmission(remote.client)
             gone.take(message("m1"))
             gone.durable().cancel()
             gone.withdraw("m1")
@@ -215,11 +215,11 @@
             await remote.owner.until(lambda: remote.owner.withdrawn == ["m1"])
             remote.owner.is_full = True
             try:
-                desk = await again
+                admission = await again
             except NoRoomError:
                 assert "m1" not in remote.owner.taken
             else:
-                desk.begin("m1")
+                admission.begin("m1")
                 await remote.owner.until(lambda: remote.owner.begun == ["m1"])
     run(work())
 
--- a/wheelstep/forwarding/client.py
+++ b/wheelstep/forwarding/client.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 
-class Ended(Enum):
+class AskOutcome(Enum):
     """How an ask ended. NOT_ASKED: nothing was sent. SILENT: no answer came (in time), so it may have been taken."""
 
     TAKEN = "taken"
@@ -41,25 +41,24 @@
 
 
 class ForwardClient:
-    """Asks one other process. Connects on the first ask, and again after the connection has ended.
-
-    Each ask has a number, which its answer repeats: if a client disconnects and submits the same message again, the
-    answer to its first ask must not count as one to its second."""
-
-    def __init__(self, dial: Dial, *, what: str, wait_s: float = 0.35, most: int = 2_000) -> None:
-        """`what` names the other process in errors and logs. An ask times out after `wait_s` seconds (a client waits
-        400 ms for its own answer); at most `most` asks are open at once."""
-        self._dial_link, self._what, self._wait_s, self._most = dial, what, wait_s, most
+    """Asks one other process. Connects on the first ask, and again after the connection has ended. Each ask has a
+    number, which its answer repeats: if a client disconnects and submits the same message again, the answer to its
+    first ask must not count as one to its second."""
+
+    def __init__(self, dial: Dial, *, peer_name: str, wait_s: float = 0.35, max_open: int = 2_000) -> None:
+        """`peer_name` names the other process in errors and logs. An ask times out after `wait_s` seconds (a client
+        waits 400 ms for its own answer); at most `max_open` asks are open at once."""
+        self._dial_link, self._peer_name, self._wait_s, self._max_open = dial, peer_name, wait_s, max_open
         self._link: Link | None = None
         self._generation = 0  # of the connection; raised by each dial and end, to ignore old ones
         self._dialling: asyncio.Task[None] | None = None
         self._waiting_for_dial = 0  # asks that wait until the connection is there
         self._numbers = itertools.count()
         self._next_number = 0  # all asks so far had lower numbers
-        self._asked: dict[int, tuple[RemoteDesk, asyncio.Future[None], float]] = {}  # by number, oldest first
+        self._asked: dict[int, tuple[RemoteAdmission, asyncio.Future[None], float]] = {}  # by number, oldest first
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._closed = False
-        self.refused: Counter[str] = Counter()  # invalid answers, by reason
+        self.invalid_answers: Counter[str] = Counter()  # by reason
 
     async def _dial(self) -> None:
         self._generation += 1
@@ -71,51 +70,52 @@
         elif link is not None:
             self._link = link
 
-    def ask(self, desk: RemoteDesk, message: StoredMessage) -> asyncio.Future[None]:
+    def ask(self, remote: RemoteAdmission, message: StoredMessage) -> asyncio.Future[None]:
         """Return a future that is done once the owner has taken the message. It fails with `NotAskedError` if nothing
         was sent, `AwayError`, `NoRoomError` or `BadRequestError` if the owner refused, and `UnansweredError` if it may
         have been taken. Creates no task per message, which cuts the cost of a hop by a third."""
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self._closed:
-            self._not_asked(desk, answer)
-        elif len(self._asked) + self._waiting_for_dial >= self._most:
-            self._fail(desk, answer, Ended.NOT_ASKED,
-                       NotAskedError(f"too many messages are under way to {self._what}"))
+            self._not_asked(remote, answer)
+        elif len(self._asked) + self._waiting_for_dial >= self._max_open:
+            self._fail(remote, answer, AskOutcome.NOT_ASKED,
+                       NotAskedError(f"too many messages are under way to {self._peer_name}"))
         elif self._link is not None:
-            self._send(self._link, desk, message, answer)
+            self._send(self._link, remote, message, answer)
         else:  # waits for this very dial, whose end must not be mistaken for the next one's
             if self._dialling is None or self._dialling.done():
                 self._dialling = asyncio.create_task(self._dial())
             self._waiting_for_dial += 1
-            self._dialling.add_done_callback(lambda _: self._send_after_dial(desk, message, answer))
+            self._dialling.add_done_callback(lambda _: self._send_after_dial(remote, message, answer))
         return answer
 
-    def _send_after_dial(self, desk: RemoteDesk, message: StoredMessage, answer: asyncio.Future[None]) -> None:
+    def _send_after_dial(self, remote: RemoteAdmission, message: StoredMessage, answer: asyncio.Future[None]) -> None:
         self._waiting_for_dial -= 1
         if answer.done():
             return
         if self._link is None:
-            self._not_asked(desk, answer)
+            self._not_asked(remote, answer)
         else:
-            self._send(self._link, desk, message, answer)
+            self._send(self._link, remote, message, answer)
 
-    def _send(self, link: Link, desk: RemoteDesk, message: StoredMessage, answer: asyncio.Future[None]) -> None:
+    def _send(self, link: Link, remote: RemoteAdmission, message: StoredMessage, answer: asyncio.Future[None]) -> None:
         number = next(self._numbers)
         if not link.send(ask_head(number, message), message.body):
-            self._not_asked(desk, answer)
+            self._not_asked(remote, answer)
             return
         loop = asyncio.get_running_loop()
         self._next_number = number + 1
-        desk.link, desk.number = link, number
-        self._asked[number] = desk, answer, loop.time() + self._wait_s
+        remote.link, remote.number = link, number
+        self._asked[number] = remote, answer, loop.time() + self._wait_s
         if self._expiry_timer is None:
             self._expiry_timer = loop.call_later(self._wait_s, self._expire)
 
-    def _not_asked(self, desk: RemoteDesk, answer: asyncio.Future[None]) -> None:
-        self._fail(desk, answer, Ended.NOT_ASKED, NotAskedError(f"{self._what} can't be reached"))
+    def _not_asked(self, remote: RemoteAdmission, answer: asyncio.Future[None]) -> None:
+        self._fail(remote, answer, AskOutcome.NOT_ASKED, NotAskedError(f"{self._peer_name} can't be reached"))
 
-    def _fail(self, desk: RemoteDesk, answer: asyncio.Future[None], ended: Ended, error: Exception) -> None:
-        desk.ended = ended
+    def _fail(self, remote: RemoteAdmission, answer: asyncio.Future[None], outcome: AskOutcome,
+              error: Exception) -> None:
+        remote.outcome = outcome
         answer.set_exception(error)
 
     def _expire(self) -> None:
@@ -123,19 +123,19 @@
         loop = asyncio.get_running_loop()
         self._expiry_timer = None
         while self._asked:
-            number, (desk, answer, due_s) = next(iter(self._asked.items()))
+            number, (remote, answer, due_s) = next(iter(self._asked.items()))
             if due_s > loop.time() and not answer.done():
                 self._expiry_timer = loop.call_at(due_s, self._expire)
                 return
             del self._asked[number]
             if not answer.done():
-                self.tell("withdraw", desk)
-                self._fail(desk, answer, Ended.SILENT, UnansweredError(f"{self._what} did not answer"))
+                self.tell("withdraw", remote)
+                self._fail(remote, answer, AskOutcome.SILENT, UnansweredError(f"{self._peer_name} did not answer"))
 
-    def tell(self, what: str, desk: RemoteDesk) -> None:
-        """Send `begin` or `withdraw` (`what`), unless the connection has ended, which the owner takes as `begin`."""
-        if self._link is not None and self._link is desk.link:
-            self._link.send({"do": what, "n": desk.number})
+    def tell(self, action: str, remote: RemoteAdmission) -> None:
+        """Send `begin` or `withdraw` (`action`), unless the connection has ended, which the owner takes as `begin`."""
+        if self._link is not None and self._link is remote.link:
+            self._link.send({"do": action, "n": remote.number})
 
     def _on_frame(self, generation: int, head: dict[str, Any], body: bytes) -> None:
         if generation != self._generation:
@@ -148,28 +148,28 @@
         if reply.n >= self._next_number:
             self._reject("an answer to an ask that was never sent")
             return
-        desk, answer, _ = self._asked.pop(reply.n, (None, None, 0.0))
-        if desk is None or answer is None or answer.done():  # the ask has ended
+        remote, answer, _ = self._asked.pop(reply.n, (None, None, 0.0))
+        if remote is None or answer is None or answer.done():  # the ask has ended
             return
         match reply.kind:
             case "taken" | "known":
-                desk.known = reply.kind == "known"
-                desk.ended = Ended(reply.kind)
+                remote.known = reply.kind == "known"
+                remote.outcome = AskOutcome(reply.kind)
                 answer.set_result(None)
             case "bad":
-                self._fail(desk, answer, Ended.BAD, BadRequestError(reply.why))
+                self._fail(remote, answer, AskOutcome.BAD, BadRequestError(reply.why))
             case "unsettled":
-                desk.known = True
-                self._fail(desk, answer, Ended.UNSETTLED, UnansweredError("another client hands it in just now"))
+                remote.known = True
+                self._fail(remote, answer, AskOutcome.UNSETTLED, UnansweredError("another client hands it in just now"))
             case "away":
-                self._fail(desk, answer, Ended.AWAY, AwayError(reply.why))
+                self._fail(remote, answer, AskOutcome.AWAY, AwayError(reply.why))
             case "full":
-                self._fail(desk, answer, Ended.FULL, NoRoomError(reply.why))
+                self._fail(remote, answer, AskOutcome.FULL, NoRoomError(reply.why))
 
     def _reject(self, why: str) -> None:
         """Close the connection of a process that breaks the protocol and ignore its further frames."""
-        self.refused[why.partition(":")[0]] += 1
-        log.error("%s sent %s; closing the connection", self._what, why[:200])
+        self.invalid_answers[why.partition(":")[0]] += 1
+        log.error("%s sent %s; closing the connection", self._peer_name, why[:200])
         link = self._link
         self._on_end(self._generation)
         if link is not None:
@@ -181,9 +181,9 @@
         self._generation += 1
         self._link = None
         asked, self._asked = self._asked, {}
-        for desk, answer, _ in asked.values():
+        for remote, answer, _ in asked.values():
             if not answer.done():
-                self._fail(desk, answer, Ended.SILENT, UnansweredError(f"{self._what} ended"))
+                self._fail(remote, answer, AskOutcome.SILENT, UnansweredError(f"{self._peer_name} ended"))
 
     def close(self) -> None:
         """Close the connection for good. Later asks fail with `NotAskedError`."""
@@ -197,7 +197,7 @@
             self._link.close()
 
 
-class RemoteDesk:
+class RemoteAdmission:
     """Forwards one request's message to its owner (admission.Admission)."""
 
     ready = True
@@ -209,7 +209,7 @@
         self.link: Link | None = None  # on which the owner was asked; None: it was not asked
         self.number = -1
         self.known = False  # another request handed it in and begins or withdraws it
-        self.ended: Ended | None = None  # None: no answer yet, or the client left before it came
+        self.outcome: AskOutcome | None = None  # None: no answer yet, or the client left before it came
 
     def full(self) -> bool:
         """Return False: the owner applies its own limit."""
--- a/wheelstep/forwarding/link.py
+++ b/wheelstep/forwarding/link.py
@@ -5,10 +5,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
-Heard = Callable[[dict[str, Any], bytes], None]
+OnFrame = Callable[[dict[str, Any], bytes], None]
 """Called with each received frame: its head and its body."""
 
-Lost = Callable[[], None]
+OnEnd = Callable[[], None]
 """Called once the connection has ended; no frame follows."""
 
 
@@ -26,5 +26,5 @@
         """End the connection at once."""
 
 
-Dial = Callable[[Heard, Lost], Awaitable[Link | None]]
+Dial = Callable[[OnFrame, OnEnd], Awaitable[Link | None]]
 """Connects, within a timeout of its own. The result is None if the other process can't be reached."""
--- a/wheelstep/forwarding/server.py
+++ b/wheelstep/forwarding/server.py
@@ -21,33 +21,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class Refusal:
     """Why the message can't be taken here: `away` if another process serves its destination, `full` if none can at the
     moment. `why` is the reason that the asking process is told."""
 
-    is_: Literal["full", "away"]
+    kind: Literal["full", "away"]
     why: str
 
 
 class ForwardServer:
     """The owner's side of one connection from another process. `find` returns what admits a message, or why nothing
-    does. Its user passes the connection to `attach`, each frame to `heard`, and calls `lost` at its end."""
+    does. Its user passes the connection to `attach`, each frame to `on_frame`, and calls `on_end` at its end."""
 
-    def __init__(self, find: Callable[[StoredMessage], Admission | Turned], *, most: int = 20_000) -> None:
-        """While `most` messages are taken that were neither begun nor withdrawn, asks are answered `full`."""
-        self._find, self._most = find, most
+    def __init__(self, find: Callable[[StoredMessage], Admission | Refusal], *, max_pending: int = 20_000) -> None:
+        """While `max_pending` messages are taken that were neither begun nor withdrawn, asks are answered `full`."""
+        self._find, self._max_pending = find, max_pending
         self._link: Link | None = None
         self._ended = False
         self._next_number = 0  # all asks so far had lower numbers
         self._pending: dict[int, tuple[Admission, StoredMessage]] = {}  # taken, neither begun nor withdrawn
         self._tasks: dict[int, asyncio.Task[None]] = {}  # taken, waiting for the journal's sync
-        self.refused: Counter[str] = Counter()  # invalid frames, by reason
+        self.invalid_frames: Counter[str] = Counter()  # by reason
 
     def attach(self, link: Link) -> None:
         """Set the connection on which answers are sent."""
         self._link = link
 
-    def heard(self, head: dict[str, Any], body: bytes) -> None:
+    def on_frame(self, head: dict[str, Any], body: bytes) -> None:
         """Handle a frame of the asking process. An invalid one is ignored, and the connection is closed."""
         if self._ended:
             return
@@ -72,44 +72,44 @@
                 if (task := self._tasks.pop(frame.n, None)) is not None:
                     task.cancel()
                 if frame.n in self._pending:
-                    desk, message = self._pending.pop(frame.n)
-                    desk.withdraw(message.id)
+                    admission, message = self._pending.pop(frame.n)
+                    admission.withdraw(message.id)
 
-    def _begin(self, desk: Admission, message: StoredMessage) -> None:
-        if desk.holds(message.id):
-            desk.begin(message.id)
-            desk.record_answer(message, 202)
+    def _begin(self, admission: Admission, message: StoredMessage) -> None:
+        if admission.holds(message.id):
+            admission.begin(message.id)
+            admission.record_answer(message, 202)
 
     def _handle_ask(self, number: int, message: StoredMessage) -> None:
-        desk = self._find(message)
-        if isinstance(desk, Turned):
-            self._answer(number, desk.is_, desk.why)
-        elif desk.holds(message.id):
-            self._answer(number, "unsettled" if desk.is_unconfirmed(message.id) else "known")
-        elif not desk.serves(message.destination):
+        admission = self._find(message)
+        if isinstance(admission, Refusal):
+            self._answer(number, admission.kind, admission.why)
+        elif admission.holds(message.id):
+            self._answer(number, "unsettled" if admission.is_unconfirmed(message.id) else "known")
+        elif not admission.serves(message.destination):
             self._answer(number, "bad", "no such destination")
-        elif desk.full() or len(self._pending) >= self._most:
-            desk.record_answer(message, 503)
+        elif admission.full() or len(self._pending) >= self._max_pending:
+            admission.record_answer(message, 503)
             self._answer(number, "full", "holds all it can")
         else:
             try:
-                desk.take(message)
+                admission.take(message)
             except NoRoomError as error:
-                desk.record_answer(message, 503)
+                admission.record_answer(message, 503)
                 self._answer_error(number, error)
                 return
-            self._pending[number] = desk, message
-            if desk.syncs:
-                self._tasks[number] = asyncio.create_task(self._answer_when_durable(desk, number, message.id))
+            self._pending[number] = admission, message
+            if admission.syncs:
+                self._tasks[number] = asyncio.create_task(self._answer_when_durable(admission, number, message.id))
             else:
                 self._answer(number, "taken")
 
-    async def _answer_when_durable(self, desk: Admission, number: int, name: str) -> None:
+    async def _answer_when_durable(self, admission: Admission, number: int, name: str) -> None:
         try:
-            await desk.durable()
-        except Exception as error:  # withdrawn at once, as `lost` would begin it although no client was answered
+            await admission.durable()
+        except Exception as error:  # withdrawn at once, as `on_end` would begin it although no client was answered
             self._pending.pop(number, None)
-            desk.withdraw(name)
+            admission.withdraw(name)
             self._answer_error(number, error)
         else:
             self._answer(number, "taken")
@@ -137,21 +137,21 @@
 
     def _reject(self, why: str) -> None:
         """Close the connection of a process that breaks the protocol."""
-        self.refused[why.partition(":")[0]] += 1
+        self.invalid_frames[why.partition(":")[0]] += 1
         log.error("a forwarding process sent %s; closing the connection", why[:200])
-        self.lost()
+        self.on_end()
         if self._link is not None:
             self._link.close()
 
-    def lost(self) -> None:
+    def on_end(self) -> None:
         """Handle the connection's end: begin what was answered, as the client may have had 202; withdraw the rest."""
         self._ended = True
         for task in list(self._tasks.values()):  # not answered, so no client had 202
             task.cancel()
         unanswered = set(self._tasks)
         pending, self._pending = self._pending, {}
-        for number, (desk, message) in pending.items():
+        for number, (admission, message) in pending.items():
             if number in unanswered:
-                desk.withdraw(message.id)
+                admission.withdraw(message.id)
             else:
-                self._begin(desk, message)
+                self._begin(admission, message)
--- a/wheelstep/rehearsal/shard_world/broken.py
+++ b/wheelstep/rehearsal/shard_world/broken.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from wheelstep.forwarding.client import ForwardClient
-from wheelstep.forwarding.server import ForwardServer, Turned
+from wheelstep.forwarding.server import ForwardServer, Refusal
 from wheelstep.journal import StoredMessage
 from wheelstep.rehearsal.shard_world import check
 from wheelstep.shards.forwarded_keys import ForwardedKeys
@@ -28,7 +28,7 @@
 
     def on(self: Any, message: StoredMessage) -> Any:
         found = asked(self, message)
-        away = isinstance(found, Turned) and found.is_ == "away"
+        away = isinstance(found, Refusal) and found.kind == "away"
         return RoutedAdmission(self._node.own_admission, self._route) if away else found
     return [(Routing, "asked", on)]
 
@@ -40,22 +40,22 @@
     def taken(self: Any, now_us: int, handed: Any, courier: str, answer: Answer, sight: Any) -> Any:
         return answered(self, now_us, handed, courier, Answer.NOT_ASKED if answer is Answer.SILENT else answer, sight)
 
-    def told(self: Any, what: str, desk: Any) -> None:
-        if what != "withdraw":
-            tell(self, what, desk)
+    def told(self: Any, action: str, admission: Any) -> None:
+        if action != "withdraw":
+            tell(self, action, admission)
     return [(Router, "answered", taken), (ForwardClient, "tell", told)]
 
 
 def _neither_owes() -> list[Patch]:
     """A home forgets what it took from a link that has ended, though its client may have heard 202."""
-    def lost(self: Any) -> None:
+    def on_end(self: Any) -> None:
         self._ended = True
         for task in list(self._tasks.values()):
             task.cancel()
         pending, self._pending = self._pending, {}
-        for desk, message in pending.values():
-            desk.withdraw(message.id)
-    return [(ForwardServer, "lost", lost)]
+        for admission, message in pending.values():
+            admission.withdraw(message.id)
+    return [(ForwardServer, "on_end", on_end)]
 
 
 def _drains_late() -> list[Patch]:
--- a/wheelstep/rehearsal/shard_world/courier.py
+++ b/wheelstep/rehearsal/shard_world/courier.py
@@ -100,9 +100,9 @@
     def __init__(self, inner: ForwardClient, courier: Courier, to: str) -> None:
         self._inner, self._courier, self._to = inner, courier, to
 
-    def ask(self, desk: Any, message: Any) -> asyncio.Future[None]:
+    def ask(self, admission: Any, message: Any) -> asyncio.Future[None]:
         self._courier.check.asked(self._courier.name, self._to, message.id)
-        return self._inner.ask(desk, message)
+        return self._inner.ask(admission, message)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._inner, name)
--- a/wheelstep/shards/links.py
+++ b/wheelstep/shards/links.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from wheelstep.forwarding.link import Heard, Link, Lost
+from wheelstep.forwarding.link import Link, OnEnd, OnFrame
 from wheelstep.forwarding.server import ForwardServer
 from wheelstep.shards.forward_link import ForwardLink
 from wheelstep.shards.streams import StreamLink, Streams
@@ -27,7 +27,7 @@
             address_of, server, heard, lost, dial_s)
         self.streams: Streams
         self._by_peer: dict[str, list[StreamLink]] = {}
-        self._forward_clients: dict[StreamLink, tuple[Heard, Lost]] = {}  # links for passing messages on
+        self._forward_clients: dict[StreamLink, tuple[OnFrame, OnEnd]] = {}  # links for passing messages on
         self._forward_servers: dict[StreamLink, ForwardServer] = {}
         self._waiting: dict[str, deque[Frame]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -45,7 +45,7 @@
             if (server := self._forward_servers.get(link)) is None:
                 server = self._forward_servers[link] = self._server()
                 server.attach(ForwardLink(link))
-            server.heard(frame.head, frame.body)
+            server.on_frame(frame.head, frame.body)
 
     def lost(self, link: StreamLink) -> None:
         """Handles the end of a link, as reported by `Streams`."""
@@ -57,7 +57,7 @@
         if (client := self._forward_clients.pop(link, None)) is not None:
             client[1]()
         if (server := self._forward_servers.pop(link, None)) is not None:
-            server.lost()
+            server.on_end()
         self._link_lost(link)
 
     def _add(self, link: StreamLink) -> None:
@@ -74,12 +74,12 @@
             self._add(link)
         return link
 
-    async def forward(self, courier: str, heard: Heard, lost: Lost) -> Link | None:
+    async def forward(self, courier: str, on_frame: OnFrame, on_end: OnEnd) -> Link | None:
         """Opens a link for passing messages on (`forwarding.link.Dial`); None if that fails."""
         link = await self.dial(courier, self._address_of(courier), self._dial_s)
         if link is None or not link.open:
             return None
-        self._forward_clients[link] = heard, lost
+        self._forward_clients[link] = on_frame, on_end
         return ForwardLink(link)
 
     def peers(self) -> list[str]:
--- a/wheelstep/shards/node.py
+++ b/wheelstep/shards/node.py
@@ -171,7 +171,7 @@
         """The client that passes messages on to that courier."""
         if courier not in self._clients:
             self._clients[courier] = ForwardClient(
-                lambda heard, lost: self.links.forward(courier, heard, lost), what="courier")
+                lambda on_frame, on_end: self.links.forward(courier, on_frame, on_end), peer_name="courier")
         return self._clients[courier]
 
     # --- members ---
--- a/wheelstep/shards/routing.py
+++ b/wheelstep/shards/routing.py
@@ -11,9 +11,9 @@
 from typing import Protocol
 
 from wheelstep.courier.admission import Admission, BadRequestError, UnansweredError
-from wheelstep.forwarding.client import Ended, ForwardClient, RemoteDesk
+from wheelstep.forwarding.client import AskOutcome, ForwardClient, RemoteAdmission
 from wheelstep.forwarding.errors import AwayError
-from wheelstep.forwarding.server import Turned
+from wheelstep.forwarding.server import Refusal
 from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.shards.hosting import Hosting, ShardPhase
 from wheelstep.shards.routed_admission import RoutedAdmission
@@ -157,15 +157,15 @@
 
     def _ask(self, answer: asyncio.Future[None], routed: RoutedAdmission, message: StoredMessage, request: Request,
              courier: str) -> None:
-        remote = RemoteDesk(self._node.client(courier))
+        remote = RemoteAdmission(self._node.client(courier))
         remote.take(message)
         routed.inner = remote
         remote.durable().add_done_callback(partial(self._ask_ended, answer, routed, remote, message, request, courier))
 
-    def _ask_ended(self, answer: asyncio.Future[None], routed: RoutedAdmission, remote: RemoteDesk,
+    def _ask_ended(self, answer: asyncio.Future[None], routed: RoutedAdmission, remote: RemoteAdmission,
                    message: StoredMessage, request: Request, courier: str, work: asyncio.Future[None]) -> None:
         error = None if work.cancelled() else work.exception()
-        result = Answer.SILENT if remote.ended is None else _ANSWERS.get(remote.ended, Answer.SILENT)
+        result = Answer.SILENT if remote.outcome is None else _ANSWERS.get(remote.outcome, Answer.SILENT)
         follow_up = self._router.answered(self._node.now_us(), request, courier, result, self._view(request))
         if follow_up is not None:
             routed.inner = None
@@ -180,7 +180,7 @@
 
     # --- at a courier that is asked ---
 
-    def asked(self, message: StoredMessage) -> Admission | Turned:
+    def asked(self, message: StoredMessage) -> Admission | Refusal:
         """Who takes a message passed on by another courier; it is not passed on again."""
         own_admission, request = self._node.own_admission, self._request(message)
         if own_admission.holds(message.id):
@@ -194,10 +194,10 @@
             case Take(guest):
                 return RoutedAdmission(own_admission, partial(self._take_asked, True)) if guest else own_admission
             case Retry(_, reason):
-                return Turned("full", reason)
+                return Refusal("full", reason)
             case NoAnswer(reason):
                 return RoutedAdmission(own_admission, partial(_failed_future, UnansweredError(reason)))
-        return Turned("away", "it is not at home here")
+        return Refusal("away", "it is not at home here")
 
     def _take_asked(self, guest: bool, routed: RoutedAdmission, message: StoredMessage) -> asyncio.Future[None]:
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -243,5 +243,5 @@
     return answer
 
 
-_ANSWERS = {Ended.TAKEN: Answer.TAKEN, Ended.KNOWN: Answer.KNOWN, Ended.FULL: Answer.FULL, Ended.BAD: Answer.BAD,
-            Ended.AWAY: Answer.AWAY, Ended.NOT_ASKED: Answer.NOT_ASKED}
+_ANSWERS = {AskOutcome.TAKEN: Answer.TAKEN, AskOutcome.KNOWN: Answer.KNOWN, AskOutcome.FULL: Answer.FULL,
+            AskOutcome.BAD: Answer.BAD, AskOutcome.AWAY: Answer.AWAY, AskOutcome.NOT_ASKED: Answer.NOT_ASKED}
--- a/wheelstep/workers/between.py
+++ b/wheelstep/workers/between.py
@@ -7,8 +7,8 @@
 
 from wheelstep.courier.admission import Admission
 from wheelstep.forwarding.client import ForwardClient
-from wheelstep.forwarding.link import Heard, Link, Lost
-from wheelstep.forwarding.server import ForwardServer, Turned
+from wheelstep.forwarding.link import Link, OnEnd, OnFrame
+from wheelstep.forwarding.server import ForwardServer, Refusal
 from wheelstep.journal import StoredMessage
 from wheelstep.workers.frames import FrameConnection
 
@@ -17,15 +17,15 @@
 
 def forward_client(path: str) -> ForwardClient:
     """Return the client that forwards to the worker that listens at the Unix socket `path`."""
-    async def dial(heard: Heard, lost: Lost) -> Link | None:
-        frames = FrameConnection(heard, lost)
+    async def dial(on_frame: OnFrame, on_end: OnEnd) -> Link | None:
+        connection = FrameConnection(on_frame, on_end)
         try:
             async with asyncio.timeout(_DIAL_S):
-                await asyncio.get_running_loop().create_unix_connection(lambda: frames, path)
+                await asyncio.get_running_loop().create_unix_connection(lambda: connection, path)
         except (OSError, TimeoutError):
             return None
-        return frames
-    return ForwardClient(dial, what="the worker that owns it")
+        return connection
+    return ForwardClient(dial, peer_name="the worker that owns it")
 
 
 class OwnerSide:
@@ -33,8 +33,8 @@
     is not open here."""
 
     def __init__(self, find: Callable[[int], Admission | None]) -> None:
-        def desk(message: StoredMessage) -> Admission | Turned:
-            return find(message.destination) or Turned("full", "its share is not open here just now")
-        server = ForwardServer(desk)
-        self.frames = FrameConnection(server.heard, server.lost)
-        server.attach(self.frames)
+        def admission(message: StoredMessage) -> Admission | Refusal:
+            return find(message.destination) or Refusal("full", "its share is not open here just now")
+        server = ForwardServer(admission)
+        self.connection = FrameConnection(server.on_frame, server.on_end)
+        server.attach(self.connection)
--- a/wheelstep/workers/frames.py
+++ b/wheelstep/workers/frames.py
@@ -26,11 +26,11 @@
 
 
 class FrameConnection(asyncio.Protocol):
-    """One connection: calls `heard` with the head and body of each frame, in order, and `lost` at its end. It is closed
-    when more than 4 MB wait for a peer that does not read, and when a frame is invalid or longer than 16 MB."""
+    """One connection: calls `on_frame` with the head and body of each frame, in order, and `on_end` at its end. It is
+    closed when more than 4 MB wait for a peer that does not read, and when a frame is invalid or longer than 16 MB."""
 
-    def __init__(self, heard: Callable[[dict[str, Any], bytes], None], lost: Callable[[], None]) -> None:
-        self._on_frame, self._on_end = heard, lost
+    def __init__(self, on_frame: Callable[[dict[str, Any], bytes], None], on_end: Callable[[], None]) -> None:
+        self._on_frame, self._on_end = on_frame, on_end
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
         self._outgoing: list[bytes] = []  # frames of this turn of the event loop, sent in one write
--- a/wheelstep/workers/worker.py
+++ b/wheelstep/workers/worker.py
@@ -27,7 +27,7 @@
 from wheelstep.courier.opening import account, open_journal, recorder
 from wheelstep.courier.rows import Row, read_rows
 from wheelstep.courier.shutdown import leave
-from wheelstep.forwarding.client import RemoteDesk
+from wheelstep.forwarding.client import RemoteAdmission
 from wheelstep.journal import FolderInUseError, Journal
 from wheelstep.workers.between import OwnerSide, forward_client
 from wheelstep.workers.closed import ClosedAdmission
@@ -77,7 +77,7 @@
         if share in self._journals:
             return self._core
         owner = self._owners.get(share)
-        return ClosedAdmission() if owner is None or owner == self._number else RemoteDesk(self._clients[owner])
+        return ClosedAdmission() if owner is None or owner == self._number else RemoteAdmission(self._clients[owner])
 
     def _share_of(self, destination: int) -> int:
         if destination not in self._share_by_destination:
@@ -172,7 +172,7 @@
         async with aiohttp.ClientSession(auto_decompress=False, trust_env=False) as http, \
                 asyncio.TaskGroup() as self._group:
             self._notices = self._core.notices = Notifier(http, self._config.discovery, self._core.answered)
-            peer_server = await loop.create_unix_server(lambda: OwnerSide(self._own_core).frames, self._path)
+            peer_server = await loop.create_unix_server(lambda: OwnerSide(self._own_core).connection, self._path)
             self._tasks = [self._group.create_task(work) for work in (
                 self._send_heartbeats(), server.sweep(), self._notices.run(), self._core.endpoint_client.sweep())]
             if self._core.account is not None:
