--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -198,14 +198,14 @@
     """Guards against a dead link that is kept as the connection, so that every later ask fails as not reachable."""
     async def work() -> None:
         pair = ForwardingPair("memory")
-        dial, losses = pair._dial, [True]
+        dial, ends = pair._dial, [True]  # ends the first link that is dialled
 
-        async def dial_and_lose(on_frame: OnFrame, on_end: OnEnd) -> Link | None:
+        async def dial_and_end(on_frame: OnFrame, on_end: OnEnd) -> Link | None:
             link = await dial(on_frame, on_end)
-            if losses and losses.pop():
+            if ends and ends.pop():
                 on_end()
             return link
-        pair.client._dial_link = dial_and_lose
+        pair.client._dial_link = dial_and_end
         async with pair:
             with pytest.raises(NotAskedError):
                 await pair.ask(message("m1"))[1]
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -206,10 +206,10 @@
     async def work() -> None:
         async with OwnerOverSocket(tmp_path) as remote:
             await remote.hand_in(message("m0"))
-            gone = RemoteAdmission(remote.client)
-            gone.take(message("m1"))
-            gone.durable().cancel()
-            gone.withdraw("m1")
+            disconnected = RemoteAdmission(remote.client)
+            disconnected.take(message("m1"))
+            disconnected.durable().cancel()
+            disconnected.withdraw("m1")
             remote.owner.no_room = False
             again = asyncio.create_task(remote.hand_in(message("m1")))
             await remote.owner.until(lambda: remote.owner.withdrawn == ["m1"])
--- a/wheelstep/forwarding/client.py
+++ b/wheelstep/forwarding/client.py
@@ -208,8 +208,8 @@
         self._message: StoredMessage | None = None
         self.link: Link | None = None  # on which the owner was asked; None: it was not asked
         self.number = -1
-        self.known = False  # another request handed it in and begins or withdraws it
-        self.outcome: AskOutcome | None = None  # None: no answer yet, or the client left before it came
+        self.known = False  # the owner has it from another request, which begins or withdraws it
+        self.outcome: AskOutcome | None = None  # None: no answer yet, or the client disconnected before it came
 
     def full(self) -> bool:
         """Return False: the owner applies its own limit."""
--- a/wheelstep/forwarding/link.py
+++ b/wheelstep/forwarding/link.py
@@ -1,4 +1,5 @@
-"""Interface of the connections that carry forwarded messages, in order; both sides are told of their end. No I/O."""
+"""Interface of the connections that carry forwarded messages. Frames arrive in the order in which they were sent, and
+both sides are notified when the connection ends. No I/O."""
 
 from __future__ import annotations
 
@@ -20,10 +21,11 @@
         """Whether frames can be sent."""
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
-        """Queue a frame, in order and within a bound. False if it can't be sent."""
+        """Queue a frame. Return False if it can't be sent: the connection is closed, too much is queued, or the frame
+        is too large."""
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once."""
 
 
 Dial = Callable[[OnFrame, OnEnd], Awaitable[Link | None]]
--- a/wheelstep/workers/between.py
+++ b/wheelstep/workers/between.py
@@ -12,7 +12,7 @@
 from wheelstep.journal import StoredMessage
 from wheelstep.workers.frames import FrameConnection
 
-_DIAL_S = 0.2
+_DIAL_TIMEOUT_S = 0.2
 
 
 def forward_client(path: str) -> ForwardClient:
@@ -20,7 +20,7 @@
     async def dial(on_frame: OnFrame, on_end: OnEnd) -> Link | None:
         connection = FrameConnection(on_frame, on_end)
         try:
-            async with asyncio.timeout(_DIAL_S):
+            async with asyncio.timeout(_DIAL_TIMEOUT_S):
                 await asyncio.get_running_loop().create_unix_connection(lambda: connection, path)
         except (OSError, TimeoutError):
             return None
--- a/wheelstep/workers/frames.py
+++ b/wheelstep/workers/frames.py
@@ -79,7 +79,8 @@
         return self._outgoing_bytes + (self._transport.get_write_buffer_size() if self._transport is not None else 0)
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
-        """Queue a frame, written with the others of this event loop turn. False if the connection is closed or full."""
+        """Queue a frame, written with the others of this event loop turn. Return False if the connection is closed, or
+        is closed now as too much is queued."""
         if self._transport is None or self._transport.is_closing():
             return False
         if self.buffered_bytes > _MAX_BUFFERED_BYTES:
