--- a/wheelstep/workers/between.py
+++ b/wheelstep/workers/between.py
@@ -33,8 +33,8 @@
     is not open here."""
 
     def __init__(self, find: Callable[[int], Admission | None]) -> None:
-        def admission(message: StoredMessage) -> Admission | Refusal:
+        def find_admission(message: StoredMessage) -> Admission | Refusal:
             return find(message.destination) or Refusal("full", "its share is not open here just now")
-        server = ForwardServer(admission)
+        server = ForwardServer(find_admission)
         self.connection = FrameConnection(server.on_frame, server.on_end)
         server.attach(self.connection)
