--- a/wheelstep/workers/frames.py
+++ b/wheelstep/workers/frames.py
@@ -25,12 +25,12 @@
     return _LENGTHS.pack(len(text), len(body)) + text + body
 
 
-class Frames(asyncio.Protocol):
-    """One connection: calls `heard` with each frame, in order, and `lost` at its end. It is closed when more than 4 MB
-    wait for a peer that does not read, and when a frame is longer than 16 MB."""
+class FrameConnection(asyncio.Protocol):
+    """One connection: calls `on_frame` with the head and body of each frame, in order, and `on_end` at its end. It is
+    closed when more than 4 MB wait for a peer that does not read, and when a frame is invalid or longer than 16 MB."""
 
-    def __init__(self, heard: Callable[[dict[str, Any], bytes], None], lost: Callable[[], None]) -> None:
-        self._on_frame, self._on_end = heard, lost
+    def __init__(self, on_frame: Callable[[dict[str, Any], bytes], None], on_end: Callable[[], None]) -> None:
+        self._on_frame, self._on_end = on_frame, on_end
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
         self._outgoing: list[bytes] = []  # frames of this turn of the event loop, sent in one write
@@ -79,7 +79,8 @@
         return self._outgoing_bytes + (self._transport.get_write_buffer_size() if self._transport is not None else 0)
 
     def send(self, head: dict[str, Any], body: bytes = b"") -> bool:
-        """Queue a frame, written with the others of this event loop turn. False if the connection is closed or full."""
+        """Queue a frame, written with the others of this event loop turn. Return False if the connection is closed, or
+        is closed now as too much is queued."""
         if self._transport is None or self._transport.is_closing():
             return False
         if self.buffered_bytes > _MAX_BUFFERED_BYTES:
