--- a/tests/test_channel_cases.py
+++ b/tests/test_channel_cases.py
@@ -9,7 +9,7 @@
 
 from wheelstep.channels.book import Again, Book, End, Refuse, Take
 from wheelstep.channels.contracts import part_of, read
-from wheelstep.channels.position import MOST, MOST_HELD
+from wheelstep.channels.position import MAX_HELD, MAX_NUMBER
 
 
 def test_what_may_be_sent() -> None:
@@ -133,7 +133,7 @@
     world.end("m1")
     assert world.offer("strict", "m1", 1) == Again(1, 2, "delivered")
     assert world.offer("strict", "x", 1) == Refuse("other-message", 2, 4)
-    for wanted in (0, -1, 7, MOST, MOST + 1, 10**30):
+    for wanted in (0, -1, 7, MAX_NUMBER, MAX_NUMBER + 1, 10**30):
         assert world.offer("strict", "x", wanted) == Refuse("beyond", 2, 4)
     assert world.offer("strict", "x", 2, session=3) == Refuse("old-session", 2, 4)
     assert world.hand_in("strict", "m2", 2, session=5) == Take(2, 3)
@@ -152,9 +152,9 @@
 
 def test_what_is_kept_is_bounded() -> None:
     world, hour = World(), 3_600_000
-    for number in range(MOST_HELD):
+    for number in range(MAX_HELD):
         assert isinstance(world.hand_in("none", f"m{number}"), Take)
-    assert world.offer("none", "more") == Refuse("full", MOST_HELD + 1, 0)
+    assert world.offer("none", "more") == Refuse("full", MAX_HELD + 1, 0)
     for number in range(99):
         world.hand_in("strict", f"k{number}", key=str(number))
     assert world.offer("strict", "one", key="more") == Refuse("full", 1, 0)
@@ -203,7 +203,7 @@
 def test_a_mark_that_is_no_position_is_told_and_left() -> None:
     book = World().book
     assert book.restore(0, {":cstrict/7/k": [9], ":out e1": 1, "e1": [1, 2]}, {}) == []
-    assert book.unreadable == ["channel 'strict/7/k': a position of version 9; expected 1"]
+    assert book.unreadable == ["channel 'strict/7/k': position of format version 9; expected 1"]
     assert book.changes() == [] and len(book) == 0
 
 
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wheelstep.channels.position import MOST, Position, PositionError, read_number
+from wheelstep.channels.position import MAX_NUMBER, Position, PositionError, read_number
 from wheelstep.channels.stored import from_data
 from wheelstep.channels.terms import Contract
 
@@ -21,12 +21,12 @@
     position = Position(TERMS)
     for number in (1, 2, 3, 5, 6):
         position.take(number, f"m{number}", number == 3)
-    position.fence(9)
+    position.raise_session(9)
     position.end(1, "delivered")
-    position.doubt(3)
+    position.mark_unclear(3)
     position.free(2)
     position.end(6, "skipped")
-    position.rest(True)
+    position.set_resting(True)
     return position
 
 
@@ -44,32 +44,32 @@
         assert again.to_data() == first.to_data() and again.terms == TERMS
         assert [again.state(number) for number in range(1, 11)] == [
             "ended", "free", "held", "free", "held", "ended", "free", "free", "beyond", "beyond"]
-        assert again.entries[3].given and again.entries[3].unclear and not again.entries[5].unclear
-        assert (again.next, again.session, again.rests, again.unused()) == (4, 9, True, 7)
+        assert again.entries[3].assigned and again.entries[3].unclear and not again.entries[5].unclear
+        assert (again.next, again.session, again.resting, again.next_assigned()) == (4, 9, True, 7)
 
 
 @pytest.mark.parametrize(("data", "line"), [
-    (None, "no position: Expected `array`, got `null`"),
-    ([], "no position: Expected `array` of at least length 16, got 0"),
-    (changed(0, 2), "a position of version 2; expected 1"),
-    (changed(0, "x"), "a position of version x; expected 1"),
-    (changed(1, -4), "no position: Expected `int` >= 1 - at `$[1]`"),
-    (changed(1, 2**60), "no position: Expected `int` <= 9007199254740993 - at `$[1]`"),
-    (changed(1, "4"), "no position: Expected `int`, got `str` - at `$[1]`"),
-    (changed(2, True), "no position: Expected `int`, got `bool` - at `$[2]`"),
-    (changed(3, 1.5), "no position: Expected `int`, got `float` - at `$[3]`"),
-    (changed(9, [0, 3]), "no position: Expected `int` >= 1 - at `$[9][0]`"),
-    (changed(9, [3, 3]), "no position: a number of messages is there twice; expected each once"),
-    (changed(9, [3]), "no position: lists that belong together differ in length; expected the same"),
-    (changed(9, [3, 8]), "no position: 8 of a message; expected one that was taken"),
-    (changed(9, [3, 2]), "no position: 2 handed back or lost; expected one that is not held"),
-    (changed(5, [4]), "no position: 4 above; expected more than 4"),
-    (changed(6, [9]), "no position: 9 lost; expected less than 4"),
-    (changed(6, [2]), "no position: a number freed or lost is there twice; expected each once"),
-    (changed(14, "dx"), "no position: Expected `str` matching regex '^[drfsp]*$' - at `$[14]`"),
-    (changed(13, ["a"] * 3000), "no position: Expected `array` of length <= 1024 - at `$[13]`"),
-    (changed(15, ["orders", "fifo"]), "no position: Invalid enum value 'fifo' - at `$[15][1]`"),
-    ([*sample().to_data(), True, 1], "no position: Expected `array` of at most length 17, got 18"),
+    (None, "invalid position: Expected `array`, got `null`"),
+    ([], "invalid position: Expected `array` of at least length 16, got 0"),
+    (changed(0, 2), "position of format version 2; expected 1"),
+    (changed(0, "x"), "position of format version x; expected 1"),
+    (changed(1, -4), "invalid position: Expected `int` >= 1 - at `$[1]`"),
+    (changed(1, 2**60), "invalid position: Expected `int` <= 9007199254740993 - at `$[1]`"),
+    (changed(1, "4"), "invalid position: Expected `int`, got `str` - at `$[1]`"),
+    (changed(2, True), "invalid position: Expected `int`, got `bool` - at `$[2]`"),
+    (changed(3, 1.5), "invalid position: Expected `int`, got `float` - at `$[3]`"),
+    (changed(9, [0, 3]), "invalid position: Expected `int` >= 1 - at `$[9][0]`"),
+    (changed(9, [3, 3]), "invalid position: a number of messages is listed twice; expected each once"),
+    (changed(9, [3]), "invalid position: corresponding lists differ in length; expected the same"),
+    (changed(9, [3, 8]), "invalid position: number 8 of a message; expected a taken number"),
+    (changed(9, [3, 2]), "invalid position: number 2 handed back or lost; expected a number that is not held"),
+    (changed(5, [4]), "invalid position: number 4 above; expected more than 4"),
+    (changed(6, [9]), "invalid position: number 9 lost; expected less than 4"),
+    (changed(6, [2]), "invalid position: a number handed back or lost is listed twice; expected each once"),
+    (changed(14, "dx"), "invalid position: Expected `str` matching regex '^[drfsp]*$' - at `$[14]`"),
+    (changed(13, ["a"] * 3000), "invalid position: Expected `array` of length <= 1024 - at `$[13]`"),
+    (changed(15, ["orders", "fifo"]), "invalid position: Invalid enum value 'fifo' - at `$[15][1]`"),
+    ([*sample().to_data(), True, 1], "invalid position: Expected `array` of at most length 17, got 18"),
 ])
 def test_what_can_be_no_position_is_refused(data: Any, line: str) -> None:
     with pytest.raises(PositionError) as caught:
@@ -85,15 +85,15 @@
 
 
 def test_a_header_that_is_a_number() -> None:
-    assert [read_number(text) for text in ("1", "007", str(MOST))] == [1, 7, MOST]
+    assert [read_number(text) for text in ("1", "007", str(MAX_NUMBER))] == [1, 7, MAX_NUMBER]
 
 
 def test_the_last_number_is_the_last() -> None:
-    position = Position(TERMS, MOST)
+    position = Position(TERMS, MAX_NUMBER)
     position.lost.clear()
-    position.take(MOST, "m", False)
-    assert position.state(MOST) == "held" and position.state(position.unused()) == "beyond"
-    assert from_data(position.to_data()).next == MOST + 1
+    position.take(MAX_NUMBER, "m", False)
+    assert position.state(MAX_NUMBER) == "held" and position.state(position.next_assigned()) == "beyond"
+    assert from_data(position.to_data()).next == MAX_NUMBER + 1
 
 
 @given(st.lists(st.tuples(st.sampled_from(["take", "end", "free", "skip"]), st.integers(1, 40)), max_size=80))
@@ -115,5 +115,5 @@
             position.skip(number)
             ended |= set(range(1, number)) - position.entries.keys()
         assert (position.next, position.revision) >= before and position.next >= before[0]
-        assert len(position.answers) <= TERMS.ahead + 64 and len(position.above) <= TERMS.ahead + 1
+        assert len(position.outcomes) <= TERMS.ahead + 64 and len(position.taken_above) <= TERMS.ahead + 1
         assert from_data(json.loads(json.dumps(position.to_data()))).to_data() == position.to_data()
--- a/wheelstep/channels/book.py
+++ b/wheelstep/channels/book.py
@@ -43,7 +43,7 @@
             self._offered = (channel, message, verdict.number)
             self._terms_offered = (contract, number is None, session)
         elif line is not None and session is not None and isinstance(verdict, Again):
-            position.fence(session)
+            position.raise_session(session)
             self._touch(now_ms, line, look=False)
         return verdict
 
@@ -54,7 +54,7 @@
             if known[0] is line and number in (None, known[1]):
                 return Again(known[1], position.next, None)
             return Refuse("other-message", position.next, position.session)
-        wanted = position.unused() if number is None else number
+        wanted = position.next_assigned() if number is None else number
         why = "beyond"
         match position.state(wanted):
             case "held":
@@ -83,7 +83,7 @@
         self._offered = None
         line = self._lines.get(channel) or self._add(now_ms, channel, self._fresh(contract, channel, number))
         if session is not None:
-            line.position.fence(session)
+            line.position.raise_session(session)
         line.position.take(number, message, given)
         line.taken(number)
         self._by_message[message] = (line, number)
--- a/wheelstep/channels/line.py
+++ b/wheelstep/channels/line.py
@@ -27,10 +27,10 @@
         self._waiting = sorted(position.entries)  # a heap, of those that were said; some have ended since
         self._unsaid: set[int] = set()
         self._unclear: set[int] = set()  # out, and may have run
-        self._rest_ms = now_ms + position.terms.rest_ms if position.rests else 0
+        self._rest_ms = now_ms + position.terms.rest_ms if position.resting else 0
         self._rest_by = 0
         self._gap, self._gap_ms = 0, 0  # the gap in the way, and since when
-        self._front = max((number for number, (_, code) in position.answers.items() if code in "df"), default=0)
+        self._front = max((number for number, (_, code) in position.outcomes.items() if code in "df"), default=0)
 
     def taken(self, number: int) -> None:
         """It is written down; its client has not heard so yet."""
@@ -45,14 +45,14 @@
         """Its client never heard: a number of the client's is free again, one of the courier's nobody knows of."""
         self._unsaid.discard(number)
         terms, entry = self.position.terms, self.position.entries[number]
-        if entry.given or (terms.order == "latest" and number != self.position.next - 1):
+        if entry.assigned or (terms.order == "latest" and number != self.position.next - 1):
             self.position.end(number, "skipped")
         else:
             self.position.free(number)
 
     def doubt(self, now_ms: int, number: int) -> None:
         """An attempt of it has ended with an unknown outcome, and the message goes on."""
-        self.position.doubt(number)
+        self.position.mark_unclear(number)
         if number in self.out:
             self._unclear.add(number)
             self._begin_rest(now_ms, number)
@@ -66,7 +66,7 @@
         self._unsaid.discard(number)
         if outcome == "refused" and entry.unclear:
             outcome = "failed"
-        if outcome == "refused" and not entry.given and terms.order in ("strict", "window") and terms.gap != "fail":
+        if outcome == "refused" and not entry.assigned and terms.order in ("strict", "window") and terms.gap != "fail":
             position.free(number)
         else:
             position.end(number, outcome)
@@ -77,7 +77,7 @@
         terms = self.position.terms
         if terms.unclear == "rest" and terms.order != "none":
             self._rest_ms, self._rest_by = now_ms + terms.rest_ms, number
-            self.position.rest(True)
+            self.position.set_resting(True)
 
     def may_send(self, now_ms: int, number: int) -> bool:
         """May the first byte of an attempt of it be written now?"""
@@ -93,12 +93,12 @@
     def _stopped(self) -> bool:
         """Does an unknown outcome hold up what follows?"""
         terms = self.position.terms
-        return self.position.rests or (terms.unclear == "hold" and bool(self._unclear))
+        return self.position.resting or (terms.unclear == "hold" and bool(self._unclear))
 
     def release(self, now_ms: int) -> list[Release | End]:
         """What goes out now, and what ends here, in the contract's order."""
-        if self.position.rests and now_ms >= self._rest_ms:
-            self.position.rest(False)
+        if self.position.resting and now_ms >= self._rest_ms:
+            self.position.set_resting(False)
         order = self.position.terms.order
         if order == "none":
             return self._release_all(now_ms)
@@ -123,9 +123,9 @@
             heapq.heappop(self._waiting)
             released.append(self._open(number))
         position = self.position
-        if position.above and self._in_the_way(now_ms, position.gap(max(position.above))):
-            position.skip(max(position.above))  # else numbers that never come would close the door for good
-        if not position.above:
+        if position.taken_above and self._in_the_way(now_ms, position.first_missing(max(position.taken_above))):
+            position.skip(max(position.taken_above))  # else numbers that never come would close the door for good
+        if not position.taken_above:
             self._gap = 0
         return released
 
@@ -135,7 +135,7 @@
         while (number := self._next()) is not None and len(self.out) < position.terms.open and not self._stopped():
             if self._unsaid and min(self._unsaid) < number:
                 break
-            if (gap := position.gap(number)) is not None:
+            if (gap := position.first_missing(number)) is not None:
                 if not self._in_the_way(now_ms, gap):
                     return released
                 position.skip(number)
@@ -178,7 +178,7 @@
 
     def due(self) -> int | None:
         """When to look at it by the clock: a rest or a gap's time is over."""
-        rest = [self._rest_ms] if self.position.rests else []
+        rest = [self._rest_ms] if self.position.resting else []
         gap = [self._gap_ms] if self._gap and self.position.terms.gap == "skip" else []
         return min(rest + gap, default=None)
 
--- a/wheelstep/channels/parts.py
+++ b/wheelstep/channels/parts.py
@@ -87,11 +87,11 @@
         newer = line is not None and line.position.stale and not line.position.entries \
             and former.next > line.position.next
         if line is not None and not newer:
-            line.position.learn(former)
+            line.position.merge_former(former)
         else:
-            former.bereave()
+            former.mark_held_lost()
             if line is not None:  # two former owners, neither of whom may be the last: the later one counts
-                former.learn(line.position)
+                former.merge_former(line.position)
                 former.revision = max(former.revision, line.position.revision) + 1
                 self._forget(line)
             line = self._add(now_ms, channel, former)
@@ -115,7 +115,7 @@
                 (line is None and len(self._lines) >= self._most):
             return False
         line = line or self._add(now_ms, channel, position)
-        position.take(number, message, False, found=True)
+        position.take(number, message, False, recovered=True)
         self._by_message[message] = (line, number)
         line.said(number)
         self._touch(now_ms, line)
@@ -126,4 +126,4 @@
     try:
         return from_data(msgspec.json.decode(data))
     except (msgspec.DecodeError, RecursionError) as error:
-        raise PositionError(f"no position: {error}") from error
+        raise PositionError(f"invalid position: {error}") from error
--- a/wheelstep/channels/position.py
+++ b/wheelstep/channels/position.py
@@ -1,8 +1,8 @@
 """The position of one channel: which numbers are expected, owed and ended. No I/O and no clock; imports msgspec.
 
-Numbers run from 1 to 2**53. Every change raises `revision`. What is written down has no moments in it, so that it
-means the same to another process; which messages are out is not part of it: a process that reads it gives them out
-anew, and knows from the journal's attempts which ones may have run.
+Numbers run from 1 to 2**53. Every change increases `revision`. Stored positions contain no points in time, so that they
+mean the same to another process. Which messages are in flight is not stored: a process that restores a position
+releases all held messages again, and learns from the journal's attempts which of them may have run.
 """
 
 from __future__ import annotations
@@ -14,200 +14,209 @@
 
 from wheelstep.channels.terms import Contract
 
-VERSION = 1  # of what `to_data` gives; another is refused
-MOST = 2**53
-MOST_HELD = 256  # messages owed and numbers handed back, a channel: its position is written whole at every change
-_MORE_ANSWERS = 64  # ends remembered beyond the contract's `ahead`
+VERSION = 1  # format version of `to_data`; any other is rejected
+MAX_NUMBER = 2**53
+MAX_HELD = 256  # held and freed numbers of a channel; bounded as every change writes the whole position
+_EXTRA_OUTCOMES = 64  # recorded outcomes in addition to the contract's `ahead`
 
 OUTCOMES = {"d": "delivered", "r": "refused", "f": "failed", "s": "skipped", "p": "replaced"}
-_CODES = {outcome: code for code, outcome in OUTCOMES.items()}
-GIVEN, UNCLEAR = 1, 2
+_CODE_BY_OUTCOME = {outcome: code for code, outcome in OUTCOMES.items()}
+FLAG_ASSIGNED, FLAG_UNCLEAR = 1, 2
 
 
 class PositionError(ValueError):
-    """A position can't be what it is said to be; one line."""
+    """A position or number is invalid; the text is one line."""
 
 
 def read_number(text: str) -> int:
-    """The number or epoch of a header. Raises `PositionError`."""
-    if text.isascii() and text.isdigit() and len(text) <= 16 and 1 <= int(text) <= MOST:
+    """Return the number or epoch given in a header. Raises `PositionError`."""
+    if text.isascii() and text.isdigit() and len(text) <= 16 and 1 <= int(text) <= MAX_NUMBER:
         return int(text)
     raise PositionError(f"{text[:40]!r} is no number of a channel; expected 1 to 2**53")
 
 
 class Entry:
-    """A message whose end is owed: `given` if the courier chose its number, `unclear` once an attempt may have run
-    without a known outcome."""
+    """A message whose end is owed. `assigned`: the courier chose its number; `unclear`: an attempt may have run, with
+    an unknown outcome."""
 
-    __slots__ = ("message", "given", "unclear")
+    __slots__ = ("message", "assigned", "unclear")
 
-    def __init__(self, message: str, given: bool, unclear: bool = False) -> None:
-        self.message, self.given, self.unclear = message, given, unclear
+    def __init__(self, message: str, assigned: bool, unclear: bool = False) -> None:
+        self.message, self.assigned, self.unclear = message, assigned, unclear
 
 
 class Position:
-    """Numbers below `next` are known, but for those in `freed` and `lost`; of the others, those in `above`. Where a
-    courier went on without the position that another had, `start` is the number that its client came with: those
-    right before it are lost, if the contract holds gaps, until that other is back; earlier ones are past."""
+    """State of the numbers of one channel.
 
-    __slots__ = ("terms", "next", "session", "revision", "rests", "above", "freed", "lost", "entries",
-                 "answers", "stale")
+    All numbers below `next` have been taken or skipped, except those in `freed` and `lost`; of the higher ones only
+    those in `taken_above`. A courier that has to continue without the position of a former owner starts at `start`, the
+    number of the first message that a client hands in. The numbers right before it are then lost until the former owner
+    returns, if the contract holds at gaps; earlier ones are past.
+    """
+
+    __slots__ = ("terms", "next", "session", "revision", "resting", "taken_above", "freed", "lost", "entries",
+                 "outcomes", "stale")
 
     def __init__(self, terms: Contract, start: int = 1) -> None:
         self.terms = terms
-        self.next = start  # the lowest number that was never taken; never goes back
-        self.session = 0  # the highest epoch of a client's connection
+        self.next = start  # the lowest number that was never taken; never decreases
+        self.session = 0  # highest epoch of a client's connection
         self.revision = 0
-        self.stale = False  # as a former owner told it: others may have taken numbers since (`begin`)
-        self.rests = False  # the last unclear outcome's rest has not been waited for
-        self.above: set[int] = set()
-        self.freed: dict[int, str] = {}  # handed back, or withdrawn: may be handed in again; whose it was
-        held = terms.gap == "hold" and terms.order in ("strict", "window")
-        self.lost = set(range(max(1, start - terms.ahead), start)) if held else set()
+        self.stale = False  # received from a former owner: other couriers may have taken later numbers (`restart_at`)
+        self.resting = False  # the rest after the last unclear outcome is not over
+        self.taken_above: set[int] = set()
+        self.freed: dict[int, str] = {}  # numbers that may be handed in again, with the returned or withdrawn message
+        waits_for_gaps = terms.gap == "hold" and terms.order in ("strict", "window")
+        self.lost = set(range(max(1, start - terms.ahead), start)) if waits_for_gaps else set()
         self.entries: dict[int, Entry] = {}
-        self.answers: dict[int, tuple[str, str]] = {}  # the last ends: message, code of the outcome
+        self.outcomes: dict[int, tuple[str, str]] = {}  # most recent ends: message and outcome code
 
     def state(self, number: int) -> str:
-        """free, lost (only who had it can give it), held, ended, past (ended, and forgotten how) or beyond."""
+        """Return the state of a number: "free", "lost" (only the former owner can supply its message), "held", "ended",
+        "past" (ended, but the outcome is no longer recorded) or "beyond" (too far ahead)."""
         if number in self.entries:
             return "held"
         if number in self.freed:
             return "free"
         if number in self.lost:
             return "lost"
-        if number in self.answers:
+        if number in self.outcomes:
             return "ended"
-        if 1 <= number < self.next or number in self.above:
+        if 1 <= number < self.next or number in self.taken_above:
             return "past"
-        near = self.stale or number - self.next <= self.terms.ahead
-        return "free" if 1 <= number <= MOST and near else "beyond"
+        within_ahead = self.stale or number - self.next <= self.terms.ahead
+        return "free" if 1 <= number <= MAX_NUMBER and within_ahead else "beyond"
 
     def answer(self, number: int) -> tuple[str, str]:
-        """Of one that has ended: message and outcome."""
-        message, code = self.answers[number]
+        """Return message and outcome of an ended number. Raises `KeyError` if no outcome is recorded."""
+        message, code = self.outcomes[number]
         return message, OUTCOMES[code]
 
-    def ends(self) -> Iterator[tuple[str, str]]:
-        """Messages and outcomes of all ends that are remembered."""
+    def recorded_outcomes(self) -> Iterator[tuple[str, str]]:
+        """Yield message and outcome of each end that is still recorded; skipped numbers have no message and are left
+        out."""
         yield from ((message, "refused") for message in self.freed.values())
-        yield from ((message, OUTCOMES[code]) for message, code in self.answers.values() if code != "s")
+        yield from ((message, OUTCOMES[code]) for message, code in self.outcomes.values() if code != "s")
 
     def full(self, number: int) -> bool:
-        """Is there no room for this number?"""
-        return len(self.entries) + len(self.freed) - (number in self.freed) >= MOST_HELD
+        """Return whether the channel holds too many messages to take this number."""
+        return len(self.entries) + len(self.freed) - (number in self.freed) >= MAX_HELD
 
-    def unused(self) -> int:
-        """The number that the courier gives: above all that are known, so that it never fills a client's gap."""
-        return max(self.next - 1, max(self.above, default=0), max(self.freed, default=0)) + 1
+    def next_assigned(self) -> int:
+        """Return the number for a message handed in without one: above all known numbers, so that it never fills a
+        client's gap."""
+        return max(self.next - 1, max(self.taken_above, default=0), max(self.freed, default=0)) + 1
 
     def next_after(self, number: int) -> int:
-        """The next expected once this one is taken."""
+        """Return the next expected number once this one is taken."""
         if self.terms.order == "latest":
             return max(self.next, number + 1)
         following = max(self.next, number) if self.stale else self.next
-        while following == number or following in self.above:
+        while following == number or following in self.taken_above:
             following += 1
         return following
 
-    def gap(self, below: int) -> int | None:
-        """The lowest missing number below this one."""
+    def first_missing(self, below: int) -> int | None:
+        """Return the lowest missing number below this one, or None."""
         lowest = min(self.next, *self.freed, *self.lost) if self.freed or self.lost else self.next
         return lowest if lowest < below else None
 
-    def take(self, number: int, message: str, given: bool, found: bool = False) -> None:
-        """A free number is this message's; `found` by a former owner, which says nothing of what came after it."""
+    def take(self, number: int, message: str, assigned: bool, recovered: bool = False) -> None:
+        """Assign a free number to a message. `recovered`: a former owner found the message on its disk, which tells
+        nothing about later numbers."""
         assert self.state(number) in ("free", "lost")
         self.revision += 1
-        if self.stale and number >= self.next and not found:
-            self.begin(number)
+        if self.stale and number >= self.next and not recovered:
+            self.restart_at(number)
         self.freed.pop(number, None)
         self.lost.discard(number)
-        self.entries[number] = Entry(message, given)
+        self.entries[number] = Entry(message, assigned)
         if number >= self.next:
-            self.above.add(number)
+            self.taken_above.add(number)
             if self.terms.order == "latest":
                 self.skip(number)
             self._advance()
 
-    def begin(self, number: int) -> None:
-        """The first client since others may have had the channel comes with this number. Those before it that are not
-        known to have ended are lost, if the contract holds gaps, until whoever had them brings them; else past."""
+    def restart_at(self, number: int) -> None:
+        """Continue at this number, the first that a client uses after other couriers may have owned the channel.
+        Earlier numbers that are not known to have ended become lost if the contract holds at gaps, else past."""
         self.stale = False
         self.revision += 1
-        free = {one for one in self.freed if one < number}
-        free |= {one for one in range(max(self.next, number - self.terms.ahead), number) if one not in self.above}
-        for one in free:
-            self.freed.pop(one, None)
+        unknown = {other for other in self.freed if other < number}
+        unknown |= {other for other in range(max(self.next, number - self.terms.ahead), number)
+                    if other not in self.taken_above}
+        for other in unknown:
+            self.freed.pop(other, None)
         if self.terms.gap == "hold" and self.terms.order in ("strict", "window"):
-            self.lost |= free
-        self.above = {one for one in self.above if one > number}
+            self.lost |= unknown
+        self.taken_above = {other for other in self.taken_above if other > number}
         self.next = number
         self._advance()
 
-    def fence(self, session: int) -> None:
-        """A client has come with this epoch."""
+    def raise_session(self, session: int) -> None:
+        """Record the epoch of a client's connection if it is the highest so far."""
         if session > self.session:
             self.session = session
             self.revision += 1
 
-    def doubt(self, number: int) -> None:
-        """It may have run."""
+    def mark_unclear(self, number: int) -> None:
+        """Record that an attempt of a held message may have run."""
         if not self.entries[number].unclear:
             self.entries[number].unclear = True
             self.revision += 1
 
-    def rest(self, on: bool) -> None:
-        """Is there a rest to wait for, should another process go on from here?"""
-        if self.rests != on:
-            self.rests = on
+    def set_resting(self, on: bool) -> None:
+        """Record whether a process that restores this position has to wait for a rest."""
+        if self.resting != on:
+            self.resting = on
             self.revision += 1
 
     def end(self, number: int, outcome: str) -> None:
-        """A held number has ended; a name of `OUTCOMES`."""
+        """End a held number; `outcome` is a value of `OUTCOMES`."""
         self.revision += 1
-        self._remember(number, self.entries.pop(number).message, _CODES[outcome])
+        self._record_outcome(number, self.entries.pop(number).message, _CODE_BY_OUTCOME[outcome])
 
     def free(self, number: int) -> None:
-        """A held number may be handed in again."""
+        """Allow a held number to be handed in again."""
         self.revision += 1
         entry = self.entries.pop(number)
-        self.above.discard(number)
+        self.taken_above.discard(number)
         self.freed[number] = entry.message
 
     def skip(self, below: int) -> None:
-        """All that is missing below this number never runs."""
+        """Mark all missing numbers below this one as skipped: they never run."""
         self.revision += 1
         for number in sorted(number for number in (*self.freed, *self.lost) if number < below):
             self.freed.pop(number, None)
             self.lost.discard(number)
-            self._remember(number, "", "s")
+            self._record_outcome(number, "", "s")
         for number in range(self.next, below):
-            if number not in self.above:
-                self.above.add(number)
-                self._remember(number, "", "s")
+            if number not in self.taken_above:
+                self.taken_above.add(number)
+                self._record_outcome(number, "", "s")
         self._advance()
 
-    def learn(self, former: Position) -> None:
-        """Of what is lost, forget what the position of who had it says has ended."""
-        self.fence(former.session)
-        gone = {number for number in self.lost if former.state(number) in ("ended", "past")}
-        if gone:
-            self.lost -= gone
+    def merge_former(self, former: Position) -> None:
+        """Remove from the lost numbers those that have ended according to the former owner's position."""
+        self.raise_session(former.session)
+        ended = {number for number in self.lost if former.state(number) in ("ended", "past")}
+        if ended:
+            self.lost -= ended
             self.revision += 1
 
-    def _remember(self, number: int, message: str, code: str) -> None:
-        self.answers.pop(number, None)
-        self.answers[number] = (message, code)
-        while len(self.answers) > self.terms.ahead + _MORE_ANSWERS:
-            del self.answers[next(iter(self.answers))]
+    def _record_outcome(self, number: int, message: str, code: str) -> None:
+        self.outcomes.pop(number, None)
+        self.outcomes[number] = (message, code)
+        while len(self.outcomes) > self.terms.ahead + _EXTRA_OUTCOMES:
+            del self.outcomes[next(iter(self.outcomes))]
 
     def _advance(self) -> None:
-        while self.next in self.above:
-            self.above.discard(self.next)
+        while self.next in self.taken_above:
+            self.taken_above.discard(self.next)
             self.next += 1
 
-    def bereave(self) -> None:
-        """Whose messages were on another courier's disk: what is held is lost until that one brings it."""
+    def mark_held_lost(self) -> None:
+        """Mark held messages as lost: they are on a former owner's disk until it sends them."""
         for number in list(self.entries):
             if number < self.next:
                 del self.entries[number]
@@ -220,12 +229,13 @@
             self.skip(max(self.lost, default=0) + 1)
 
     def to_data(self) -> list[Any]:
-        """Lists, numbers and texts alone."""
+        """Return the position as lists, numbers and strings, for JSON or msgpack."""
         held = self.entries.values()
-        messages, codes = zip(*self.answers.values(), strict=True) if self.answers else ((), ())
-        return [VERSION, self.next, self.session, self.revision, self.rests, sorted(self.above), sorted(self.lost),
-                list(self.freed), list(self.freed.values()), list(self.entries), [entry.message for entry in held],
-                [GIVEN * entry.given + UNCLEAR * entry.unclear for entry in held],
-                list(self.answers), list(messages), "".join(codes),
+        messages, codes = zip(*self.outcomes.values(), strict=True) if self.outcomes else ((), ())
+        return [VERSION, self.next, self.session, self.revision, self.resting, sorted(self.taken_above),
+                sorted(self.lost), list(self.freed), list(self.freed.values()), list(self.entries),
+                [entry.message for entry in held],
+                [FLAG_ASSIGNED * entry.assigned + FLAG_UNCLEAR * entry.unclear for entry in held],
+                list(self.outcomes), list(messages), "".join(codes),
                 list(msgspec.structs.astuple(self.terms)), *([True] if self.stale else [])]
 
--- a/wheelstep/channels/shelf.py
+++ b/wheelstep/channels/shelf.py
@@ -11,7 +11,7 @@
 
 from wheelstep.channels.contracts import Contracts, part_of
 from wheelstep.channels.line import Line
-from wheelstep.channels.position import MOST, Position, PositionError
+from wheelstep.channels.position import MAX_NUMBER, Position, PositionError
 from wheelstep.channels.stored import from_data
 from wheelstep.channels.terms import Contract, End
 
@@ -52,7 +52,7 @@
 
     def _fresh(self, terms: Contract, channel: str, number: int | None) -> Position:
         """The position of a channel that is not known here."""
-        known = number is None or not 1 <= number <= MOST or part_of(channel, self._parts) not in self._inherited
+        known = number is None or not 1 <= number <= MAX_NUMBER or part_of(channel, self._parts) not in self._inherited
         return Position(terms, 1 if known or number is None else number)
 
     def _forget(self, line: Line) -> None:
@@ -136,13 +136,13 @@
             if not position.entries:
                 position.terms = self._terms(name) or position.terms
             line = self._add(now_ms, name, position)
-            ended |= {message: outcome for message, outcome in position.ends() if message in owed}
+            ended |= {message: outcome for message, outcome in position.recorded_outcomes() if message in owed}
             for number, entry in list(position.entries.items()):
                 if entry.message not in owed:
                     del self._by_message[entry.message]
                     line.withdrawn(number)
                 elif owed[entry.message]:
-                    position.doubt(number)
+                    position.mark_unclear(number)
             self._touch(now_ms, line)
         return [End(message, _HOW.get(outcome, "refused")) for message, outcome in ended.items()
                 if message not in self._by_message]
