--- a/tests/test_channel_cases.py
+++ b/tests/test_channel_cases.py
@@ -180,10 +180,10 @@
         assert world.release(world.now + 50) == [f"m{number}"]
         world.end(f"m{number}", "failed", True)
     assert world.book.position("skip/7/k").next == 1001  # type: ignore[union-attr]
-    assert len(world.book._timers) + len(world.book._keeps) < 6
+    assert len(world.book._timers) + len(world.book._expiries) < 6
     for number in range(100):
         world.hand_in("skip", f"n{number}")
-    assert len(world.book._timers) + len(world.book._keeps) < 6, "one timer for all of a rest"
+    assert len(world.book._timers) + len(world.book._expiries) < 6, "one timer for all of a rest"
 
 
 def test_a_channel_that_came_again_is_not_forgotten_by_the_clock_of_the_one_before() -> None:
--- a/tests/test_channel_moves.py
+++ b/tests/test_channel_moves.py
@@ -33,7 +33,7 @@
     assert book.release(400) == book.release(450) == []
     book.open(part)
     assert book.release(500) == [] and [one.message for one in book.release(550)] == ["m4"]
-    with pytest.raises(PositionError, match="an older position, revision .* with next 3; expected one after"):
+    with pytest.raises(PositionError, match="position is older: revision .* with next 3; expected one after"):
         book.adopt(0, "skip/7/k", data, None)
     book.changes()
     book.drop(part)
--- a/wheelstep/channels/book.py
+++ b/wheelstep/channels/book.py
@@ -1,9 +1,9 @@
-"""All channels of a courier: what the door says of a hand-in, and what goes out next. What is kept, and how it comes
-back from a journal, is in `shelf`; how parts come and go in `parts`; what one channel's contract lets go in `line`.
+"""All channels of a courier: accepts or rejects messages handed in, and decides what goes out next. `shelf` has what is
+stored and how it is restored from a journal, `parts` how parts arrive and leave, `line` the order of one channel.
 
-No I/O: a clock in milliseconds is handed in, of the process alone (no moment is written down). The caller writes the
-marks of `changes` before it acts on what brought them about: before 202, before an end is told, before `over`.
-Cost of a call does not grow with the number of channels.
+No I/O: the caller passes the time in milliseconds of a clock of this process only (no point in time is stored). The
+caller writes the marks of `changes` before it acts on what caused them: before the 202, before an outcome is reported,
+before a message is removed from the journal. The cost of a call does not grow with the number of channels.
 """
 
 from __future__ import annotations
@@ -19,150 +19,157 @@
 
 
 class Book(Parts):
-    """The channels that this courier has, and the door to them."""
+    """The channels of this courier, with admission of their messages."""
 
-    def __init__(self, contracts: Contracts, parts: int, most_channels: int, now_ms: int) -> None:
-        super().__init__(contracts, parts, most_channels, now_ms)
-        self._offered: tuple[str, str, int] | None = None  # what the door took last: channel, message, number
-        self._terms_offered: tuple[Contract, bool, int | None] | None = None  # did the courier choose the number?
+    def __init__(self, contracts: Contracts, parts: int, max_channels: int, now_ms: int) -> None:
+        super().__init__(contracts, parts, max_channels, now_ms)
+        self._last_offer: tuple[str, str, int] | None = None  # channel, message and number of the last `Take`
+        self._last_offer_terms: tuple[Contract, bool, int | None] | None = None  # contract, number assigned, session
 
-    # --- the door ---
+    # --- admission ---
 
     def offer(self, now_ms: int, contract: Contract, channel: str, message: str, number: int | None,
               session: int | None) -> Verdict:
-        """What is to be said to a hand-in. A `Take` is followed by `take` in the same turn, or by nothing."""
-        self._offered = None
-        line = self._lines.get(channel)
-        position = self._fresh(contract, channel, number) if line is None else line.position
-        if line is not None and not position.entries:
+        """Return the verdict on a message handed in. After a `Take` the caller either calls `take` in the same turn or
+        does nothing."""
+        self._last_offer = None
+        queue = self._queues.get(channel)
+        position = self._new_position(contract, channel, number) if queue is None else queue.position
+        if queue is not None and not position.entries:
             position.terms = contract
         if session is not None and session < position.session:
             return Refuse("old-session", position.next, position.session)
-        verdict = self._judge(now_ms, line, position, message, number)
+        verdict = self._verdict_for(now_ms, queue, position, message, number)
         if isinstance(verdict, Take):
-            self._offered = (channel, message, verdict.number)
-            self._terms_offered = (contract, number is None, session)
-        elif line is not None and session is not None and isinstance(verdict, Again):
+            self._last_offer = (channel, message, verdict.number)
+            self._last_offer_terms = (contract, number is None, session)
+        elif queue is not None and session is not None and isinstance(verdict, Again):
             position.raise_session(session)
-            self._touch(now_ms, line, look=False)
+            self._note_change(now_ms, queue, release_due=False)
         return verdict
 
-    def _judge(self, now_ms: int, line: Line | None, position: Position, message: str,
-               number: int | None) -> Verdict:
+    def _verdict_for(self, now_ms: int, queue: Line | None, position: Position, message: str,
+                     number: int | None) -> Verdict:
+        """Return the verdict on a message, without its session."""
         known = self._by_message.get(message)
         if known is not None:
-            if known[0] is line and number in (None, known[1]):
+            if known[0] is queue and number in (None, known[1]):
                 return Again(known[1], position.next, None)
             return Refuse("other-message", position.next, position.session)
-        wanted = position.next_assigned() if number is None else number
+        chosen = position.next_assigned() if number is None else number
         why = "beyond"
-        match position.state(wanted):
+        match position.state(chosen):
             case "held":
                 why = "other-message"
             case "ended":
-                name, outcome = position.answer(wanted)
+                name, outcome = position.answer(chosen)
                 if name == message and outcome != "skipped":
-                    return Again(wanted, position.next, outcome)
+                    return Again(chosen, position.next, outcome)
                 why = "skipped" if outcome == "skipped" else "other-message"
             case "free":
-                if not position.full(wanted) and (line is not None or self._room(now_ms)):
-                    return Take(wanted, position.next_after(wanted))
+                if not position.full(chosen) and (queue is not None or self._has_room(now_ms)):
+                    return Take(chosen, position.next_after(chosen))
                 why = "full"
         return Refuse(why, position.next, position.session)
 
-    def _room(self, now_ms: int) -> bool:
-        if len(self._lines) >= self._most:
-            self._wake(now_ms)
-        return len(self._lines) < self._most
+    def _has_room(self, now_ms: int) -> bool:
+        """Return whether another channel may be added."""
+        if len(self._queues) >= self._max_channels:
+            self._run_timers(now_ms)
+        return len(self._queues) < self._max_channels
 
     def take(self, now_ms: int, channel: str, message: str, number: int) -> None:
-        """It is being written down, before 202, as `offer` just said. Raises `KeyError` for anything else."""
-        if self._offered != (channel, message, number) or self._terms_offered is None:
+        """Take the message that was offered last, which is being written to the journal before its 202. Raises
+        `KeyError` for any other message."""
+        if self._last_offer != (channel, message, number) or self._last_offer_terms is None:
             raise KeyError(f"{message!r} was not offered as {number} of {channel!r}")
-        contract, given, session = self._terms_offered
-        self._offered = None
-        line = self._lines.get(channel) or self._add(now_ms, channel, self._fresh(contract, channel, number))
+        contract, assigned, session = self._last_offer_terms
+        self._last_offer = None
+        queue = self._queues.get(channel) or self._add(now_ms, channel, self._new_position(contract, channel, number))
         if session is not None:
-            line.position.raise_session(session)
-        line.position.take(number, message, given)
-        line.taken(number)
-        self._by_message[message] = (line, number)
-        self._touch(now_ms, line)
+            queue.position.raise_session(session)
+        queue.position.take(number, message, assigned)
+        queue.accepted(number)
+        self._by_message[message] = (queue, number)
+        self._note_change(now_ms, queue)
 
     def withdraw(self, now_ms: int, message: str) -> None:
-        """Its client went before it was answered."""
+        """Remove a message whose client disconnected before the answer."""
         if (known := self._by_message.pop(message, None)) is not None:
             known[0].withdrawn(known[1])
-            self._touch(now_ms, known[0])
+            self._note_change(now_ms, known[0])
 
     def said(self, now_ms: int, message: str) -> None:
-        """Its client has heard 202: it may be given out."""
+        """Note that the client has received 202: the message may be released."""
         if (known := self._by_message.get(message)) is not None:
-            known[0].said(known[1])
-            self._touch(now_ms, known[0])
+            known[0].client_answered(known[1])
+            self._note_change(now_ms, known[0])
 
-    # --- messages on their way ---
+    # --- messages under way ---
 
     def release(self, now_ms: int) -> list[Release | End]:
-        """What goes to the decision module now, and what ends here, in the order of each channel's contract."""
-        self._wake(now_ms)
-        found: list[Release | End] = []
-        ready, self._ready = self._ready, {}
+        """Return the messages that go to the decision module now and those that end here, in the order of each
+        channel's contract."""
+        self._run_timers(now_ms)
+        results: list[Release | End] = []
+        ready, self._release_due = self._release_due, {}
         for name in ready:
-            if (line := self._lines.get(name)) is None or line.part in self._shut:
+            if (queue := self._queues.get(name)) is None or queue.part in self._shut:
                 continue
-            here = line.release(now_ms)
-            for one in here:
+            released = queue.release(now_ms)
+            for one in released:
                 if isinstance(one, End):
                     self._by_message.pop(one.message, None)
-            found += here
-            self._touch(now_ms, line, look=False)
-        return found
+            results += released
+            self._note_change(now_ms, queue, release_due=False)
+        return results
 
     def ended(self, now_ms: int, message: str, outcome: str, unclear: bool) -> None:
-        """Its end: delivered, refused (handed back, it never ran) or failed. `unclear`: its last attempt may have run
-        without a known outcome. A message that has ended, or was never a channel's, is nothing to it."""
+        """Apply the end of a message: "delivered", "refused" (handed back, it never ran) or "failed". `unclear`: its
+        last attempt may have run, with an unknown outcome. A message not held here is ignored."""
         if (known := self._by_message.pop(message, None)) is not None:
             known[0].ended(now_ms, known[1], outcome, unclear)
-            self._touch(now_ms, known[0])
+            self._note_change(now_ms, known[0])
 
     def expired(self, now_ms: int, message: str) -> End | None:
-        """Its time is over. None where it is out (the decision module ends it) or unknown."""
+        """End a message whose deadline has passed. Returns None, and does nothing, if the message is in flight (the
+        decision module ends it) or unknown."""
         known = self._by_message.get(message)
-        if known is None or known[1] in known[0].out:
+        if known is None or known[1] in known[0].in_flight:
             return None
         how = "failed" if known[0].position.entries[known[1]].unclear else "refused"
         self.ended(now_ms, message, how, False)
         return End(message, how)
 
     def attempt_unclear(self, now_ms: int, message: str) -> None:
-        """An attempt of it has ended with an unknown outcome; the message goes on."""
+        """Note that an attempt has ended with an unknown outcome; the message continues."""
         if (known := self._by_message.get(message)) is not None:
-            known[0].doubt(now_ms, known[1])
-            self._touch(now_ms, known[0])
+            known[0].mark_unclear(now_ms, known[1])
+            self._note_change(now_ms, known[0])
 
     def may_send(self, now_ms: int, message: str) -> bool:
-        """Right before the first byte of an attempt: does the contract allow it? False for what isn't held."""
+        """Return whether the contract allows an attempt's first byte now. False for a message not held here."""
         known = self._by_message.get(message)
         return known is not None and known[0].part not in self._shut and known[0].may_send(now_ms, known[1])
 
     def may_repeat(self, message: str) -> bool:
-        """May it be sent again after an attempt whose outcome is unknown? True for what isn't held."""
+        """Return whether the contract allows another attempt after one with an unknown outcome. True for a message not
+        held here."""
         known = self._by_message.get(message)
         return known is None or known[0].position.terms.repeat == "may"
 
-    # --- what is told ---
+    # --- queries ---
 
     def position(self, channel: str) -> Position | None:
-        """To be read only."""
-        line = self._lines.get(channel)
-        return None if line is None else line.position
+        """Return a channel's position, which the caller must not change, or None."""
+        queue = self._queues.get(channel)
+        return None if queue is None else queue.position
 
     def holds(self, message: str) -> bool:
-        """Is its end owed by a channel here?"""
+        """Return whether a channel here owes the end of this message."""
         return message in self._by_message
 
     def place_of(self, message: str) -> tuple[str, int] | None:
-        """The channel and number of a message whose end is owed."""
+        """Return channel and number of a message whose end is owed, or None."""
         known = self._by_message.get(message)
         return None if known is None else (known[0].name, known[1])
--- a/wheelstep/channels/line.py
+++ b/wheelstep/channels/line.py
@@ -1,8 +1,9 @@
-"""A channel at work: which of its messages go out now, by its contract. No I/O: a clock in milliseconds is handed in.
+"""Decides which messages of one channel go out next, by its contract. No I/O: the caller passes the time in
+milliseconds.
 
-What strict, window and latest have in common: at most `open` messages are out, and after an attempt whose outcome is
-unknown nothing that comes after it follows until the contract's `unclear` is met. A message's own repetition is none
-of the order's business; `repeat` decides on it.
+Orders "strict", "window" and "latest" have this in common: at most `open` messages are in flight, and after an attempt
+with an unknown outcome no later message follows until the contract's `unclear` is satisfied. Repeating the same message
+does not affect the order; the contract's `repeat` decides on it.
 """
 
 from __future__ import annotations
@@ -14,56 +15,61 @@
 
 
 class Line:
-    """One channel. `said` are those whose client has heard 202, or that came from a journal or another courier."""
+    """The messages of one channel, by number. A message is confirmed once its client has received 202, or if it comes
+    from a journal or another courier; earlier it is not released."""
 
-    __slots__ = ("name", "part", "position", "noted", "changed_ms", "due_ms", "out", "_waiting", "_unsaid", "_unclear",
-                 "_rest_ms", "_rest_by", "_gap", "_gap_ms", "_front")
+    __slots__ = ("name", "part", "position", "noted_revision", "changed_ms", "due_ms", "in_flight", "_waiting",
+                 "_unconfirmed", "_unclear", "_rest_until_ms", "_rest_number", "_gap", "_gap_until_ms",
+                 "_newest_released")
 
     def __init__(self, name: str, part: int, position: Position, now_ms: int) -> None:
         self.name, self.part, self.position, self.changed_ms = name, part, position, now_ms
-        self.noted = position.revision  # what the owner of this line has seen of it
-        self.due_ms: int | None = None  # when its owner will look at it by the clock
-        self.out: set[int] = set()  # given to the decision module
-        self._waiting = sorted(position.entries)  # a heap, of those that were said; some have ended since
-        self._unsaid: set[int] = set()
-        self._unclear: set[int] = set()  # out, and may have run
-        self._rest_ms = now_ms + position.terms.rest_ms if position.resting else 0
-        self._rest_by = 0
-        self._gap, self._gap_ms = 0, 0  # the gap in the way, and since when
-        self._front = max((number for number, (_, code) in position.outcomes.items() if code in "df"), default=0)
-
-    def taken(self, number: int) -> None:
-        """It is written down; its client has not heard so yet."""
-        self._unsaid.add(number)
-
-    def said(self, number: int) -> None:
-        """Its client has heard, or it needs no telling."""
-        self._unsaid.discard(number)
+        self.noted_revision = position.revision  # the revision that the owner of this object has seen
+        self.due_ms: int | None = None  # when its owner's timer will call `release`
+        self.in_flight: set[int] = set()  # given to the decision module
+        self._waiting = sorted(position.entries)  # heap of confirmed numbers; some have ended since
+        self._unconfirmed: set[int] = set()
+        self._unclear: set[int] = set()  # in flight, and an attempt may have run
+        self._rest_until_ms = now_ms + position.terms.rest_ms if position.resting else 0
+        self._rest_number = 0  # the number whose unknown outcome started the rest
+        self._gap, self._gap_until_ms = 0, 0  # the first gap, and when it may be skipped
+        self._newest_released = max((number for number, (_, code) in position.outcomes.items() if code in "df"),
+                                    default=0)
+
+    def accepted(self, number: int) -> None:
+        """Add a message that is written to the journal and not confirmed yet."""
+        self._unconfirmed.add(number)
+
+    def client_answered(self, number: int) -> None:
+        """Mark a message as confirmed."""
+        self._unconfirmed.discard(number)
         heapq.heappush(self._waiting, number)
 
     def withdrawn(self, number: int) -> None:
-        """Its client never heard: a number of the client's is free again, one of the courier's nobody knows of."""
-        self._unsaid.discard(number)
+        """Remove a message whose client received no answer. Its number becomes free again, unless nobody else knows it
+        (the courier assigned it) or it is not the newest of a channel with order "latest": then it is skipped."""
+        self._unconfirmed.discard(number)
         terms, entry = self.position.terms, self.position.entries[number]
         if entry.assigned or (terms.order == "latest" and number != self.position.next - 1):
             self.position.end(number, "skipped")
         else:
             self.position.free(number)
 
-    def doubt(self, now_ms: int, number: int) -> None:
-        """An attempt of it has ended with an unknown outcome, and the message goes on."""
+    def mark_unclear(self, now_ms: int, number: int) -> None:
+        """Note that an attempt of a message has ended with an unknown outcome; the message continues."""
         self.position.mark_unclear(number)
-        if number in self.out:
+        if number in self.in_flight:
             self._unclear.add(number)
             self._begin_rest(now_ms, number)
 
     def ended(self, now_ms: int, number: int, outcome: str, unclear: bool) -> None:
-        """Its end. One that was handed back leaves a gap where the contract knows gaps and the client chose the
-        number; handing back what may have run is a failure, whatever it is called."""
+        """Apply the end of a message. A number that was handed back becomes free again if the contract knows gaps and
+        the client chose the number. Handing back a message that may have run counts as a failure, whatever outcome is
+        passed."""
         position, entry, terms = self.position, self.position.entries[number], self.position.terms
-        self.out.discard(number)
+        self.in_flight.discard(number)
         self._unclear.discard(number)
-        self._unsaid.discard(number)
+        self._unconfirmed.discard(number)
         if outcome == "refused" and entry.unclear:
             outcome = "failed"
         if outcome == "refused" and not entry.assigned and terms.order in ("strict", "window") and terms.gap != "fail":
@@ -74,117 +80,123 @@
             self._begin_rest(now_ms, number)
 
     def _begin_rest(self, now_ms: int, number: int) -> None:
+        """Start the contract's rest, if it has one, after an unknown outcome of this number."""
         terms = self.position.terms
         if terms.unclear == "rest" and terms.order != "none":
-            self._rest_ms, self._rest_by = now_ms + terms.rest_ms, number
+            self._rest_until_ms, self._rest_number = now_ms + terms.rest_ms, number
             self.position.set_resting(True)
 
     def may_send(self, now_ms: int, number: int) -> bool:
-        """May the first byte of an attempt of it be written now?"""
+        """Return whether the first byte of an attempt may be written now."""
         terms = self.position.terms
-        if number not in self.out or (terms.repeat == "once" and self.position.entries[number].unclear):
+        if number not in self.in_flight or (terms.repeat == "once" and self.position.entries[number].unclear):
             return False
         if terms.order == "none" or terms.unclear == "go":
             return True
         if terms.unclear == "rest":
-            return now_ms >= self._rest_ms or self._rest_by >= number
+            return now_ms >= self._rest_until_ms or self._rest_number >= number
         return not any(other < number for other in self._unclear)
 
-    def _stopped(self) -> bool:
-        """Does an unknown outcome hold up what follows?"""
+    def _is_blocked(self) -> bool:
+        """Return whether an unknown outcome blocks later messages."""
         terms = self.position.terms
         return self.position.resting or (terms.unclear == "hold" and bool(self._unclear))
 
     def release(self, now_ms: int) -> list[Release | End]:
-        """What goes out now, and what ends here, in the contract's order."""
-        if self.position.resting and now_ms >= self._rest_ms:
+        """Return the messages that go out now and those that end here, in the order of the contract."""
+        if self.position.resting and now_ms >= self._rest_until_ms:
             self.position.set_resting(False)
         order = self.position.terms.order
         if order == "none":
             return self._release_all(now_ms)
         return self._release_latest(now_ms) if order == "latest" else self._release_in_order(now_ms)
 
-    def _open(self, number: int) -> Release:
-        self.out.add(number)
+    def _release_one(self, number: int) -> Release:
+        """Put a message in flight."""
+        self.in_flight.add(number)
         entry = self.position.entries[number]
         if entry.unclear:
-            self._unclear.add(number)  # it may have run under another process
+            self._unclear.add(number)  # it may have run in an earlier process
         return Release(entry.message)
 
-    def _next(self) -> int | None:
-        """The lowest that waits."""
-        while self._waiting and (self._waiting[0] not in self.position.entries or self._waiting[0] in self.out):
+    def _lowest_waiting(self) -> int | None:
+        """Return the lowest waiting number, or None."""
+        while self._waiting and (self._waiting[0] not in self.position.entries or self._waiting[0] in self.in_flight):
             heapq.heappop(self._waiting)
         return self._waiting[0] if self._waiting else None
 
     def _release_all(self, now_ms: int) -> list[Release | End]:
+        """Release every waiting message (order "none"), and skip missing numbers whose gap time is over."""
         released: list[Release | End] = []
-        while (number := self._next()) is not None:
+        while (number := self._lowest_waiting()) is not None:
             heapq.heappop(self._waiting)
-            released.append(self._open(number))
+            released.append(self._release_one(number))
         position = self.position
         if position.taken_above and self._in_the_way(now_ms, position.first_missing(max(position.taken_above))):
-            position.skip(max(position.taken_above))  # else numbers that never come would close the door for good
+            position.skip(max(position.taken_above))  # else numbers that never come would block the channel forever
         if not position.taken_above:
             self._gap = 0
         return released
 
     def _release_in_order(self, now_ms: int) -> list[Release | End]:
+        """Release messages by number (orders "strict" and "window"), up to a gap or the limit `open`."""
         released: list[Release | End] = []
         position = self.position
-        while (number := self._next()) is not None and len(self.out) < position.terms.open and not self._stopped():
-            if self._unsaid and min(self._unsaid) < number:
+        while (number := self._lowest_waiting()) is not None and len(self.in_flight) < position.terms.open \
+                and not self._is_blocked():
+            if self._unconfirmed and min(self._unconfirmed) < number:
                 break
             if (gap := position.first_missing(number)) is not None:
                 if not self._in_the_way(now_ms, gap):
                     return released
                 position.skip(number)
             heapq.heappop(self._waiting)
-            released.append(self._open(number))
-        self._gap = 0  # something else is in the way: a gap's time counts from when it alone is
+            released.append(self._release_one(number))
+        self._gap = 0  # a gap's time counts only while nothing else blocks
         return released
 
     def _in_the_way(self, now_ms: int, gap: int | None) -> bool:
-        """Is the time over that this gap may hold up what follows?"""
+        """Return whether this gap may be skipped now; starts the time of a gap that was not the first one before."""
         terms = self.position.terms
         if gap is None or terms.gap == "hold":
             return False
         if gap != self._gap:
-            self._gap, self._gap_ms = gap, now_ms + terms.gap_after_ms
-        return now_ms >= self._gap_ms  # with gap "fail" at once
+            self._gap, self._gap_until_ms = gap, now_ms + terms.gap_after_ms
+        return now_ms >= self._gap_until_ms  # with gap "fail": at once
 
     def _release_latest(self, now_ms: int) -> list[Release | End]:
+        """Release the newest waiting message (order "latest") and end the older ones."""
         released: list[Release | End] = []
         newest = 0
-        while (number := self._next()) is not None:
+        while (number := self._lowest_waiting()) is not None:
             heapq.heappop(self._waiting)
             older, newest = sorted((newest, number))
             if older:
-                released.append(self._replace(older))
-        if newest and newest < self._front:
-            released.append(self._replace(newest))
-        elif newest and not self.out and not self._stopped():
-            self._front = newest
-            released.append(self._open(newest))
+                released.append(self._end_replaced(older))
+        if newest and newest < self._newest_released:
+            released.append(self._end_replaced(newest))
+        elif newest and not self.in_flight and not self._is_blocked():
+            self._newest_released = newest
+            released.append(self._release_one(newest))
         elif newest:
             heapq.heappush(self._waiting, newest)
         return released
 
-    def _replace(self, number: int) -> End:
-        """A newer one is there: this one ends."""
+    def _end_replaced(self, number: int) -> End:
+        """End a message that a newer one replaces."""
         entry = self.position.entries[number]
         self.position.end(number, "failed" if entry.unclear else "replaced")
         return End(entry.message, "failed" if entry.unclear else "refused")
 
-    def due(self) -> int | None:
-        """When to look at it by the clock: a rest or a gap's time is over."""
-        rest = [self._rest_ms] if self.position.resting else []
-        gap = [self._gap_ms] if self._gap and self.position.terms.gap == "skip" else []
-        return min(rest + gap, default=None)
+    def next_due_ms(self) -> int | None:
+        """Return when a rest or a gap's time is over, or None if neither is pending."""
+        rest_dues = [self._rest_until_ms] if self.position.resting else []
+        gap_dues = [self._gap_until_ms] if self._gap and self.position.terms.gap == "skip" else []
+        return min(rest_dues + gap_dues, default=None)
 
-    def resume(self, known: Line) -> None:
-        """What is out of an older state of this channel stays out."""
-        for number in known.out:
-            entry, before = self.position.entries.get(number), known.position.entries[number]
+    def carry_over_in_flight(self, earlier: Line) -> None:
+        """Keep in flight what is in flight in an earlier state of this channel."""
+        for number in earlier.in_flight:
+            entry, before = self.position.entries.get(number), earlier.position.entries[number]
             if entry is not None and entry.message == before.message:
-                self._open(number)
+                self._release_one(number)
--- a/wheelstep/channels/parts.py
+++ b/wheelstep/channels/parts.py
@@ -1,6 +1,5 @@
-"""Channels that go from one courier to another with their part: handed over whole, or taken over from one that is gone.
-No I/O.
-"""
+"""Channels that move between couriers with their part: handed over, or taken over from a courier that is gone. No
+I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +15,7 @@
     """The channels of this courier, by part."""
 
     def channels(self, part: int) -> list[str]:
-        """Those of a part."""
+        """Return the names of a part's channels."""
         return list(self._by_part.get(part, ()))
 
     def shut(self, part: int) -> None:
@@ -24,105 +23,107 @@
         self._shut.add(part)
 
     def open(self, part: int) -> None:
-        """Release what waits in it."""
+        """Release the part's messages again."""
         self._shut.discard(part)
-        self._ready |= self._by_part.get(part, {})
+        self._release_due |= self._by_part.get(part, {})
 
     def out(self, part: int) -> list[str]:
-        """Messages of the part that were given to the decision module and have not ended, in order in each channel."""
-        lines = [self._lines[name] for name in self._by_part.get(part, ())]
-        return [line.position.entries[number].message for line in lines for number in sorted(line.out)]
+        """Return the part's messages that are in flight, in order within each channel."""
+        queues = [self._queues[name] for name in self._by_part.get(part, ())]
+        return [queue.position.entries[number].message for queue in queues for number in sorted(queue.in_flight)]
 
     def export(self, channel: str) -> bytes:
-        """A channel's position, for another courier. Raises `KeyError` for one that is not here."""
-        return msgspec.json.encode(self._lines[channel].position.to_data())
+        """Return a channel's position, encoded for another courier. Raises `KeyError` for an unknown channel."""
+        return msgspec.json.encode(self._queues[channel].position.to_data())
 
     def adopt(self, now_ms: int, channel: str, data: bytes, contract: Contract | None) -> None:
-        """Take a channel that was handed over; its messages are the caller's to take first. What it holds keeps the
-        terms that came with it. The same again does nothing. Raises `PositionError` for what is no position, or an
-        older one than is known here."""
-        position = _decoded(data)
-        known = self._lines.get(channel)
+        """Add a channel that was handed over; the caller adopts its messages first. A channel that holds messages keeps
+        the terms that came with it. Adopting the same position again does nothing. Raises `PositionError` for an
+        invalid position, or one older than that known here."""
+        position = _decode(data)
+        known = self._queues.get(channel)
         if known is not None:
-            mine = known.position
-            if position.revision == mine.revision and position.next == mine.next:
+            current = known.position
+            if position.revision == current.revision and position.next == current.next:
                 return
-            if position.revision <= mine.revision or position.next < mine.next or position.session < mine.session:
-                raise PositionError(f"channel {channel!r}: an older position, revision {position.revision} with next "
-                                    f"{position.next}; expected one after {mine.revision} with {mine.next}")
+            if position.revision <= current.revision or position.next < current.next \
+                    or position.session < current.session:
+                raise PositionError(f"channel {channel!r}: position is older: revision {position.revision} with next "
+                                    f"{position.next}; expected one after {current.revision} with {current.next}")
         if not position.entries and contract is not None:
             position.terms = contract
         if known is not None:
             self._forget(known)
-        line = self._add(now_ms, channel, position)
+        queue = self._add(now_ms, channel, position)
         if known is not None:
-            line.resume(known)
-        self._dirty[channel] = None
-        self._touch(now_ms, line)
+            queue.carry_over_in_flight(known)
+        self._changed_names[channel] = None
+        self._note_change(now_ms, queue)
 
     def drop(self, part: int) -> None:
-        """Forget a part: another courier has it."""
+        """Forget a part that another courier owns now."""
         for name in self.channels(part):
-            self._forget(self._lines[name])
+            self._forget(self._queues[name])
         if part in self._inherited:
             self._inherited.discard(part)
-            self._dirty[INHERITED] = None
+            self._changed_names[INHERITED] = None
 
     def inherit(self, part: int) -> None:
-        """The part's owner is gone, and with it the positions that only its disk has. A channel that isn't known here
-        begins with the number that its client comes with. Where the contract holds gaps, the numbers before that are
-        lost: they run only if the former owner brings them (`learn`, `found`), and are waited for."""
+        """Note that the part's owner is gone, together with positions that are only on its disk. A channel not known
+        here then starts at the number that its client uses. Where the contract holds at gaps, the numbers right before
+        it are lost: they block the channel until the former owner sends its messages (`learn`, `found`)."""
         self._inherited.add(part)
-        self._dirty[INHERITED] = None
+        self._changed_names[INHERITED] = None
 
     def inherited(self, part: int) -> bool:
-        """Are there positions of it that a former owner has and this courier does not?"""
+        """Return whether a former owner has positions of the part that are missing here."""
         return part in self._inherited
 
     def learn(self, now_ms: int, channel: str, data: bytes) -> None:
-        """A former owner is back and tells the position that it had; then it brings what it holds, by `found`. Raises
+        """Merge the position of a former owner that has returned; it then sends its messages, for `found`. Raises
         `PositionError`."""
-        former = _decoded(data)
-        line = self._lines.get(channel)
-        newer = line is not None and line.position.stale and not line.position.entries \
-            and former.next > line.position.next
-        if line is not None and not newer:
-            line.position.merge_former(former)
+        former = _decode(data)
+        queue = self._queues.get(channel)
+        newer = queue is not None and queue.position.stale and not queue.position.entries \
+            and former.next > queue.position.next
+        if queue is not None and not newer:
+            queue.position.merge_former(former)
         else:
             former.mark_held_lost()
-            if line is not None:  # two former owners, neither of whom may be the last: the later one counts
-                former.merge_former(line.position)
-                former.revision = max(former.revision, line.position.revision) + 1
-                self._forget(line)
-            line = self._add(now_ms, channel, former)
-            self._dirty[channel] = None
-        self._touch(now_ms, line)
+            if queue is not None:  # of several former owners, the position with the higher `next` counts
+                former.merge_former(queue.position)
+                former.revision = max(former.revision, queue.position.revision) + 1
+                self._forget(queue)
+            queue = self._add(now_ms, channel, former)
+            self._changed_names[channel] = None
+        self._note_change(now_ms, queue)
 
     def found(self, now_ms: int, channel: str, number: int, message: str) -> bool:
-        """A former owner has found this message on its disk. True: it is taken, since its number is still missing and
-        the contract holds gaps. False: it must never run here."""
-        line = self._lines.get(channel)
-        terms = self._terms(channel) if line is None else line.position.terms
+        """Handle a message that a former owner has found on its disk. Returns True if it is accepted: its number is
+        still missing and the contract holds at gaps. False: it must never run here."""
+        queue = self._queues.get(channel)
+        terms = self._current_terms(channel) if queue is None else queue.position.terms
         if terms is None or terms.gap != "hold":
             return False
         known = self._by_message.get(message)
         if known is not None:
-            return known == (line, number)
-        position = self._fresh(terms, channel, number) if line is None else line.position
-        if line is None:
-            position.stale = True  # a client may have come further since
+            return known == (queue, number)
+        position = self._new_position(terms, channel, number) if queue is None else queue.position
+        if queue is None:
+            position.stale = True  # clients may have used later numbers since
         if position.state(number) not in ("free", "lost") or position.full(number) or \
-                (line is None and len(self._lines) >= self._most):
+                (queue is None and len(self._queues) >= self._max_channels):
             return False
-        line = line or self._add(now_ms, channel, position)
+        queue = queue or self._add(now_ms, channel, position)
         position.take(number, message, False, recovered=True)
-        self._by_message[message] = (line, number)
-        line.said(number)
-        self._touch(now_ms, line)
+        self._by_message[message] = (queue, number)
+        queue.client_answered(number)
+        self._note_change(now_ms, queue)
         return True
 
 
-def _decoded(data: bytes) -> Position:
+def _decode(data: bytes) -> Position:
+    """Decode an exported position. Raises `PositionError`."""
     try:
         return from_data(msgspec.json.decode(data))
     except (msgspec.DecodeError, RecursionError) as error:
--- a/wheelstep/channels/shelf.py
+++ b/wheelstep/channels/shelf.py
@@ -1,6 +1,5 @@
-"""What the book of channels keeps: channels by name, part and message, their timers, and the marks that are to be
-written. No I/O. A mark is ":c" and the channel's name; its value is what `Position.to_data` gives.
-"""
+"""State of a courier's channels: by name, part and message, with their timers and the journal marks to be written. No
+I/O. The mark of a channel is named ":c" and its name; its value is that of `Position.to_data`."""
 
 from __future__ import annotations
 
@@ -15,111 +14,121 @@
 from wheelstep.channels.stored import from_data
 from wheelstep.channels.terms import Contract, End
 
-MARK = ":c"  # before a channel's name: the mark of its position
-INHERITED = " inherited"  # in place of a name, which never begins so
-_HOW = {"delivered": "delivered", "failed": "failed"}  # of the others it is known that they never ran
+MARK = ":c"  # prefix of the mark that holds a channel's position
+INHERITED = " inherited"  # stands for a channel's name, which never starts with a space
+_END_OUTCOMES = {"delivered": "delivered", "failed": "failed"}  # with any other, the message never ran: "refused"
 
 
 class Shelf:
-    """The channels that this courier has."""
+    """The channels of this courier."""
 
-    def __init__(self, contracts: Contracts, parts: int, most_channels: int, now_ms: int) -> None:
-        self.contracts = contracts  # replaced at a reload: channels that hold messages keep their terms
-        self._parts, self._most, self._began_ms = parts, most_channels, now_ms
-        self._lines: dict[str, Line] = {}
+    def __init__(self, contracts: Contracts, parts: int, max_channels: int, now_ms: int) -> None:
+        self.contracts = contracts  # replaced by a reload; channels that hold messages keep their terms
+        self._parts, self._max_channels, self._began_ms = parts, max_channels, now_ms
+        self._queues: dict[str, Line] = {}
         self._by_part: dict[int, dict[str, None]] = {}
         self._by_message: dict[str, tuple[Line, int]] = {}
         self._shut: set[int] = set()
-        self._inherited: set[int] = set()  # parts that came without the positions that their former owner had
-        self._ready: dict[str, None] = {}  # to be looked at by `release`
-        self._timers: list[tuple[int, int, Line]] = []  # a heap; some are out of date
-        self._keeps: list[tuple[int, int, Line]] = []  # a heap, one of each channel: is it to be forgotten?
-        self._serial = count()
-        self._dirty: dict[str, None] = {}
-        self.unreadable: list[str] = []  # marks that `restore` could not use, a line each
+        self._inherited: set[int] = set()  # parts of which a former owner has positions that are missing here
+        self._release_due: dict[str, None] = {}  # names of channels that `release` has to visit
+        self._timers: list[tuple[int, int, Line]] = []  # heap; entries may be obsolete
+        self._expiries: list[tuple[int, int, Line]] = []  # heap: when to check whether a channel can be forgotten
+        self._serials = count()
+        self._changed_names: dict[str, None] = {}
+        self.unreadable: list[str] = []  # a line for each mark that `restore` could not use
 
     def __len__(self) -> int:
-        return len(self._lines)
+        return len(self._queues)
 
     def _add(self, now_ms: int, name: str, position: Position) -> Line:
-        line = Line(name, part_of(name, self._parts), position, now_ms)
-        self._lines[name] = line
-        self._by_part.setdefault(line.part, {})[name] = None
-        heapq.heappush(self._keeps, (now_ms + position.terms.keep_ms, next(self._serial), line))
+        """Add a channel with this position and the messages held in it."""
+        queue = Line(name, part_of(name, self._parts), position, now_ms)
+        self._queues[name] = queue
+        self._by_part.setdefault(queue.part, {})[name] = None
+        heapq.heappush(self._expiries, (now_ms + position.terms.keep_ms, next(self._serials), queue))
         for number, entry in position.entries.items():
-            self._by_message[entry.message] = (line, number)
-        return line
-
-    def _fresh(self, terms: Contract, channel: str, number: int | None) -> Position:
-        """The position of a channel that is not known here."""
-        known = number is None or not 1 <= number <= MAX_NUMBER or part_of(channel, self._parts) not in self._inherited
-        return Position(terms, 1 if known or number is None else number)
-
-    def _forget(self, line: Line) -> None:
-        del self._lines[line.name]
-        mine = self._by_part[line.part]
-        del mine[line.name]
-        if not mine:
-            del self._by_part[line.part]
-        for entry in line.position.entries.values():
+            self._by_message[entry.message] = (queue, number)
+        return queue
+
+    def _new_position(self, terms: Contract, channel: str, number: int | None) -> Position:
+        """Return a position for a channel that is not known here. It starts at the client's number if positions of the
+        part are missing here, else at 1."""
+        at_one = number is None or not 1 <= number <= MAX_NUMBER \
+            or part_of(channel, self._parts) not in self._inherited
+        return Position(terms, 1 if at_one or number is None else number)
+
+    def _forget(self, queue: Line) -> None:
+        """Remove a channel and its messages; its mark will be removed too."""
+        del self._queues[queue.name]
+        names = self._by_part[queue.part]
+        del names[queue.name]
+        if not names:
+            del self._by_part[queue.part]
+        for entry in queue.position.entries.values():
             self._by_message.pop(entry.message, None)
-        self._ready.pop(line.name, None)
-        self._dirty[line.name] = None
-
-    def _touch(self, now_ms: int, line: Line, look: bool = True) -> None:
-        """Something about it may have changed."""
-        if line.noted != line.position.revision:
-            line.noted, line.changed_ms = line.position.revision, now_ms
-            self._dirty[line.name] = None
-        if look:
-            self._ready[line.name] = None
-        due_ms = line.due()
-        if due_ms is not None and (line.due_ms is None or due_ms < line.due_ms):
-            line.due_ms = due_ms
-            heapq.heappush(self._timers, (due_ms, next(self._serial), line))
-
-    def _wake(self, now_ms: int) -> None:
-        """Make ready what the clock says, and forget what nothing was heard of for long enough."""
+        self._release_due.pop(queue.name, None)
+        self._changed_names[queue.name] = None
+
+    def _note_change(self, now_ms: int, queue: Line, release_due: bool = True) -> None:
+        """Record that a channel may have changed: its mark if the position did, its timer, and with `release_due` that
+        `release` has to visit it."""
+        if queue.noted_revision != queue.position.revision:
+            queue.noted_revision, queue.changed_ms = queue.position.revision, now_ms
+            self._changed_names[queue.name] = None
+        if release_due:
+            self._release_due[queue.name] = None
+        due_ms = queue.next_due_ms()
+        if due_ms is not None and (queue.due_ms is None or due_ms < queue.due_ms):
+            queue.due_ms = due_ms
+            heapq.heappush(self._timers, (due_ms, next(self._serials), queue))
+
+    def _run_timers(self, now_ms: int) -> None:
+        """Mark channels whose timer has expired for `release`, and forget empty channels unchanged for their contract's
+        `keep`."""
         while self._timers and self._timers[0][0] <= now_ms:
-            at_ms, _, line = heapq.heappop(self._timers)
-            if line.due_ms == at_ms and self._lines.get(line.name) is line:
-                line.due_ms = None
-                self._ready[line.name] = None
-        while self._keeps and self._keeps[0][0] <= now_ms:
-            _, _, line = heapq.heappop(self._keeps)
-            if self._lines.get(line.name) is not line:
+            at_ms, _, queue = heapq.heappop(self._timers)
+            if queue.due_ms == at_ms and self._queues.get(queue.name) is queue:
+                queue.due_ms = None
+                self._release_due[queue.name] = None
+        while self._expiries and self._expiries[0][0] <= now_ms:
+            _, _, queue = heapq.heappop(self._expiries)
+            if self._queues.get(queue.name) is not queue:
                 continue
-            keep_ms = line.position.terms.keep_ms
-            if not line.position.entries and line.changed_ms + keep_ms <= now_ms:
-                self._forget(line)
+            keep_ms = queue.position.terms.keep_ms
+            if not queue.position.entries and queue.changed_ms + keep_ms <= now_ms:
+                self._forget(queue)
                 continue
-            again_ms = now_ms + keep_ms if line.position.entries else line.changed_ms + keep_ms
-            heapq.heappush(self._keeps, (again_ms, next(self._serial), line))
+            check_ms = now_ms + keep_ms if queue.position.entries else queue.changed_ms + keep_ms
+            heapq.heappush(self._expiries, (check_ms, next(self._serials), queue))
 
     def next_ms(self) -> int | None:
-        """When `release` wants to be asked again: 0 at once, None never."""
-        if self._ready:
+        """Return when `release` has to be called again: 0 for now, None for never."""
+        if self._release_due:
             return 0
-        return min((heap[0][0] for heap in (self._timers, self._keeps) if heap), default=None)
+        return min((heap[0][0] for heap in (self._timers, self._expiries) if heap), default=None)
 
     # --- the journal ---
 
     def changes(self) -> list[tuple[str, Any | None]]:
-        """The marks to write since this was last asked; None forgets one."""
-        dirty, self._dirty = self._dirty, {}
-        return [(MARK + name, self._value(name)) for name in dirty]
+        """Return the marks that changed since the last call; None as the value removes a mark."""
+        dirty, self._changed_names = self._changed_names, {}
+        return [(MARK + name, self._mark_value(name)) for name in dirty]
 
-    def _value(self, name: str) -> Any | None:
+    def _mark_value(self, name: str) -> Any | None:
+        """Return the value of a mark, or None if it is to be removed."""
         if name == INHERITED:
             return sorted(self._inherited) or None
-        line = self._lines.get(name)
-        return None if line is None else line.position.to_data()
+        queue = self._queues.get(name)
+        return None if queue is None else queue.position.to_data()
 
     def restore(self, now_ms: int, marks: Mapping[str, Any], owed: Mapping[str, bool]) -> list[End]:
-        """Take up what a journal holds. `owed`: the messages that have not ended, and whether an attempt of each may
-        have run. Returns those of them that have ended by their position: they are over. A message that a position
-        knows and that isn't owed was cut off before its 202, and is withdrawn. Messages of `owed` that no position
-        knows are not this book's: `holds` tells."""
+        """Restore the state that a journal holds.
+
+        `owed` has the messages that have not ended, each with whether an attempt may have run. Returns the ends of
+        those that have ended according to their position: the journal was cut off before it said so. A message that a
+        position holds and that is not in `owed` was cut off before its 202, and is withdrawn. For a message of `owed`
+        that no position knows, `holds` returns False. Unusable marks are left out, with one line each in `unreadable`.
+        """
         ended: dict[str, str] = {}
         for mark, value in marks.items():
             if not mark.startswith(MARK):
@@ -134,18 +143,19 @@
                 self.unreadable.append(f"channel {name!r}: {error}")
                 continue
             if not position.entries:
-                position.terms = self._terms(name) or position.terms
-            line = self._add(now_ms, name, position)
+                position.terms = self._current_terms(name) or position.terms
+            queue = self._add(now_ms, name, position)
             ended |= {message: outcome for message, outcome in position.recorded_outcomes() if message in owed}
             for number, entry in list(position.entries.items()):
                 if entry.message not in owed:
                     del self._by_message[entry.message]
-                    line.withdrawn(number)
+                    queue.withdrawn(number)
                 elif owed[entry.message]:
                     position.mark_unclear(number)
-            self._touch(now_ms, line)
-        return [End(message, _HOW.get(outcome, "refused")) for message, outcome in ended.items()
+            self._note_change(now_ms, queue)
+        return [End(message, _END_OUTCOMES.get(outcome, "refused")) for message, outcome in ended.items()
                 if message not in self._by_message]
 
-    def _terms(self, channel: str) -> Contract | None:
+    def _current_terms(self, channel: str) -> Contract | None:
+        """Return the terms in force for a channel's contract, or None if it is not declared any more."""
         return self.contracts.named(channel.partition("/")[0])
