--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -21,7 +21,7 @@
     ([{"name": "a"}], "contract[0].order: missing; expected a value"),
     (one(name="a/b"), "contract[0].name: 'a/b'; expected: String should match pattern '^[a-z0-9][a-z0-9_-]{0,39}$'"),
     (one(order="fifo"), "contract[0].order: 'fifo'; expected: Input should be 'strict', 'window', 'latest' or 'none'"),
-    (one(open=2), 'contract[0].open: 2 with order "strict"; expected it with order "window" alone'),
+    (one(open=2), 'contract[0].open: 2 with order "strict"; expected only with order "window"'),
     (one(order="window"), 'contract[0].open: missing; expected a number, since order is "window"'),
     (one(order="window", open=0), "contract[0].open: 0; expected: Input should be greater than or equal to 1"),
     (one(order="window", open=-3), "contract[0].open: -3; expected: Input should be greater than or equal to 1"),
@@ -29,34 +29,34 @@
      "128"),
     (one(order="window", open="many"), "contract[0].open: 'many'; expected: Input should be a valid integer"),
     (one(gap="skip"), 'contract[0].gap_after: missing; expected a time, since gap is "skip"'),
-    (one(gap_after="2s"), 'contract[0].gap_after: a time with gap "hold"; expected it with gap "skip" alone'),
+    (one(gap_after="2s"), 'contract[0].gap_after: set with gap "hold"; expected only with gap "skip"'),
     (one(gap="fail", gap_after="2s"),
-     'contract[0].gap_after: a time with gap "fail"; expected it with gap "skip" alone'),
+     'contract[0].gap_after: set with gap "fail"; expected only with gap "skip"'),
     (one(gap="skip", gap_after="2 weeks"), "contract[0].gap_after: '2 weeks' is no time; expected a number with a "
      'unit, such as "250ms", "2s" or "1.5min"'),
     (one(gap="skip", gap_after="0s"), "contract[0].gap_after: '0s'; expected: Input should be greater than or equal "
      "to 1000"),
-    (one(order="latest", gap="hold"), 'contract[0].gap: "hold" with order "latest", where a newer one goes past any '
-     'gap; expected "fail" or none'),
-    (one(order="latest", gap="skip", gap_after="1s"), 'contract[0].gap: "skip" with order "latest", where a newer one '
-     'goes past any gap; expected "fail" or none'),
+    (one(order="latest", gap="hold"), 'contract[0].gap: "hold" with order "latest", where a newer message passes '
+     'any gap; expected "fail" or no value'),
+    (one(order="latest", gap="skip", gap_after="1s"), 'contract[0].gap: "skip" with order "latest", where a newer '
+     'message passes any gap; expected "fail" or no value'),
     (one(gap="fail", ahead=4),
-     'contract[0].ahead: 4 with gap "fail", which takes the next number alone; expected none'),
+     'contract[0].ahead: 4 with gap "fail", which accepts only the next number; expected no value'),
     (one(ahead=129), "contract[0].ahead: 129; expected: Input should be less than or equal to 128"),
-    (one(unclear="go"), 'contract[0].unclear: "go" with order "strict", where one is out at a time and the next waits '
-     'for its end; expected "hold" or "rest"'),
-    (one(order="none", unclear="hold"), 'contract[0].unclear: "hold" with order "none", where nothing follows '
-     "anything; expected none"),
+    (one(unclear="go"), 'contract[0].unclear: "go" with order "strict", where one message is in flight at a time; '
+     'expected "hold" or "rest"'),
+    (one(order="none", unclear="hold"), 'contract[0].unclear: "hold" with order "none", where no message waits '
+     "for another; expected no value"),
     (one(unclear="rest"), 'contract[0].rest: missing; expected a time, since unclear is "rest"'),
-    (one(rest="1s"), 'contract[0].rest: a time without unclear = "rest"; expected it with that alone'),
+    (one(rest="1s"), 'contract[0].rest: set without unclear = "rest"; expected only with it'),
     (one(unclear="rest", rest="2s", keep="1s"), "contract[0].keep: shorter than rest; expected at least as long"),
     (one(gap="skip", gap_after="2s", keep="1s"), "contract[0].keep: shorter than gap_after; expected at least as long"),
     (one(destinations=[-1]), "contract[0].destinations[0]: -1; expected: Input should be greater than or equal to 0"),
     (one(destinations=["x"]), "contract[0].destinations[0]: 'x'; expected: Input should be a valid integer"),
     (one(keys=[""]), "contract[0].keys[0]: ''; expected: String should have at least 1 character"),
-    ([STRICT, STRICT], "contract[1].name: 'orders' is there twice; expected different names"),
-    ([STRICT, {"name": "b", "order": "none", "keys": ["x"]}], "contract[1].name: 'b' never matches, 'orders' before it "
-     "takes all of it; expected it before that, or to match something else"),
+    ([STRICT, STRICT], "contract[1].name: 'orders' is used twice; expected different names"),
+    ([STRICT, {"name": "b", "order": "none", "keys": ["x"]}], "contract[1].name: 'b' never matches, since 'orders' "
+     "before it matches all of it; expected an earlier place or other criteria"),
 ]
 
 
@@ -123,8 +123,8 @@
     old = read([STRICT, {"name": "gone", "order": "none", "classes": ["x"]}][::-1])
     new = read([{"name": "fresh", "order": "latest", "classes": ["y"]}, {**STRICT, "gap": "fail"}])
     assert changes(old, new) == [
-        "contract 'gone' is gone; channels that hold messages of it keep its terms",
-        "contract 'orders': gap 'hold' -> 'fail', ahead 16 -> 0; channels that hold messages keep the old until they "
-        "are empty",
-        "contract 'fresh' is new"]
+        "contract 'gone' is removed; channels that hold messages of it keep its terms",
+        "contract 'orders': gap 'hold' -> 'fail', ahead 16 -> 0; channels that hold messages keep the old terms until "
+        "they are empty",
+        "contract 'fresh' is added"]
     assert changes(new, new) == []
--- a/wheelstep/channels/__init__.py
+++ b/wheelstep/channels/__init__.py
@@ -1,6 +1,7 @@
-"""Order contracts of channels: what an operator declares, and the position of each channel. Decides without I/O.
+"""Order contracts of channels: what operators declare, and the position of each channel. Decides without I/O.
 
-Reading order: `contracts` (what is declared), `terms` (what of it is kept, and what the book tells), `position` (one
-channel; `stored` reads it back), `line` (what goes out of one channel next), `book` (all of a courier's, on `shelf` and
-`parts`).
+Reading order: `contracts` (declarations), `terms` (the stored terms, and the results of `book`), `position` (one
+channel; `stored` decodes it), `line` (what a channel releases next), `book` (all channels of a courier, based on
+`shelf` and `parts`). `kept`, `serving`, `content` and `front` connect them to the journal, the core, other couriers and
+clients.
 """
--- a/wheelstep/channels/content.py
+++ b/wheelstep/channels/content.py
@@ -1,6 +1,5 @@
-"""What comes and goes with a part of the channels: given, taken over, found again. As
-`wheelstep.fleet.content.Content`.
-"""
+"""What arrives and leaves with a part of the channels: pieces handed over, taken over, or found on disk later.
+Implements `wheelstep.fleet.content.Content`."""
 
 from __future__ import annotations
 
@@ -12,65 +11,67 @@
 from wheelstep.journal import NoRoomError, StoredMessage, codec
 from wheelstep.moves.types import Piece
 
-_INHERITED = "i:"  # a piece: a former owner has positions of this part that never came with it
+_INHERITED_PIECE = "i:"  # name of the piece that says: a former owner has positions of the part that are missing here
 
 log = logging.getLogger(__name__)
 
 
 def read_message(data: bytes) -> StoredMessage:
-    """A message as a piece holds it. Raises `ValueError`."""
+    """Return the message in a piece. Raises `ValueError`."""
     for found in codec.scan(data):
         if isinstance(found, tuple) and found[1][0] == codec.TAKE and isinstance(found[1][1], StoredMessage) \
                 and found[1][1].channel is not None:
             return found[1][1]
-    raise ValueError("no message of a channel")
+    raise ValueError("the piece holds no message of a channel")
 
 
 class ChannelContent(Serving):
-    """A courier's channels, by part."""
+    """A courier's channels and their messages, by part."""
 
     version = 1
 
     def weight(self, part: int) -> int:
-        """Messages and channels."""
-        return len(self._kept.of(part)) + len(self._book.channels(part))
+        """Return the number of the part's messages and channels."""
+        return len(self._journal.undecided(part)) + len(self._book.channels(part))
 
     def pieces(self, part: int) -> list[Piece]:
-        """All of it as it stands."""
-        self._kept.flush()
-        self._kept.mark(f"{SENT}{part}", 1)
-        self._kept.watch(part)
+        """Return all pieces of a part, and start recording its changes for `changed`."""
+        self._journal.flush()
+        self._journal.mark(f"{SENT}{part}", 1)
+        self._journal.track_changes(part)
         names = ["c:" + name for name in self._book.channels(part)]
-        names += [_INHERITED] if self._book.inherited(part) else []
-        return [self._piece(name) for name in [*names, *("m:" + m.id for m in self._kept.of(part))]]
+        names += [_INHERITED_PIECE] if self._book.inherited(part) else []
+        return [self._piece(name) for name in [*names, *("m:" + m.id for m in self._journal.undecided(part))]]
 
     def changed(self, part: int) -> list[Piece]:
-        """Since it was last asked."""
-        self._kept.flush()
-        return [self._piece(name) for name in self._kept.news(part)]
+        """Return the pieces changed since the last call; empty data for removed ones."""
+        self._journal.flush()
+        return [self._piece(name) for name in self._journal.take_changes(part)]
 
     def _piece(self, name: str) -> Piece:
+        """Return the piece of this name as it is now; empty data if it is gone."""
         key = name[2:]
-        if name == _INHERITED:
+        if name == _INHERITED_PIECE:
             return Piece(name, b"1")
         if name.startswith("c:"):
             return Piece(name, self._book.export(key) if self._book.position(key) is not None else b"")
-        message = self._kept.messages.get(key)
+        message = self._journal.messages.get(key)
         return Piece(name, codec.take(message) if message is not None and message.notice is None else b"")
 
     def adopt(self, part: int, epoch: int, pieces: Iterable[Piece]) -> None:
-        """Take what was handed over into this courier's journal; again does no harm. Raises `NoRoomError`."""
+        """Store the pieces of a part that was handed over in the journal. Idempotent. Raises `NoRoomError`, and
+        `ValueError` or `PositionError` for an invalid piece."""
         now_ms = self._now_ms()
-        known = self._kept.marks.get(f"{EPOCH}{part}", 0) >= epoch
+        known = self._journal.marks.get(f"{EPOCH}{part}", 0) >= epoch
         former = {} if known else {name: self._book.export(name) for name in self._book.channels(part)}
         if not known:
             self._book.drop(part)
         found = list(pieces)
         messages = [read_message(piece.data) for piece in found if piece.name.startswith("m:") and piece.data]
         for message in sorted(messages, key=lambda message: message.seq):
-            self._kept.adopt(message)
+            self._journal.adopt(message)
         for piece in found:
-            if piece.name == _INHERITED:
+            if piece.name == _INHERITED_PIECE:
                 self._book.inherit(part)
             elif piece.name.startswith("c:") and piece.data:
                 name = piece.name[2:]
@@ -78,80 +79,86 @@
         for message in messages:
             if message.may_have_run() is not None and self._book.holds(message.id):
                 self._book.attempt_unclear(now_ms, message.id)
-        for name, data in former.items():  # also of a channel that the giver never heard of: it had inherited the part
+        for name, data in former.items():  # also of channels unknown to the giver, which had inherited the part
             self._book.learn(now_ms, name, data)
-        self._kept.flush()
-        self._find(part)
-        self._kept.mark(f"{EPOCH}{part}", epoch)
+        self._journal.flush()
+        self._reconcile(part)
+        self._journal.mark(f"{EPOCH}{part}", epoch)
         log.info("part %d was handed over: %d messages, %d channels", part, len(messages), len(found) - len(messages))
 
     def drop(self, part: int) -> None:
-        """Another owes it now: nothing is told from here."""
-        self._serving.pop(part, None)
-        self._kept.unwatch(part)
+        """Drop the part without reporting outcomes: another courier owes them now."""
+        self._served.pop(part, None)
+        self._journal.stop_tracking(part)
         self._book.drop(part)
-        for message in self._kept.of(part):
+        for message in self._journal.undecided(part):
             self._core.set_aside(message.id)
-            if self._kept.live(message.id) or self._core.endpoint_client.carries(message.id):
-                self._gone[message.id] = part
-            self._kept.forget(message.id)
-        self._kept.flush()
+            if self._journal.has_open_call(message.id) or self._core.endpoint_client.carries(message.id):
+                self._departed[message.id] = part
+            self._journal.forget(message.id)
+        self._journal.flush()
 
     def orphans(self, part: int) -> list[Piece]:
-        """Of a part that is another's: positions first, then messages, then outcomes of calls from before."""
+        """Return what is stored here of a part that another courier owns: positions, then messages, then outcomes of
+        calls that ended after the part had left."""
         pieces = [self._piece("c:" + name) for name in self._book.channels(part)]
-        pieces += [self._piece("m:" + m.id) for m in self._kept.of(part) if not self._kept.live(m.id)]
-        return pieces + [Piece("o:" + name, how.encode()) for name, how in self._late.get(part, {}).items()]
+        pieces += [self._piece("m:" + m.id) for m in self._journal.undecided(part)
+                   if not self._journal.has_open_call(m.id)]
+        return pieces + [Piece("o:" + name, how.encode()) for name, how in self._late_outcomes.get(part, {}).items()]
 
     def settle(self, part: int, verdicts: Mapping[str, bool]) -> None:
-        """What the part's owner said of orphans."""
+        """Apply the owner's answers on orphans, by piece name. A message is forgotten if the owner took it, else it
+        ends here."""
         for name, taken in verdicts.items():
             kind, key = name[:2], name[2:]
             if kind == "o:":
-                self._late.get(part, {}).pop(key, None)
+                self._late_outcomes.get(part, {}).pop(key, None)
             elif kind == "m:" and taken:
                 self._core.set_aside(key)
-                self._kept.forget(key)
+                self._journal.forget(key)
             elif kind == "m:":
                 self.end_here(key)
-        if not self._kept.of(part):
+        if not self._journal.undecided(part):
             self._book.drop(part)
-            self._kept.flush()
+            self._journal.flush()
 
     def late(self, part: int, message: str, outcome: str, piece: bytes) -> bool:
-        """What a former owner tells: a position, a message that it found, or what became of a call."""
+        """Handle what a former owner sends: a position, a message found on its disk, or a call's outcome. Return
+        whether it is accepted."""
         now_ms, kind, key = self._now_ms(), message[:2], message[2:]
         try:
             if kind == "c:":
                 self._book.learn(now_ms, key, piece)
             elif kind == "o:":
-                if outcome == "delivered" and (held := self._kept.messages.get(key)) is not None \
+                if outcome == "delivered" and (held := self._journal.messages.get(key)) is not None \
                         and held.notice is None:
                     self._core.set_aside(key)
-                    self._kept.over(key)
-            elif not self._found(now_ms, part, read_message(piece)):
+                    self._journal.over(key)
+            elif not self._accept_found(now_ms, part, read_message(piece)):
                 return False
         except (PositionError, ValueError, NoRoomError) as error:
-            log.warning("part %d: %s of a former owner can't be used: %s", part, message, error)
+            log.warning("part %d: cannot use %s of a former owner: %s", part, message, error)
             return False
-        self._kept.flush()
-        self.pump()
+        self._journal.flush()
+        self.dispatch_due()
         return True
 
-    def _found(self, now_ms: int, part: int, message: StoredMessage) -> bool:
+    def _accept_found(self, now_ms: int, part: int, message: StoredMessage) -> bool:
+        """Accept a message that a former owner has found. Return False if it must not run here."""
         assert message.channel is not None
-        if message.id in self._kept.messages or self.ended_here(message):
+        if message.id in self._journal.messages or self.has_ended_here(message):
             return True
-        if self._kept.part(message) != part or self.serving(part) is None:
+        if self._journal.part_of(message) != part or self.served_epoch(part) is None:
             return False
         if not self._book.found(now_ms, message.channel, message.number, message.id):
             return False
-        self._kept.flush()
-        self._kept.adopt(message)
+        self._journal.flush()
+        self._journal.adopt(message)
         if message.may_have_run() is not None:
             self._book.attempt_unclear(now_ms, message.id)
         return True
 
     def owed(self) -> int:
-        """Messages of channels on this disk whose end is not decided."""
-        return sum(message.channel is not None and message.notice is None for message in self._kept.messages.values())
+        """Return the number of channel messages stored here that have not ended."""
+        return sum(message.channel is not None and message.notice is None
+                   for message in self._journal.messages.values())
--- a/wheelstep/channels/contracts.py
+++ b/wheelstep/channels/contracts.py
@@ -1,6 +1,7 @@
-"""What operators declare of channels: `[[contract]]` tables, their checks, and which contract a message falls under.
+"""Contracts that operators declare for channels: the `[[contract]]` tables, their validation, and which contract
+applies to a message.
 
-Imports pydantic; only loaded where a file declares contracts. The terms alone are in `wheelstep.channels.terms`.
+Imports pydantic; loaded only where a file declares contracts. `wheelstep.channels.terms` has the terms alone.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 from wheelstep.channels.terms import Contract, Gap, Order, Repeat, Unclear
 from wheelstep.fields import Duration, Table, describe_error
 
-_PAGE = "docs/design/channels.md"
-_AHEAD = 16
+_DOCUMENTATION = "docs/design/channels.md"
+_DEFAULT_AHEAD = 16
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9_-]{0,39}$")]
 Pattern = Annotated[str, Field(min_length=1, max_length=200)]
 Patterns = Annotated[tuple[Pattern, ...], Field(max_length=100)]
-Kept = Annotated[Duration, Field(ge=1_000, le=30 * 86_400_000_000)]
+KeptTime = Annotated[Duration, Field(ge=1_000, le=30 * 86_400_000_000)]
 
 
 class ContractError(Exception):
-    """Contracts can't be used: `contract[1].gap: what was found; expected what`."""
+    """Contracts cannot be used. The text is one line: key, what was found and what was expected."""
 
 
 class ContractPart(Table):
-    """One contract. A combination that can't be kept or means nothing is refused."""
+    """One contract. Combinations that are impossible to keep or have no meaning are rejected."""
 
     name: Name
     classes: Annotated[tuple[Annotated[str, Field(min_length=1)], ...], Field(max_length=100)] = ()
@@ -41,103 +42,104 @@
     order: Order
     open: Annotated[int | None, Field(ge=1, le=128, strict=True, validate_default=True)] = None
     gap: Annotated[Gap | None, Field(validate_default=True)] = None
-    gap_after: Annotated[Kept | None, Field(validate_default=True)] = None
+    gap_after: Annotated[KeptTime | None, Field(validate_default=True)] = None
     repeat: Repeat = "may"
     unclear: Unclear | None = None
-    rest: Annotated[Kept | None, Field(validate_default=True)] = None
+    rest: Annotated[KeptTime | None, Field(validate_default=True)] = None
     ahead: Annotated[int | None, Field(ge=1, le=128, strict=True)] = None
-    keep: Kept = 3_600_000_000
+    keep: KeptTime = 3_600_000_000
 
     @field_validator("open")
     @classmethod
-    def _open(cls, found: int | None, info: ValidationInfo) -> int | None:
+    def _check_open(cls, value: int | None, info: ValidationInfo) -> int | None:
         order = info.data.get("order")
-        if order == "window" and found is None:
+        if order == "window" and value is None:
             raise ValueError('missing; expected a number, since order is "window"')
-        if order in ("strict", "latest", "none") and found is not None:
-            raise ValueError(f'{found} with order "{order}"; expected it with order "window" alone')
-        return found
+        if order in ("strict", "latest", "none") and value is not None:
+            raise ValueError(f'{value} with order "{order}"; expected only with order "window"')
+        return value
 
     @field_validator("gap")
     @classmethod
-    def _gap(cls, found: str | None, info: ValidationInfo) -> str | None:
-        if info.data.get("order") == "latest" and found in ("hold", "skip"):
-            raise ValueError(f'"{found}" with order "latest", where a newer one goes past any gap; '
-                             'expected "fail" or none')
-        return found
+    def _check_gap(cls, value: str | None, info: ValidationInfo) -> str | None:
+        if info.data.get("order") == "latest" and value in ("hold", "skip"):
+            raise ValueError(f'"{value}" with order "latest", where a newer message passes any gap; '
+                             'expected "fail" or no value')
+        return value
 
     @field_validator("gap_after")
     @classmethod
-    def _gap_after(cls, found: int | None, info: ValidationInfo) -> int | None:
+    def _check_gap_after(cls, value: int | None, info: ValidationInfo) -> int | None:
         if "gap" in info.data:
-            if info.data["gap"] == "skip" and found is None:
+            if info.data["gap"] == "skip" and value is None:
                 raise ValueError('missing; expected a time, since gap is "skip"')
-            if info.data["gap"] != "skip" and found is not None:
-                raise ValueError(f'a time with gap "{info.data["gap"] or "hold"}"; expected it with gap "skip" alone')
-        return found
+            if info.data["gap"] != "skip" and value is not None:
+                raise ValueError(f'set with gap "{info.data["gap"] or "hold"}"; expected only with gap "skip"')
+        return value
 
     @field_validator("unclear")
     @classmethod
-    def _unclear(cls, found: str | None, info: ValidationInfo) -> str | None:
+    def _check_unclear(cls, value: str | None, info: ValidationInfo) -> str | None:
         order = info.data.get("order")
-        if order == "none" and found is not None:
-            raise ValueError(f'"{found}" with order "none", where nothing follows anything; expected none')
-        if order in ("strict", "latest") and found == "go":
-            raise ValueError(f'"go" with order "{order}", where one is out at a time and the next waits for its end; '
+        if order == "none" and value is not None:
+            raise ValueError(f'"{value}" with order "none", where no message waits for another; expected no value')
+        if order in ("strict", "latest") and value == "go":
+            raise ValueError(f'"go" with order "{order}", where one message is in flight at a time; '
                              'expected "hold" or "rest"')
-        return found
+        return value
 
     @field_validator("rest")
     @classmethod
-    def _rest(cls, found: int | None, info: ValidationInfo) -> int | None:
+    def _check_rest(cls, value: int | None, info: ValidationInfo) -> int | None:
         if "unclear" in info.data:
-            if info.data["unclear"] == "rest" and found is None:
+            if info.data["unclear"] == "rest" and value is None:
                 raise ValueError('missing; expected a time, since unclear is "rest"')
-            if info.data["unclear"] != "rest" and found is not None:
-                raise ValueError('a time without unclear = "rest"; expected it with that alone')
-        return found
+            if info.data["unclear"] != "rest" and value is not None:
+                raise ValueError('set without unclear = "rest"; expected only with it')
+        return value
 
     @field_validator("ahead")
     @classmethod
-    def _ahead(cls, found: int | None, info: ValidationInfo) -> int | None:
-        if info.data.get("gap") == "fail" and found is not None:
-            raise ValueError(f'{found} with gap "fail", which takes the next number alone; expected none')
-        return found
+    def _check_ahead(cls, value: int | None, info: ValidationInfo) -> int | None:
+        if info.data.get("gap") == "fail" and value is not None:
+            raise ValueError(f'{value} with gap "fail", which accepts only the next number; expected no value')
+        return value
 
     @field_validator("keep")
     @classmethod
-    def _keep(cls, found: int, info: ValidationInfo) -> int:
+    def _check_keep(cls, value: int, info: ValidationInfo) -> int:
         for key in ("rest", "gap_after"):
-            if (other := info.data.get(key)) is not None and found < other:
+            if (other := info.data.get(key)) is not None and value < other:
                 raise ValueError(f"shorter than {key}; expected at least as long")
-        return found
+        return value
 
     def contract(self) -> Contract:
-        """The terms, with what is unset filled in; milliseconds rounded up."""
+        """Return the terms with defaults for what is unset; milliseconds are rounded up."""
         return Contract(self.name, self.order, 1 if self.order != "window" else self.open or 1, self.gap or "hold",
-                        _ms(self.gap_after), self.repeat, self.unclear or "hold", _ms(self.rest),
-                        0 if self.gap == "fail" else self.ahead or _AHEAD, _ms(self.keep))
+                        _to_ms(self.gap_after), self.repeat, self.unclear or "hold", _to_ms(self.rest),
+                        0 if self.gap == "fail" else self.ahead or _DEFAULT_AHEAD, _to_ms(self.keep))
 
 
-class _File(Table):
+class _ContractFile(Table):
+    """The tables of an operator's file that this module reads."""
     contract: Annotated[tuple[ContractPart, ...], Field(max_length=1000)] = ()
 
 
 class Contracts:
-    """Contracts in the order of the file; the first that matches counts. Raises `ContractError` where one is named
-    twice, or can never match since one before it takes all that it would."""
+    """Contracts in the order of the file; the first that matches a message applies. Raises `ContractError` if a name is
+    used twice, or if a contract can never match because an earlier one matches all that it would."""
 
     def __init__(self, parts: Sequence[ContractPart]) -> None:
         self._named: dict[str, Contract] = {}
         for place, part in enumerate(parts):
             if part.name in self._named:
-                raise ContractError(f"contract[{place}].name: {part.name!r} is there twice; expected different names")
+                raise ContractError(f"contract[{place}].name: {part.name!r} is used twice; expected different names")
             for before in parts[:place]:
                 if _covers(before, part):
-                    raise ContractError(f"contract[{place}].name: {part.name!r} never matches, {before.name!r} before "
-                                        "it takes all of it; expected it before that, or to match something else")
+                    raise ContractError(f"contract[{place}].name: {part.name!r} never matches, since {before.name!r} "
+                                        "before it matches all of it; expected an earlier place or other criteria")
             self._named[part.name] = part.contract()
-        rows = [(part, _compiled(part.keys), _compiled(part.paths), frozenset(part.destinations)) for part in parts]
+        rows = [(part, _compile(part.keys), _compile(part.paths), frozenset(part.destinations)) for part in parts]
         self._by_class: dict[str | None, list[_Row]] = {}
         for name in {None, *(name for part in parts for name in part.classes)}:
             self._by_class[name] = [(self._named[part.name], where, keys, paths) for part, keys, paths, where in rows
@@ -147,7 +149,7 @@
         return len(self._named)
 
     def match(self, message_class: str, destination: int, key: str | None, path: str) -> Contract | None:
-        """The first that matches, or None. A message without a key counts as one with an empty key."""
+        """Return the first contract that matches, or None. A message without a key matches as if its key were empty."""
         rows = self._by_class.get(message_class)
         for contract, where, keys, paths in self._by_class[None] if rows is None else rows:
             if (not where or destination in where) and (keys is None or keys.match(key or "")) \
@@ -156,11 +158,11 @@
         return None
 
     def named(self, name: str) -> Contract | None:
-        """That one."""
+        """Return the contract of this name, or None."""
         return self._named.get(name)
 
     def names(self) -> list[str]:
-        """All, in the order of the file."""
+        """Return all names, in the order of the file."""
         return list(self._named)
 
 
@@ -168,61 +170,65 @@
 
 
 def read(tables: Any) -> Contracts:
-    """The contracts of a file's `contract` tables (a list of dicts). Raises `ContractError`, one line."""
+    """Return the contracts of a file's `contract` tables (a list of dicts). Raises `ContractError`."""
     try:
-        return Contracts(_File.model_validate({"contract": tables}).contract)
+        return Contracts(_ContractFile.model_validate({"contract": tables}).contract)
     except ValidationError as error:
-        raise ContractError(describe_error(error, _PAGE)) from error
+        raise ContractError(describe_error(error, _DOCUMENTATION)) from error
 
 
 def changes(old: Contracts, new: Contracts) -> list[str]:
-    """What a reload changes, a line each. Channels that hold messages keep the terms that these were taken under:
-    the book keeps terms with the channel, also over restarts and moves."""
-    found = []
+    """Describe what a reload changes, one line for each contract. A channel that holds messages keeps the terms under
+    which they were taken: terms are stored with the channel, also across restarts and moves."""
+    lines = []
     for name in dict.fromkeys([*old.names(), *new.names()]):
         before, after = old.named(name), new.named(name)
         if before is None:
-            found.append(f"contract {name!r} is new")
+            lines.append(f"contract {name!r} is added")
         elif after is None:
-            found.append(f"contract {name!r} is gone; channels that hold messages of it keep its terms")
+            lines.append(f"contract {name!r} is removed; channels that hold messages of it keep its terms")
         elif before != after:
-            told = ", ".join(f"{key} {getattr(before, key)!r} -> {getattr(after, key)!r}"
-                             for key in before.__struct_fields__ if getattr(before, key) != getattr(after, key))
-            found.append(f"contract {name!r}: {told}; channels that hold messages keep the old until they are empty")
-    return found
+            changed = ", ".join(f"{key} {getattr(before, key)!r} -> {getattr(after, key)!r}"
+                                for key in before.__struct_fields__ if getattr(before, key) != getattr(after, key))
+            lines.append(f"contract {name!r}: {changed}; channels that hold messages keep the old terms until they are "
+                         "empty")
+    return lines
 
 
 def channel_name(contract: Contract, destination: int, key: str | None) -> str:
-    """The channel that a message of this contract belongs to."""
+    """Return the name of the channel for a message of this contract."""
     return f"{contract.name}/{destination}/{key or ''}"
 
 
 def part_of(channel: str, parts: int) -> int:
-    """The part, from 0, that a channel belongs to. The same at every start and on every machine."""
+    """Return the part, from 0, to which a channel belongs: the same at every start and on every machine."""
     return xxhash.xxh3_64_intdigest(channel.encode()) % parts
 
 
-def _ms(time_us: int | None) -> int:
+def _to_ms(time_us: int | None) -> int:
+    """Return microseconds as milliseconds, rounded up; 0 for None."""
     return -(-(time_us or 0) // 1000)
 
 
-def _compiled(patterns: Sequence[str]) -> re.Pattern[str] | None:
-    """One expression for all; None takes everything."""
+def _compile(patterns: Sequence[str]) -> re.Pattern[str] | None:
+    """Return one expression for all patterns; None matches everything."""
     if not patterns or "*" in patterns:
         return None
     return re.compile("|".join(fnmatch.translate(pattern) for pattern in patterns))
 
 
 def _covers(before: ContractPart, after: ContractPart) -> bool:
-    """Does the first take all that the second would?"""
+    """Return whether the first contract matches all that the second would. False also where that needs more than
+    comparing the patterns one by one."""
     return all(not wide or (narrow and set(narrow) <= set(wide)) for wide, narrow in (
         (before.classes, after.classes), (before.destinations, after.destinations))) and \
         _covers_patterns(before.keys, after.keys) and _covers_patterns(before.paths, after.paths)
 
 
 def _covers_patterns(wide: Sequence[str], narrow: Sequence[str]) -> bool:
+    """Return whether each of the narrow patterns matches nothing but what the wide ones match."""
     if not wide or "*" in wide:
         return True
-    taken = _compiled(wide)
+    taken = _compile(wide)
     return bool(narrow) and all(pattern in wide or (
         not set("*?[") & set(pattern) and taken is not None and taken.match(pattern)) for pattern in narrow)
--- a/wheelstep/channels/kept.py
+++ b/wheelstep/channels/kept.py
@@ -1,6 +1,6 @@
-"""A courier's journal with its channels' positions in it. What a position says is written before what it explains: the
-hand-in before its message, an end before the message is over. Takes the journal's place beneath the core.
-"""
+"""A courier's journal together with its channels' positions. A position is written before what depends on it: the
+accepted number before its message, the outcome before the message is removed. The core uses it in place of the
+journal."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class Kept:
-    """As `courier.ports.JournalPort`. `doubted` hears of a message that may have run and goes on."""
+    """Implements `courier.ports.JournalPort`. `on_unclear` is called for a message that may have run and continues."""
 
     def __init__(self, journal: Journal, book: Book, parts: int, now_ms: Callable[[], int]) -> None:
         self.journal, self.book, self._parts, self._now_ms = journal, book, parts, now_ms
-        self._of: dict[int, dict[str, None]] = {}  # part -> its messages, those with notices owed as well
-        self._news: dict[int, dict[str, None]] = {}  # part that is being copied -> pieces that have changed
-        self._live: dict[str, set[int]] = {}  # message -> attempts of this process that have no outcome
-        self.doubted: Callable[[str], None] = lambda name: None
-        self.moved: Callable[[], None] = lambda: None  # something of a channel has changed
-        self.taken: Callable[[StoredMessage], None] = lambda message: None  # a channel's message is here from now on
+        self._by_part: dict[int, dict[str, None]] = {}  # part -> its messages, including those with a notification owed
+        self._changed_pieces: dict[int, dict[str, None]] = {}  # part that is being copied -> changed pieces
+        self._open_attempts: dict[str, set[int]] = {}  # message -> attempts of this process without an outcome
+        self.on_unclear: Callable[[str], None] = lambda name: None
+        self.on_change: Callable[[], None] = lambda: None  # called after a channel has changed
+        self.on_message: Callable[[StoredMessage], None] = lambda message: None  # called for each new channel message
         for message in journal.messages.values():
             self._index(message)
 
@@ -33,29 +33,29 @@
 
     @property
     def messages(self) -> dict[str, StoredMessage]:
-        """All that are owed an end."""
+        """All messages whose end is owed, by id."""
         return self.journal.messages
 
     @property
     def marks(self) -> dict[str, Any]:
-        """All facts."""
+        """Stored marks by name."""
         return self.journal.marks
 
     @property
     def waits(self) -> bool:
-        """Does `durable` ever wait?"""
+        """Whether `durable` may have to wait."""
         return self.journal.waits
 
     async def durable(self) -> None:
-        """What was written is safe."""
+        """Wait until written records are durable by the sync policy; raises `NoRoomError`."""
         await self.journal.durable()
 
     def mark(self, name: str, value: Any) -> None:
-        """Remember a small fact."""
+        """Store a mark, or remove it if the value is None."""
         self.journal.mark(name, value)
 
     def take(self, message: StoredMessage) -> None:
-        """A hand-in: its number, then the message. Raises `NoRoomError` with nothing taken."""
+        """Write a new message, a channel's after its position. Raises `NoRoomError`, and then nothing is taken."""
         if message.channel is None:
             self.journal.take(message)
             return
@@ -69,96 +69,97 @@
             raise
 
     def attempt(self, message: str, number: int, at_ms: int, endpoint: str) -> None:
-        """Right before its first byte."""
+        """Write the start of an attempt, right before its first byte."""
         self.journal.attempt(message, number, at_ms, endpoint)
-        if self._touch(message):
-            self._live.setdefault(message, set()).add(number)
+        if self._note_change(message):
+            self._open_attempts.setdefault(message, set()).add(number)
 
     def outcome(self, message: str, number: int, may_have_run: bool) -> None:
-        """The attempt has ended, the message goes on."""
-        if may_have_run and self._touch(message):
+        """Write the outcome of an attempt whose message continues."""
+        if may_have_run and self._note_change(message):
             self.book.attempt_unclear(self._now_ms(), message)
             self.flush()
         self.journal.outcome(message, number, may_have_run)
-        if self._touch(message):
-            self._settle(message, number)
+        if self._note_change(message):
+            self._close_attempt(message, number)
             if may_have_run:
-                self.doubted(message)
+                self.on_unclear(message)
 
     def end(self, message: str, outcome: str, retry_ms: int) -> None:
-        """The final answer is decided. What may have run is not handed back in a channel: its number has ended, and
-        what follows goes on."""
+        """Write the end of a message, whose notification is owed from then on. A channel's message that may have run is
+        given up instead of handed back: its number has ended, and later messages follow."""
         if (held := self.messages.get(message)) is not None and held.channel is not None:
-            ran = held.may_have_run() is not None
-            if outcome == "handed_back" and ran:
+            may_have_run = held.may_have_run() is not None
+            if outcome == "handed_back" and may_have_run:
                 outcome, retry_ms = "given_up", 0
-            unclear = outcome == "given_up" and ran
+            unclear = outcome == "given_up" and may_have_run
             self.book.ended(self._now_ms(), message, _OUTCOMES[outcome], unclear)
             self.flush()
-            self._live.pop(message, None)
-            self._touch(message)
-            self.moved()
+            self._open_attempts.pop(message, None)
+            self._note_change(message)
+            self.on_change()
         self.journal.end(message, outcome, retry_ms)
 
     def over(self, message: str) -> None:
-        """Delivered, withdrawn, or its notice was answered."""
+        """Write that nothing more is owed of a message: delivered, withdrawn, or its notification was answered."""
         held = self.messages.get(message)
         if held is not None and held.channel is not None:
             if held.notice is None:
                 self.book.ended(self._now_ms(), message, "delivered", False)
                 self.flush()
             self.forget(message)
-            self.moved()
+            self.on_change()
         else:
             self.journal.over(message)
 
     # --- parts ---
 
-    def part(self, message: StoredMessage) -> int:
-        """Of a channel's message."""
+    def part_of(self, message: StoredMessage) -> int:
+        """Return the part of a channel's message."""
         assert message.channel is not None
         return part_of(message.channel, self._parts)
 
-    def of(self, part: int) -> list[StoredMessage]:
-        """A part's messages whose end is not decided, in the order of each channel."""
-        found = [self.messages[name] for name in self._of.get(part, ())]
-        return sorted((m for m in found if m.notice is None), key=lambda m: (m.channel or "", m.number))
+    def undecided(self, part: int) -> list[StoredMessage]:
+        """Return the part's messages that have not ended, in the order of each channel."""
+        messages = [self.messages[name] for name in self._by_part.get(part, ())]
+        return sorted((m for m in messages if m.notice is None), key=lambda m: (m.channel or "", m.number))
 
-    def live(self, message: str) -> bool:
-        """Is a call of it under way?"""
-        return message in self._live
+    def has_open_call(self, message: str) -> bool:
+        """Return whether a call of this process for the message has no outcome yet."""
+        return message in self._open_attempts
 
     def under_way(self, part: int) -> int:
-        """Calls of the part that have no outcome yet."""
-        return sum(name in self._live for name in self._of.get(part, ()))
+        """Return the number of the part's messages with a call under way."""
+        return sum(name in self._open_attempts for name in self._by_part.get(part, ()))
 
     def adopt(self, message: StoredMessage) -> None:
-        """Take a message whose position is known already."""
+        """Write a message whose position is stored already. Raises `NoRoomError`."""
         self.journal.take(message)
         self._index(message)
-        self._touch(message.id)
-        self.taken(message)
+        self._note_change(message.id)
+        self.on_message(message)
 
     def forget(self, message: str) -> None:
-        """It is not owed here any more; its position is none of this."""
+        """Remove a message that is not owed here any more, without changing its position."""
         if (held := self.messages.get(message)) is not None and held.channel is not None:
-            self._touch(message)
-            self._of.get(self.part(held), {}).pop(message, None)
-            self._live.pop(message, None)
+            self._note_change(message)
+            self._by_part.get(self.part_of(held), {}).pop(message, None)
+            self._open_attempts.pop(message, None)
         self.journal.over(message)
 
     def late_outcome(self, message: str, number: int, may_have_run: bool) -> None:
-        """The outcome of a call that the core no longer follows."""
+        """Write the outcome of a call whose message the core has let go."""
         held = self.messages.get(message)
         if held is not None and number in held.out:
             self.outcome(message, number, may_have_run)
-        self._settle(message, number)
+        self._close_attempt(message, number)
 
-    def _settle(self, message: str, number: int) -> None:
-        if (numbers := self._live.get(message)) is not None:
+    def _close_attempt(self, message: str, number: int) -> None:
+        """Note that an attempt of this process has its outcome."""
+        if (numbers := self._open_attempts.get(message)) is not None:
             numbers.discard(number)
             if not numbers:
-                del self._live[message]
+                del self._open_attempts[message]
 
     def flush(self) -> None:
         """Write the positions that have changed."""
@@ -166,33 +167,34 @@
             self.journal.mark(mark, value)
             name = mark[2:]
             part = part_of(name, self._parts)
-            if part in self._news and not name.startswith(" "):
-                self._news[part]["c:" + name] = None
+            if part in self._changed_pieces and not name.startswith(" "):
+                self._changed_pieces[part]["c:" + name] = None
 
-    def watch(self, part: int) -> None:
-        """From now on `news` tells what has changed."""
-        self._news[part] = {}
+    def track_changes(self, part: int) -> None:
+        """Start recording which pieces of the part change, for `take_changes`."""
+        self._changed_pieces[part] = {}
 
-    def news(self, part: int) -> list[str]:
-        """Names of pieces that have changed since it was last asked."""
-        names = self._news.get(part, {})
-        self._news[part] = {}
+    def take_changes(self, part: int) -> list[str]:
+        """Return the names of the pieces that changed since the last call."""
+        names = self._changed_pieces.get(part, {})
+        self._changed_pieces[part] = {}
         return list(names)
 
-    def unwatch(self, part: int) -> None:
-        """Nobody asks any more."""
-        self._news.pop(part, None)
+    def stop_tracking(self, part: int) -> None:
+        """Stop recording changes of the part."""
+        self._changed_pieces.pop(part, None)
 
     def _index(self, message: StoredMessage) -> None:
+        """Add a channel's message to its part."""
         if message.channel is not None:
-            self._of.setdefault(self.part(message), {})[message.id] = None
+            self._by_part.setdefault(self.part_of(message), {})[message.id] = None
 
-    def _touch(self, message: str) -> bool:
-        """Note that it has changed; is it a channel's?"""
+    def _note_change(self, message: str) -> bool:
+        """Record that a message has changed. Return whether it belongs to a channel."""
         held = self.messages.get(message)
         if held is None or held.channel is None:
             return False
-        part = self.part(held)
-        if part in self._news:
-            self._news[part]["m:" + message] = None
+        part = self.part_of(held)
+        if part in self._changed_pieces:
+            self._changed_pieces[part]["m:" + message] = None
         return True
--- a/wheelstep/channels/serving.py
+++ b/wheelstep/channels/serving.py
@@ -1,6 +1,5 @@
-"""Channels as this courier serves them: which part may be sent for at this moment, what the decision module gets of
-it, and what ends without it. `content` has what comes and goes with a part.
-"""
+"""Channels as this courier serves them: for which parts it may send right now, which messages the decision module gets,
+and which end without it. `content` handles what arrives and leaves with a part."""
 
 from __future__ import annotations
 
@@ -15,169 +14,177 @@
 from wheelstep.interface import NEVER_EXECUTED, Outcome
 from wheelstep.journal import StoredMessage
 
-EPOCH = ":e"  # before a part's number: the mark of the last epoch under which it was served or adopted here
-SENT = ":s"  # before a part's number: its pieces have gone to another courier since
-_MOST_LATE = 1_000  # outcomes of calls that ended after their part had gone
+EPOCH = ":e"  # prefix of a part's mark: the last epoch under which the part was served or adopted here
+SENT = ":s"  # prefix of a part's mark: its pieces have been sent to another courier since
+_MAX_LATE_OUTCOMES = 1_000  # recorded outcomes of calls that ended after their part had left
 
 log = logging.getLogger(__name__)
 
 
 class Serving:
-    """`epoch` tells whether a part may be served right now, and under which epoch."""
+    """Connects the channels with the core. `epoch` returns the epoch under which a part may be served right now, or
+    None."""
 
-    def __init__(self, core: Core, kept: Kept, book: Book, now_ms: Callable[[], int]) -> None:
-        self._core, self._kept, self._book, self._now_ms = core, kept, book, now_ms
+    def __init__(self, core: Core, journal: Kept, book: Book, now_ms: Callable[[], int]) -> None:
+        self._core, self._journal, self._book, self._now_ms = core, journal, book, now_ms
         self.epoch: Callable[[int], int | None] = lambda part: None
-        self._serving: dict[int, int] = {}
-        self._late: dict[int, dict[str, str]] = {}  # part -> outcomes heard while it was shut, for its next owner
-        self._gone: dict[str, int] = {}  # with a call under way when their part went
-        core.fence, core.late_outcome = self.may_send, self._stray
-        kept.doubted = self._doubted
-
-    # --- the daemon's side ---
-
-    def serving(self, part: int) -> int | None:
-        """The epoch under which the part is served at this moment; None if it is not."""
-        epoch = self._serving.get(part)
+        self._served: dict[int, int] = {}  # part -> epoch
+        self._late_outcomes: dict[int, dict[str, str]] = {}  # part -> outcomes while it was shut, for its next owner
+        self._departed: dict[str, int] = {}  # messages with a call under way when their part left -> part
+        core.fence, core.late_outcome = self.may_send, self._on_stray_result
+        journal.on_unclear = self._on_unclear
+
+    def served_epoch(self, part: int) -> int | None:
+        """Return the epoch under which the part is served right now; None if it is not."""
+        epoch = self._served.get(part)
         return epoch if epoch is not None and self.epoch(part) == epoch else None
 
     def may_send(self, name: str) -> bool:
-        """Right before a first byte: this courier's part, by its lease, and the contract lets it."""
-        message = self._kept.messages.get(name)
+        """Return whether a message's first byte may be written now: its part is served under a valid lease, and its
+        contract allows it. True for a message without a channel."""
+        message = self._journal.messages.get(name)
         if message is None or message.channel is None:
             return True
-        return self.serving(self._kept.part(message)) is not None and self._book.may_send(self._now_ms(), name)
+        return self.served_epoch(self._journal.part_of(message)) is not None \
+            and self._book.may_send(self._now_ms(), name)
 
-    def pump(self) -> None:
-        """Give the module what may go now, and end what ends here."""
-        for one in self._book.release(self._now_ms()):
-            match one:
+    def dispatch_due(self) -> None:
+        """Pass the messages that are due to the decision module, and finish those that end here."""
+        for released in self._book.release(self._now_ms()):
+            match released:
                 case Release(name):
                     self._resume(name)
                 case End(name, how):
                     self._core.finish(name, "handed_back" if how == "refused" else "given_up")
-        self._kept.flush()
+        self._journal.flush()
 
     def expire(self, name: str) -> None:
-        """Its time is over: end it here if the module does not have it."""
-        message = self._kept.messages.get(name)
+        """End a message whose deadline has passed, unless the decision module has it."""
+        message = self._journal.messages.get(name)
         if message is None or message.notice is not None or message.channel is None:
             return
         if self._book.holds(name) and (end := self._book.expired(self._now_ms(), name)) is not None:
-            self._kept.flush()
+            self._journal.flush()
             self._core.finish(name, "handed_back" if end.how == "refused" else "given_up")
-            self.pump()
-        elif self.serving(self._kept.part(message)) is None and not self._kept.live(name) \
-                and f"{SENT}{self._kept.part(message)}" not in self._kept.marks:
-            # The lease is lost, and nobody else can know of it: its end is owed from here. Where its pieces have gone
-            # to another, that one may end it: the part's owner is asked first (`orphans`), or two ends would be told.
+            self.dispatch_due()
+        elif self.served_epoch(self._journal.part_of(message)) is None and not self._journal.has_open_call(name) \
+                and f"{SENT}{self._journal.part_of(message)}" not in self._journal.marks:
+            # The lease is lost, and no other courier can know the message: its end is owed here. Once its pieces were
+            # sent to another courier, that one may end it: the owner is asked first (`orphans`), as otherwise two ends
+            # could be reported.
             self.end_here(name)
 
     def _resume(self, name: str) -> None:
-        if not self._core.endpoint_client.carries(name) and (message := self._kept.messages.get(name)) is not None:
+        """Pass a message to the decision module, unless a call still carries it."""
+        if not self._core.endpoint_client.carries(name) and (message := self._journal.messages.get(name)) is not None:
             self._core.resume([message])
 
-    def _stray(self, item: Item, result: Result) -> None:
-        """A call has ended whose message the module had to let go."""
-        message = self._kept.messages.get(item.message)
+    def _on_stray_result(self, item: Item, result: Result) -> None:
+        """Handle the result of a call whose message was taken from the decision module."""
+        message = self._journal.messages.get(item.message)
         if message is None or message.channel is None:
-            if result.outcome is Outcome.OK and item.message in self._gone:
-                part = self._gone.pop(item.message)
+            if result.outcome is Outcome.OK and item.message in self._departed:
+                part = self._departed.pop(item.message)
                 self._note_late(part, item.message)
             return
-        part = self._kept.part(message)
+        part = self._journal.part_of(message)
         if result.outcome is Outcome.OK or result.over:
-            self._kept.over(item.message)
-            if part not in self._serving:
+            self._journal.over(item.message)
+            if part not in self._served:
                 self._note_late(part, item.message)
             return
-        self._kept.late_outcome(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
-        if part in self._serving and item.message in self._book.out(part):
+        self._journal.late_outcome(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
+        if part in self._served and item.message in self._book.out(part):
             self._resume(item.message)
 
-    def _doubted(self, name: str) -> None:
-        """What a contract says must not run again, and may have, is over."""
+    def _on_unclear(self, name: str) -> None:
+        """Give up a message that may have run, if its contract forbids another attempt."""
         if not self._book.may_repeat(name):
             self._core.finish(name, "given_up")
 
     def under_way(self, part: int) -> int:
-        """Calls without an outcome."""
-        return self._kept.under_way(part)
+        """Return the number of the part's messages with a call under way."""
+        return self._journal.under_way(part)
 
     def shut(self, part: int) -> None:
-        """Take and begin nothing; what the module holds is kept here."""
-        self._serving.pop(part, None)
+        """Accept no message and begin no attempt for the part until `open`. Its messages are taken from the decision
+        module and remain stored."""
+        self._served.pop(part, None)
         self._book.shut(part)
-        for message in self._kept.of(part):
+        for message in self._journal.undecided(part):
             self._core.set_aside(message.id)
 
     def _note_late(self, part: int, message: str) -> None:
-        """It was delivered by a call of before: whoever has the part next must know."""
-        if sum(map(len, self._late.values())) < _MOST_LATE:
-            self._late.setdefault(part, {})[message] = "delivered"
+        """Record for the part's next owner that a message was delivered by an earlier call."""
+        if sum(map(len, self._late_outcomes.values())) < _MAX_LATE_OUTCOMES:
+            self._late_outcomes.setdefault(part, {})[message] = "delivered"
 
     def open(self, part: int, epoch: int, first: int = 0) -> None:
-        """Serve the part under this epoch; nobody else can have had it since `first`."""
-        last = self._kept.marks.get(f"{EPOCH}{part}", 0)
+        """Serve the part under this epoch. No other courier can have owned it since `first` (0: since this epoch)."""
+        last = self._journal.marks.get(f"{EPOCH}{part}", 0)
         if last + 1 < min(first or epoch, epoch):
             self._inherit(part)
-        self._kept.mark(f"{EPOCH}{part}", epoch)
-        self._kept.mark(f"{SENT}{part}", None)
-        self._late.pop(part, None)
-        self._kept.unwatch(part)
-        self._serving[part] = epoch
+        self._journal.mark(f"{EPOCH}{part}", epoch)
+        self._journal.mark(f"{SENT}{part}", None)
+        self._late_outcomes.pop(part, None)
+        self._journal.stop_tracking(part)
+        self._served[part] = epoch
         self._book.open(part)
-        log.info("part %d is served under epoch %d, %d messages", part, epoch, len(self._kept.of(part)))
+        log.info("part %d is served under epoch %d, %d messages", part, epoch, len(self._journal.undecided(part)))
         for name in self._book.out(part):
             self._resume(name)
-        self.pump()
+        self.dispatch_due()
 
     def _inherit(self, part: int) -> None:
-        """Another had it last and did not hand it over: what is here from before that is as a former owner's."""
+        """Treat what is stored of the part as a former owner's: another courier owned it last and did not hand it
+        over."""
         former = {name: self._book.export(name) for name in self._book.channels(part)}
         self._book.drop(part)
         self._book.inherit(part)
         for name, data in former.items():
             self._book.learn(self._now_ms(), name, data)
-        self._find(part)
-
-    def _find(self, part: int) -> None:
-        """Messages that are here and in no position: they go on if their contract has room for them, or end here."""
-        for message in self._kept.of(part):
-            if self.ended_here(message):
-                self._kept.forget(message.id)
-            elif not self._book.holds(message.id) and not self._kept.live(message.id):
+        self._reconcile(part)
+
+    def _reconcile(self, part: int) -> None:
+        """Handle stored messages that no position holds: accept those for which their contract has room, and end the
+        others."""
+        for message in self._journal.undecided(part):
+            if self.has_ended_here(message):
+                self._journal.forget(message.id)
+            elif not self._book.holds(message.id) and not self._journal.has_open_call(message.id):
                 assert message.channel is not None
                 if not self._book.found(self._now_ms(), message.channel, message.number, message.id):
                     self.end_here(message.id)
-        self._kept.flush()
+        self._journal.flush()
 
-    def ended_here(self, message: StoredMessage) -> bool:
-        """Has it had its end under this courier's position? Then it is nobody's any more."""
+    def has_ended_here(self, message: StoredMessage) -> bool:
+        """Return whether the message has ended according to its position here: then nothing more is owed of it."""
         position = self._book.position(message.channel or "")
         return (position is not None and position.state(message.number) == "ended"
                 and position.answer(message.number)[0] == message.id)
 
     def end_here(self, name: str) -> None:
-        """Whoever finds it ends it: handed back if it surely never ran, here or where its pieces may have gone."""
-        message = self._kept.messages.get(name)
+        """End a message that was found on this disk. It is handed back only if it certainly never ran: neither here nor
+        at a courier that may have received its pieces."""
+        message = self._journal.messages.get(name)
         if message is not None:
-            surely = message.may_have_run() is None and f"{SENT}{self._kept.part(message)}" not in self._kept.marks
-            self._core.finish(name, "handed_back" if surely else "given_up")
+            never_ran = message.may_have_run() is None \
+                and f"{SENT}{self._journal.part_of(message)}" not in self._journal.marks
+            self._core.finish(name, "handed_back" if never_ran else "given_up")
 
     def restore(self, marks: Mapping[str, Any]) -> list[StoredMessage]:
-        """Take up positions after a start. Gives the messages that the core is to go on with at once; those of parts
-        wait for their lease."""
-        messages = self._kept.messages
+        """Restore the channels after a start, from the journal's marks. Returns the messages that the core continues
+        with at once; those of channels wait until their part is served."""
+        messages = self._journal.messages
         owed = {m.id: m.may_have_run() is not None for m in messages.values() if m.channel is not None}
         ended = self._book.restore(self._now_ms(), marks, owed)
         for line in self._book.unreadable:
             log.error("%s", line)
-        self._kept.flush()
-        for one in ended:  # its position says so, and the journal was cut off before it did
-            message = messages[one.message]
-            if message.notice is None and one.how == "delivered":
-                self._kept.forget(one.message)
+        self._journal.flush()
+        for end in ended:  # stored in its position, but the journal was cut off before the message's own record
+            message = messages[end.message]
+            if message.notice is None and end.how == "delivered":
+                self._journal.forget(end.message)
             elif message.notice is None:
-                self._kept.end(one.message, "handed_back" if one.how == "refused" else "given_up", 0)
+                self._journal.end(end.message, "handed_back" if end.how == "refused" else "given_up", 0)
         return [m for m in messages.values() if m.channel is None or m.notice is not None]
--- a/wheelstep/channels/terms.py
+++ b/wheelstep/channels/terms.py
@@ -1,4 +1,5 @@
-"""The terms of a contract, and what the book of channels tells. No I/O; imports msgspec alone."""
+"""Terms of a contract, and what the channels report: verdicts on messages handed in, and releases and ends. No I/O;
+imports msgspec only."""
 
 from __future__ import annotations
 
@@ -11,35 +12,34 @@
 Repeat = Literal["once", "may"]
 Unclear = Literal["hold", "rest", "go"]
 _Ms = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-_Few = Annotated[int, msgspec.Meta(ge=0, le=128)]
+_Limit = Annotated[int, msgspec.Meta(ge=0, le=128)]
 
 
 class Contract(msgspec.Struct, frozen=True, array_like=True):
-    """A contract as it is kept: all set, times in milliseconds. Travels and is journalled with its channels' positions.
-    """
+    """A contract with all fields set, times in milliseconds. Sent and stored with the positions of its channels."""
 
     name: str
     order: Order
-    open: _Few = 1  # messages out at once; of no meaning where order is "none"
+    open: _Limit = 1  # limit of messages in flight; not used with order "none"
     gap: Gap = "hold"
     gap_after_ms: _Ms = 0
     repeat: Repeat = "may"
     unclear: Unclear = "hold"
     rest_ms: _Ms = 0
-    ahead: _Few = 16  # 0 where no gap is taken
+    ahead: _Limit = 16  # how far above the next number a message may be; 0 accepts no gap
     keep_ms: _Ms = 3_600_000
 
 
 class Take(msgspec.Struct, frozen=True):
-    """It may be taken under this number; `next` is the next number expected once it is."""
+    """The message may be taken under this number; `next` is the next expected number after that."""
 
     number: int
     next: int
 
 
 class Again(msgspec.Struct, frozen=True):
-    """It was taken under this number before. `outcome` is None while its end is owed; else delivered, refused, failed
-    or replaced."""
+    """The message was taken under this number before. `outcome` is None while its end is owed, else "delivered",
+    "refused", "failed" or "replaced"."""
 
     number: int
     next: int
@@ -47,8 +47,12 @@
 
 
 class Refuse(msgspec.Struct, frozen=True):
-    """It is not taken. `why`: "beyond" the window (or from before what is remembered), "old-session", "other-message"
-    (the number or the message is known as another's), "full" (come again), "skipped" (that number never runs)."""
+    """The message is not taken.
+
+    `why`: "beyond" (the number is too far ahead, or so old that its outcome is no longer recorded), "old-session" (a
+    later connection has a higher epoch), "other-message" (the number or the message is already paired differently),
+    "full" (try again later) or "skipped" (the number never runs).
+    """
 
     why: str
     next: int
@@ -65,8 +69,8 @@
 
 
 class End(msgspec.Struct, frozen=True):
-    """This message has ended here, without the decision module: `how` is "refused" (it never ran) or "failed" (it may
-    have run); at a restore also "delivered". The position says so already."""
+    """This message has ended without the decision module. `how` is "refused" (it never ran) or "failed" (it may have
+    run); in the result of a restore also "delivered". The position records the end already."""
 
     message: str
     how: str
--- a/wheelstep/dividing.py
+++ b/wheelstep/dividing.py
@@ -1,4 +1,4 @@
-"""Destinations divided: among the workers of a courier (shares) and the couriers of a fleet (shards). No I/O."""
+"""Assigns destinations to shares (of a courier's workers) and to shards (of a fleet's couriers). No I/O."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def part_of(destination: int, parts: int) -> int:
-    """The part, from 0, that a destination belongs to. The same at every start and on every machine."""
+    """Return the part, from 0, to which a destination belongs: the same at every start and on every machine."""
     digest = hashlib.blake2b(str(destination).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") % parts
