--- a/tests/channel_model.py
+++ b/tests/channel_model.py
@@ -1,6 +1,5 @@
-"""A channel as plainly as can be: every number that ever was, looked through whole at every question. For the tests of
-`wheelstep.channels.book`, which must say the same.
-"""
+"""A simple reference model of one channel, which keeps every number and searches all of them each time. Tests compare
+`wheelstep.channels.book` with it."""
 
 from __future__ import annotations
 
@@ -8,138 +7,143 @@
 
 from wheelstep.channels.terms import Contract
 
-GONE = ("delivered", "refused", "failed", "skipped", "replaced")
+ENDED = ("delivered", "refused", "failed", "skipped", "replaced")
 
 
 @dataclass
-class Row:
+class ModelMessage:
+    """A number's message and its state."""
     message: str
-    given: bool
-    status: str = "unsaid"  # waiting, out, one of GONE; may be handed in again: freed, or lapsed (from beyond a gap)
-    ran: bool = False
+    assigned: bool
+    status: str = "unconfirmed"  # or waiting, out, one of ENDED, or may be handed in again: freed, lapsed (above a gap)
+    may_have_run: bool = False
 
 
 @dataclass
-class Plain:
+class ModelChannel:
+    """One channel under a contract."""
     terms: Contract
-    rows: dict[int, Row] = field(default_factory=dict)
+    messages: dict[int, ModelMessage] = field(default_factory=dict)
     rest_ms: int = -1
-    gap: tuple[int, int] | None = None  # which number is missing, and until when it is waited for
-    opened: int = 0  # the highest that ever went out
+    gap: tuple[int, int] | None = None  # first missing number, and until when it blocks
+    highest_released: int = 0
 
     def next(self) -> int:
         number = 1
-        while number in self.rows and self.rows[number].status != "lapsed":
+        while number in self.messages and self.messages[number].status != "lapsed":
             number += 1
         return number
 
-    def having(self, *statuses: str) -> list[int]:
-        return sorted(number for number, row in self.rows.items() if row.status in statuses)
+    def numbers_with(self, *statuses: str) -> list[int]:
+        return sorted(number for number, known in self.messages.items() if known.status in statuses)
 
     def missing(self, below: int) -> list[int]:
         return [number for number in range(1, below)
-                if number not in self.rows or self.rows[number].status in ("freed", "lapsed")]
+                if number not in self.messages or self.messages[number].status in ("freed", "lapsed")]
 
     def verdict(self, message: str, number: int | None) -> tuple[str, int]:
-        """What the door says, and the number."""
-        number = max(self.rows, default=0) + 1 if number is None else number
-        row = self.rows.get(number)
+        """Return the verdict on a message handed in, and its number."""
+        number = max(self.messages, default=0) + 1 if number is None else number
+        known = self.messages.get(number)
         if number < 1 or number - self.next() > self.terms.ahead:
             return "beyond", number
-        if row is None or row.status in ("freed", "lapsed"):
+        if known is None or known.status in ("freed", "lapsed"):
             return "take", number
-        if row.status == "skipped":
+        if known.status == "skipped":
             return "skipped", number
-        return ("again" if row.message == message else "other-message"), number
+        return ("again" if known.message == message else "other-message"), number
 
-    def take(self, number: int, message: str, given: bool) -> None:
+    def take(self, number: int, message: str, assigned: bool) -> None:
         if self.terms.order == "latest" and number >= self.next():
             self.skip(number)
-        self.rows[number] = Row(message, given)
+        self.messages[number] = ModelMessage(message, assigned)
 
     def skip(self, below: int) -> None:
         for number in self.missing(below):
-            self.rows[number] = Row("", False, "skipped")
+            self.messages[number] = ModelMessage("", False, "skipped")
 
     def withdraw(self, number: int) -> None:
-        row = self.rows[number]
+        known = self.messages[number]
         latest = self.terms.order == "latest"
-        if row.given or (latest and number != max(self.rows)):
-            row.status = "skipped"
+        if known.assigned or (latest and number != max(self.messages)):
+            known.status = "skipped"
         else:
             self.free(number)
 
     def free(self, number: int) -> None:
-        self.rows[number].status = "lapsed" if number > self.next() else "freed"
+        self.messages[number].status = "lapsed" if number > self.next() else "freed"
 
     def end(self, now_ms: int, number: int, outcome: str, unclear: bool) -> None:
-        row = self.rows[number]
-        if outcome == "refused" and row.ran:
+        known = self.messages[number]
+        if outcome == "refused" and known.may_have_run:
             outcome = "failed"
-        again = outcome == "refused" and not row.given and self.terms.order in ("strict", "window") \
+        frees_number = outcome == "refused" and not known.assigned and self.terms.order in ("strict", "window") \
             and self.terms.gap != "fail"
-        row.status = outcome
-        if again:
+        known.status = outcome
+        if frees_number:
             self.free(number)
         if unclear:
-            self.unclear(now_ms)
+            self.begin_rest(now_ms)
 
-    def unclear(self, now_ms: int) -> None:
+    def begin_rest(self, now_ms: int) -> None:
         if self.terms.unclear == "rest" and self.terms.order != "none":
             self.rest_ms = now_ms + self.terms.rest_ms
 
     def release(self, now_ms: int) -> list[tuple[str, str]]:
-        """What goes out ("out") or ends here, in order."""
-        terms, told = self.terms, []
+        """Return the messages that go out ("out") or end here, in order."""
+        terms, results = self.terms, []
         if terms.order == "none":
-            told = [self._open(number) for number in self.having("waiting")]
-            top = max((number for number, row in self.rows.items() if row.status != "lapsed"), default=0)
-            if top > self.next() and self._waited(now_ms, self.missing(top)):
+            results = [self._release_one(number) for number in self.numbers_with("waiting")]
+            top = max((number for number, known in self.messages.items() if known.status != "lapsed"), default=0)
+            if top > self.next() and self._gap_expired(now_ms, self.missing(top)):
                 self.skip(top)
             if top < self.next():
                 self.gap = None
-            return told
-        out, waiting = self.having("out"), self.having("waiting")
-        stopped = now_ms < self.rest_ms or (terms.unclear == "hold" and any(self.rows[number].ran for number in out))
+            return results
+        out, waiting = self.numbers_with("out"), self.numbers_with("waiting")
+        is_blocked = now_ms < self.rest_ms or (
+            terms.unclear == "hold" and any(self.messages[number].may_have_run for number in out))
         if terms.order == "latest":
             for number in waiting:
-                if number != waiting[-1] or number < self.opened:
-                    row = self.rows[number]
-                    row.status = "failed" if row.ran else "replaced"
-                    told.append((row.message, "failed" if row.ran else "refused"))
-            if waiting and self.rows[waiting[-1]].status == "waiting" and not out and not stopped:
-                told.append(self._open(waiting[-1]))
-            return told
+                if number != waiting[-1] or number < self.highest_released:
+                    known = self.messages[number]
+                    known.status = "failed" if known.may_have_run else "replaced"
+                    results.append((known.message, "failed" if known.may_have_run else "refused"))
+            if waiting and self.messages[waiting[-1]].status == "waiting" and not out and not is_blocked:
+                results.append(self._release_one(waiting[-1]))
+            return results
         for number in waiting:
-            out = self.having("out")
-            stopped = stopped or (terms.unclear == "hold" and any(self.rows[other].ran for other in out))
-            if len(out) >= terms.open or stopped or any(other < number for other in self.having("unsaid")):
+            out = self.numbers_with("out")
+            is_blocked = is_blocked or (
+                terms.unclear == "hold" and any(self.messages[other].may_have_run for other in out))
+            if len(out) >= terms.open or is_blocked \
+                    or any(other < number for other in self.numbers_with("unconfirmed")):
                 break
             if missing := self.missing(number):
-                if not self._waited(now_ms, missing):
-                    return told
+                if not self._gap_expired(now_ms, missing):
+                    return results
                 self.skip(number)
-            told.append(self._open(number))
+            results.append(self._release_one(number))
         self.gap = None
-        return told
+        return results
 
-    def _waited(self, now_ms: int, missing: list[int]) -> bool:
+    def _gap_expired(self, now_ms: int, missing: list[int]) -> bool:
         if self.terms.gap == "hold":
             return False
         if self.gap is None or self.gap[0] != missing[0]:
             self.gap = missing[0], now_ms + self.terms.gap_after_ms
         return self.terms.gap == "fail" or now_ms >= self.gap[1]
 
-    def _open(self, number: int) -> tuple[str, str]:
-        self.rows[number].status = "out"
-        self.opened = max(self.opened, number)
-        return self.rows[number].message, "out"
+    def _release_one(self, number: int) -> tuple[str, str]:
+        self.messages[number].status = "out"
+        self.highest_released = max(self.highest_released, number)
+        return self.messages[number].message, "out"
 
     def crash(self, now_ms: int) -> None:
-        """Another process goes on: what was out is given out anew, and what rested rests once more."""
-        self.opened = max(self.having("delivered", "failed"), default=0)
-        for number in self.having("out", "unsaid"):
-            self.rows[number].status = "waiting"
+        """Continue in another process: what was in flight is released again, and an unfinished rest starts again."""
+        self.highest_released = max(self.numbers_with("delivered", "failed"), default=0)
+        for number in self.numbers_with("out", "unconfirmed"):
+            self.messages[number].status = "waiting"
         self.gap = None
         if now_ms < self.rest_ms:
             self.rest_ms = now_ms + self.terms.rest_ms
--- a/tests/test_channel_book.py
+++ b/tests/test_channel_book.py
@@ -1,11 +1,12 @@
-"""The book of channels against a plain model of one, with its journal cut anywhere, moved, dropped and restored."""
+"""Compares the channels of a courier with a simple reference model, under random events and with the journal cut off at
+any record."""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
-from channel_model import Plain
+from channel_model import ModelChannel
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -31,7 +32,7 @@
 
 
 class World:
-    """A book with its journal, written in the order that the book asks for."""
+    """Channels with a journal, written in the order that they require."""
 
     def __init__(self) -> None:
         self.log: list[tuple[Any, ...]] = []
@@ -68,21 +69,21 @@
         self.book.ended(self.now, message, outcome, unclear)
         self.write(("over", message))
 
-    def doubt(self, message: str) -> None:
+    def attempt_unclear(self, message: str) -> None:
         self.book.attempt_unclear(self.now, message)
-        self.log.append(("ran", message))  # an attempt is written down before its first byte
+        self.log.append(("ran", message))  # an attempt is journalled before its first byte
         self.write()
 
     def restored(self, records: int | None = None) -> tuple[Book, dict[str, bool], list[End]]:
-        """What another process makes of the journal's first records; the messages owed by it, and those over."""
+        """Restore from the journal's first records. Returns the channels, the owed messages and the ends found."""
         marks: dict[str, Any] = {}
         owed: dict[str, bool] = {}
-        for what, name, *value in self.log[:records]:
-            if what == "mark":
+        for kind, name, *value in self.log[:records]:
+            if kind == "mark":
                 marks[name] = json.loads(value[0])
-            elif what == "take":
+            elif kind == "take":
                 owed[name] = False
-            elif what == "over":
+            elif kind == "over":
                 owed.pop(name, None)
             elif name in owed:
                 owed[name] = True
@@ -91,94 +92,94 @@
         return book, owed, ends
 
 
-class Machine(RuleBasedStateMachine):
-    """Random hand-ins, ends, withdrawals, time and crashes of one channel."""
+class ChannelMachine(RuleBasedStateMachine):
+    """Random hand-ins, ends, withdrawals, waits and crashes of one channel."""
 
     name = ""
 
     def __init__(self) -> None:
         super().__init__()
-        self.world, self.count = World(), 0
+        self.world, self.message_count = World(), 0
         contract = CONTRACTS.named(self.name)
         assert contract is not None
-        self.models = {self.name: Plain(contract)}
+        self.models = {self.name: ModelChannel(contract)}
         self.sessions = dict.fromkeys(NAMES, 0)
-        self.heard: dict[str, tuple[int, str, int, int]] = {}  # 202: records by then, contract, number, next
-        self.marked: dict[str, list[int]] = {}  # message: records before each that ends it; it may come again
+        self.confirmed: dict[str, tuple[int, str, int, int]] = {}  # message -> records at 202, contract, number, next
+        self.ended_at: dict[str, list[int]] = {}  # message -> number of records before each of its ends
         self.places: dict[str, tuple[str, int]] = {}
         self.nexts = dict.fromkeys(NAMES, 1)
 
-    def any(self, data: Any, *statuses: str) -> tuple[str, int, str] | None:
-        found = [(name, number, model.rows[number].message) for name, model in self.models.items()
-                 for number in model.having(*statuses)]
+    def draw_message(self, data: Any, *statuses: str) -> tuple[str, int, str] | None:
+        found = [(name, number, model.messages[number].message) for name, model in self.models.items()
+                 for number in model.numbers_with(*statuses)]
         return data.draw(st.sampled_from(found)) if found else None
 
     @rule(ahead=st.none() | st.integers(-3, 6) | st.just(0), session=st.none() | st.integers(1, 3), again=st.booleans())
     def hand_in(self, ahead: int | None, session: int | None, again: bool) -> None:
         name, model = self.name, self.models[self.name]
         number = None if ahead is None else model.next() + ahead
-        row = model.rows.get(number or 0)
-        self.count += 1
-        message = row.message if again and row is not None and row.message else f"m{self.count}"
-        said, wanted = model.verdict(message, number)
+        known = model.messages.get(number or 0)
+        self.message_count += 1
+        message = known.message if again and known is not None and known.message else f"m{self.message_count}"
+        expected, expected_number = model.verdict(message, number)
         verdict = self.world.offer(name, message, number, session)
         if session is not None and session < self.sessions[name]:
             assert verdict == Refuse("old-session", model.next(), self.sessions[name])
             return
         if isinstance(verdict, Refuse):
-            assert verdict == Refuse(said, model.next(), self.sessions[name])
+            assert verdict == Refuse(expected, model.next(), self.sessions[name])
             return
         self.sessions[name] = max(self.sessions[name], session or 0)
-        if said == "take":
-            model.take(wanted, message, number is None)
-            assert verdict == Take(wanted, model.next())
-            self.places[message] = (name, wanted)
+        if expected == "take":
+            model.take(expected_number, message, number is None)
+            assert verdict == Take(expected_number, model.next())
+            self.places[message] = (name, expected_number)
         else:
-            status = model.rows[wanted].status
-            assert said == "again" and isinstance(verdict, Again)
-            outcome = None if status in ("unsaid", "waiting", "out") else status
-            assert verdict == Again(wanted, model.next(), outcome)
-
-    @precondition(lambda self: any(model.having("unsaid") for model in self.models.values()))
-    @rule(data=st.data(), heard=st.booleans() | st.just(True))
-    def answer(self, data: Any, heard: bool) -> None:
-        name, number, message = self.any(data, "unsaid")  # type: ignore[misc]
+            status = model.messages[expected_number].status
+            assert expected == "again" and isinstance(verdict, Again)
+            outcome = None if status in ("unconfirmed", "waiting", "out") else status
+            assert verdict == Again(expected_number, model.next(), outcome)
+
+    @precondition(lambda self: any(model.numbers_with("unconfirmed") for model in self.models.values()))
+    @rule(data=st.data(), confirmed=st.booleans() | st.just(True))
+    def answer(self, data: Any, confirmed: bool) -> None:
+        name, number, message = self.draw_message(data, "unconfirmed")  # type: ignore[misc]
         model, world = self.models[name], self.world
-        if heard:
+        if confirmed:
             world.book.said(world.now, message)
-            model.rows[number].status = "waiting"
-            self.heard[message] = (len(world.log), name, number, model.next())
+            model.messages[number].status = "waiting"
+            self.confirmed[message] = (len(world.log), name, number, model.next())
         else:
-            world.log.append(("over", message))  # a withdrawal: the message goes first
+            world.log.append(("over", message))  # a withdrawal removes the message first
             world.book.withdraw(world.now, message)
             world.write()
             model.withdraw(number)
 
-    @precondition(lambda self: any(model.having("out") for model in self.models.values()))
+    @precondition(lambda self: any(model.numbers_with("out") for model in self.models.values()))
     @rule(data=st.data(), outcome=st.sampled_from(["delivered", "delivered", "refused", "failed"]),
           unclear=st.booleans())
     def end(self, data: Any, outcome: str, unclear: bool) -> None:
-        name, number, message = self.any(data, "out")  # type: ignore[misc]
+        name, number, message = self.draw_message(data, "out")  # type: ignore[misc]
         unclear &= outcome == "failed"
         self.models[name].end(self.world.now, number, outcome, unclear)
-        self.marked.setdefault(message, []).append(len(self.world.log))
+        self.ended_at.setdefault(message, []).append(len(self.world.log))
         self.world.end(message, outcome, unclear)
 
-    @precondition(lambda self: any(model.having("out") for model in self.models.values()))
+    @precondition(lambda self: any(model.numbers_with("out") for model in self.models.values()))
     @rule(data=st.data())
-    def doubt(self, data: Any) -> None:
-        name, number, message = self.any(data, "out")  # type: ignore[misc]
-        self.models[name].rows[number].ran = True
-        self.models[name].unclear(self.world.now)
-        self.world.doubt(message)
+    def attempt_unclear(self, data: Any) -> None:
+        name, number, message = self.draw_message(data, "out")  # type: ignore[misc]
+        self.models[name].messages[number].may_have_run = True
+        self.models[name].begin_rest(self.world.now)
+        self.world.attempt_unclear(message)
 
-    @precondition(lambda self: any(model.having("waiting") for model in self.models.values()))
+    @precondition(lambda self: any(model.numbers_with("waiting") for model in self.models.values()))
     @rule(data=st.data())
     def expire(self, data: Any) -> None:
-        name, number, message = self.any(data, "waiting")  # type: ignore[misc]
-        how = "failed" if self.models[name].rows[number].ran else "refused"
+        name, number, message = self.draw_message(data, "waiting")  # type: ignore[misc]
+        how = "failed" if self.models[name].messages[number].may_have_run else "refused"
         self.models[name].end(self.world.now, number, how, False)
-        self.marked.setdefault(message, []).append(len(self.world.log))
+        self.ended_at.setdefault(message, []).append(len(self.world.log))
         assert self.world.book.expired(self.world.now, message) == End(message, how)
         self.world.write(("over", message))
 
@@ -191,19 +192,19 @@
         self.world.book, owed, ends = self.world.restored()
         assert not ends
         for name, model in self.models.items():
-            for number in model.having("unsaid"):
-                self.heard[model.rows[number].message] = (len(self.world.log), name, number, model.next())
+            for number in model.numbers_with("unconfirmed"):
+                self.confirmed[model.messages[number].message] = (len(self.world.log), name, number, model.next())
             model.crash(self.world.now)
 
     @invariant()
-    def releases_are_the_model_s(self) -> None:
+    def releases_match_the_model(self) -> None:
         world, before = self.world, len(self.world.log)
         mine: dict[str, list[tuple[str, str]]] = {name: [] for name in NAMES}
         for one in world.book.release(world.now):
             name = self.places[one.message][0]
             mine[name].append((one.message, "out" if isinstance(one, Release) else one.how))
             if isinstance(one, End):
-                self.marked.setdefault(one.message, []).append(before)
+                self.ended_at.setdefault(one.message, []).append(before)
                 world.write(("over", one.message))
         world.write()
         for name, model in self.models.items():
@@ -214,27 +215,28 @@
         assert world.book.next_ms() != 0 and (world.book.next_ms() or world.now + 1) > world.now
 
     def teardown(self) -> None:
-        """A journal that was cut anywhere owes what was answered 202, under the same numbers, no ended one."""
+        """Cut off the journal after each record: every message confirmed with 202 is owed under the same number, none
+        that ended."""
         for records in range(len(self.world.log) + 1):
             book, owed, ends = self.world.restored(records)
-            taken = {name: place for place, (what, name, *_) in enumerate(self.world.log[:records]) if what == "take"}
+            taken = {name: place for place, (kind, name, *_) in enumerate(self.world.log[:records]) if kind == "take"}
             over = {message for message in owed
-                    if any(taken[message] < place < records for place in self.marked.get(message, ()))}
+                    if any(taken[message] < place < records for place in self.ended_at.get(message, ()))}
             assert {end.message for end in ends} == over
             held = {entry.message: entry.unclear for name in NAMES if (known := book.position(f"{name}/7/k"))
                     for entry in known.entries.values()}
             assert held == {message: ran for message, ran in owed.items() if message not in over}
             assert all(book.holds(message) != (message in over) for message in owed)
-            for message, (by, name, number, following) in self.heard.items():
-                if by <= records and taken[message] < by and message not in over and message in owed:
+            for message, (when, name, number, following) in self.confirmed.items():
+                if when <= records and taken[message] < when and message not in over and message in owed:
                     assert book.place_of(message) == (f"{name}/7/k", number)
                     position = book.position(f"{name}/7/k")
                     assert position is not None and position.next >= following
 
 
 def case(contract: str) -> type:
-    """The tests of one contract."""
-    machine = type(f"Machine_{contract}", (Machine,), {"name": contract}).TestCase
+    """Return the test class for one contract."""
+    machine = type(f"Machine_{contract}", (ChannelMachine,), {"name": contract}).TestCase
     machine.settings = settings(max_examples=40, stateful_step_count=40, deadline=None, derandomize=True)
     return machine
 
--- a/tests/test_channel_cases.py
+++ b/tests/test_channel_cases.py
@@ -1,4 +1,5 @@
-"""Cases of channels that a plain model doesn't show: what may be sent, bounds, reloads, ends that were cut off."""
+"""Cases of channels that the reference model does not cover: permission to send, bounds, reloads, ends that were cut
+off."""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 from wheelstep.channels.position import MAX_HELD, MAX_NUMBER
 
 
-def test_what_may_be_sent() -> None:
+def test_may_send_follows_order_repeat_and_unclear_of_the_contract() -> None:
     world = World()
     book = world.book
     for name in ("strict", "fail", "window", "skips"):
@@ -22,22 +23,22 @@
     assert book.may_send(0, "strict1") and not book.may_send(0, "strict2") and not book.may_send(0, "nobody")
     assert book.may_repeat("strict1") and not book.may_repeat("fail1")
     for message in ("strict1", "fail1", "window2", "skips1"):
-        world.doubt(message)
-    assert book.may_send(0, "strict1"), "it may be repeated"
-    assert not book.may_send(0, "fail1"), "it may have run, and its contract says once"
+        world.attempt_unclear(message)
+    assert book.may_send(0, "strict1"), "the contract allows a repetition"
+    assert not book.may_send(0, "fail1"), "it may have run, and the contract says once"
     assert [book.may_send(0, f"window{number}") for number in (1, 2, 3)] == [True, True, False]
-    assert book.may_send(0, "skips2"), "unclear: go"
+    assert book.may_send(0, "skips2"), "unclear is go"
     world.end("window2", "failed", True)
-    assert book.may_send(0, "window3") and book.expired(0, "window3") is None, "the decision module ends what is out"
+    assert book.may_send(0, "window3") and book.expired(0, "window3") is None, "in flight: the decision module ends it"
     for number in (1, 2, 3):
         world.hand_in("rests", f"rests{number}", number)
     assert world.release() == ["rests1", "rests2"]
-    world.doubt("rests1")
+    world.attempt_unclear("rests1")
     assert [book.may_send(59, f"rests{number}") for number in (1, 2)] == [True, False]
     assert book.may_send(60, "rests2")
 
 
-def test_a_rest_is_waited_for_also_by_another_process() -> None:
+def test_rest_starts_again_after_a_restart() -> None:
     world = World()
     for number in (1, 2):
         world.hand_in("skip", f"m{number}")
@@ -49,21 +50,21 @@
     assert world.release(80) == ["m2"]
 
 
-def test_a_number_handed_back_is_a_gap_until_it_comes_again() -> None:
+def test_refused_client_number_blocks_until_it_is_handed_in_again() -> None:
     world = World()
     for number in (1, 2):
         world.hand_in("strict", f"m{number}", number)
     assert world.release() == ["m1"]
     world.end("m1", "refused")
     assert world.release(10**6) == [] and world.book.position("strict/7/k").next == 3  # type: ignore[union-attr]
-    assert world.hand_in("strict", "free") == Take(3, 4), "the courier's numbers fill no gap of a client's"
+    assert world.hand_in("strict", "free") == Take(3, 4), "an assigned number fills no gap of a client"
     assert world.hand_in("strict", "other", 1) == Take(1, 4)
     assert world.release() == ["other"]
     world.end("other", "failed")
-    assert world.release() == ["m2"], "what has failed holds nothing up"
+    assert world.release() == ["m2"], "a failed message blocks nothing"
 
 
-def test_a_number_that_the_courier_gave_leaves_no_gap() -> None:
+def test_refused_assigned_number_leaves_no_gap() -> None:
     world = World()
     for message in ("a", "b"):
         world.hand_in("strict", message)
@@ -71,10 +72,10 @@
     world.end("a", "refused")
     assert world.release() == ["b"] and world.hand_in("strict", "a") == Take(3, 4)
     book, _, ends = world.restored()
-    assert ends == [] and book.place_of("a") == ("strict/7/k", 3), "what ended under one number came again as another"
+    assert ends == [] and book.place_of("a") == ("strict/7/k", 3), "handed in again under another number"
 
 
-def test_where_gaps_fail_a_number_handed_back_has_ended() -> None:
+def test_refused_number_has_ended_with_gap_fail() -> None:
     world = World()
     world.hand_in("fail", "m1", 1)
     assert world.offer("fail", "m3", 3) == Refuse("beyond", 2, 0) and world.release() == ["m1"]
@@ -83,7 +84,7 @@
     assert world.release() == ["m2"]
 
 
-def test_each_gap_has_its_own_time() -> None:
+def test_each_gap_is_waited_for_separately() -> None:
     world = World()
     world.hand_in("none", "m5", 5)
     assert world.release(0) == ["m5"] and world.release(50) == []
@@ -93,25 +94,25 @@
         assert world.book.position("none/7/k").next == following  # type: ignore[union-attr]
 
 
-def test_what_a_newer_one_replaces_ends_as_it_is_known() -> None:
+def test_replaced_message_fails_if_it_may_have_run_else_is_refused() -> None:
     world = World()
     for number in (1, 2):
         world.hand_in("latest", f"m{number}", number)
         world.release()
-    world.doubt("m1")
+    world.attempt_unclear("m1")
     world.book = world.restored()[0]
     assert world.release(40) == [("m1", "failed"), "m2"], "it may have run"
     assert world.offer("latest", "m1", 1) == Again(1, 3, "failed")
-    assert world.offer("latest", "m3", 3) == Take(3, 4)  # its client has not heard yet
+    assert world.offer("latest", "m3", 3) == Take(3, 4)  # not confirmed yet
     assert world.hand_in("latest", "m4", 4) == Take(4, 5)
     world.end("m2")
     assert world.release() == ["m4"]
     world.end("m4")
     world.book = world.restored()[0]
-    assert world.release() == [("m3", "refused")], "a newer one was delivered by the process before"
+    assert world.release() == [("m3", "refused")], "an earlier process delivered a newer one"
 
 
-def test_a_skipped_number_never_runs() -> None:
+def test_skipped_number_is_rejected_when_it_comes() -> None:
     world = World()
     assert world.hand_in("skip", "m2", 2) == Take(2, 1)
     assert world.release(0) == [] and world.book.next_ms() == 50
@@ -123,12 +124,12 @@
     assert again.offer(0, contract, "skip/7/k", "m1", 1, None) == Refuse("skipped", 3, 0)
 
 
-def test_a_number_again_is_answered_as_then() -> None:
+def test_repeated_number_gets_its_first_answer_and_unexpected_ones_are_rejected() -> None:
     world = World()
     world.hand_in("strict", "m1", 1, session=4)
     assert world.hand_in("strict", "m1", 1) == Again(1, 2, None) == world.hand_in("strict", "m1")
     assert world.offer("strict", "x", 1) == Refuse("other-message", 2, 4)
-    assert world.offer("window", "m1", 1) == Refuse("other-message", 1, 0), "one message is in one channel"
+    assert world.offer("window", "m1", 1) == Refuse("other-message", 1, 0), "a message belongs to one channel only"
     world.release()
     world.end("m1")
     assert world.offer("strict", "m1", 1) == Again(1, 2, "delivered")
@@ -141,16 +142,16 @@
         world.hand_in("strict", f"m{number}", number)
         world.release()
         world.end(f"m{number - 1}")
-    assert world.offer("strict", "m1", 1) == Refuse("beyond", 90, 5), "forgotten: taken again it would run twice"
+    assert world.offer("strict", "m1", 1) == Refuse("beyond", 90, 5), "not recorded any more; it would run twice"
 
 
-def test_take_needs_an_offer() -> None:
+def test_take_without_offer_raises_key_error() -> None:
     world = World()
     with pytest.raises(KeyError, match="was not offered"):
         world.book.take(0, "strict/7/k", "m", 1)
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_messages_and_channels_are_bounded_and_idle_channels_forgotten() -> None:
     world, hour = World(), 3_600_000
     for number in range(MAX_HELD):
         assert isinstance(world.hand_in("none", f"m{number}"), Take)
@@ -164,7 +165,7 @@
     world.end("k6")
     assert len(world.book) == 100
     world.release(hour)
-    assert len(world.book) == 99 and world.log[-1] == ("mark", ":cstrict/7/5", "null"), "forgotten once nothing is held"
+    assert len(world.book) == 99 and world.log[-1] == ("mark", ":cstrict/7/5", "null"), "an empty channel is forgotten"
     world.release(2 * hour - 2)
     assert len(world.book) == 99
     world.release(2 * hour - 1)
@@ -172,7 +173,7 @@
     assert world.hand_in("strict", "one", key="more") == Take(1, 2)
 
 
-def test_timers_do_not_pile_up() -> None:
+def test_timers_stay_few_under_many_gaps_and_rests() -> None:
     world = World()
     for number in range(500):
         world.hand_in("skip", f"m{number}", 2 * number + 2)
@@ -183,10 +184,10 @@
     assert len(world.book._timers) + len(world.book._expiries) < 6
     for number in range(100):
         world.hand_in("skip", f"n{number}")
-    assert len(world.book._timers) + len(world.book._expiries) < 6, "one timer for all of a rest"
+    assert len(world.book._timers) + len(world.book._expiries) < 6, "one timer for a whole rest"
 
 
-def test_a_channel_that_came_again_is_not_forgotten_by_the_clock_of_the_one_before() -> None:
+def test_recreated_channel_is_kept_for_its_own_full_time() -> None:
     world = World()
     world.hand_in("strict", "a")
     world.release()
@@ -200,14 +201,14 @@
     assert len(world.book) == 1 and world.release(3_601_000) == [] and len(world.book) == 0
 
 
-def test_a_mark_that_is_no_position_is_told_and_left() -> None:
+def test_invalid_mark_is_reported_and_left_unchanged() -> None:
     book = World().book
     assert book.restore(0, {":cstrict/7/k": [9], ":out e1": 1, "e1": [1, 2]}, {}) == []
     assert book.unreadable == ["channel 'strict/7/k': position of format version 9; expected 1"]
     assert book.changes() == [] and len(book) == 0
 
 
-def test_terms_stay_with_what_is_held_over_reload_and_restart() -> None:
+def test_channel_with_messages_keeps_its_terms_over_reload_and_restart() -> None:
     world = World()
     world.hand_in("window", "a")
     world.hand_in("window", "b")
@@ -228,7 +229,7 @@
         world.end("c")
 
 
-def test_an_end_that_was_cut_off_is_told_at_the_restore() -> None:
+def test_restore_reports_an_end_that_the_journal_lost() -> None:
     world = World()
     for message in ("a", "b"):
         world.hand_in("strict", message, 1 if message == "a" else 2)
--- a/tests/test_channel_kept.py
+++ b/tests/test_channel_kept.py
@@ -1,4 +1,4 @@
-"""A journal with the positions of channels in it, cut off at every operation of its disk."""
+"""A journal with channels' positions, under a crash at each operation of its disk."""
 
 from __future__ import annotations
 
@@ -16,92 +16,93 @@
 CHANNEL, PARTS = "updates/1/k", 4
 
 
-class Scene:
-    """Four messages of one channel: delivered, refused and handed in again, failed with an unclear attempt, waiting."""
+class ChannelScenario:
+    """Four messages of one channel: delivered; refused, its number then handed in again; failed with an unclear
+    attempt; waiting."""
 
     def __init__(self, disk: FaultyDisk) -> None:
         self.disk = disk
-        self.answered: dict[int, str] = {}  # number -> message whose client heard 202
-        self.over: set[str] = set()  # whose end was decided before anybody was told
+        self.accepted: dict[int, str] = {}  # number -> message whose client received 202
+        self.ended: set[str] = set()  # messages whose end was decided
 
     def open(self, disk: FaultyDisk) -> tuple[Book, Kept]:
-        """As a courier does at its start."""
+        """Restore as a courier does at its start."""
         book = Book(CONTRACTS, PARTS, 100, 0)
-        kept = Kept(Journal(disk, 1 << 20), book, PARTS, lambda: 0)  # type: ignore[arg-type]
-        owed = {m.id: m.may_have_run() is not None for m in kept.messages.values()}
-        for end in book.restore(0, kept.marks, owed):
-            kept.forget(end.message)
-        kept.flush()
-        return book, kept
-
-    def hand_in(self, book: Book, kept: Kept, name: str, number: int) -> None:
+        journal = Kept(Journal(disk, 1 << 20), book, PARTS, lambda: 0)  # type: ignore[arg-type]
+        owed = {m.id: m.may_have_run() is not None for m in journal.messages.values()}
+        for end in book.restore(0, journal.marks, owed):
+            journal.forget(end.message)
+        journal.flush()
+        return book, journal
+
+    def hand_in(self, book: Book, journal: Kept, name: str, number: int) -> None:
         contract = CONTRACTS.named("updates")
         assert contract is not None
         verdict = book.offer(0, contract, CHANNEL, name, number, None)
         assert isinstance(verdict, Take), verdict
-        kept.take(StoredMessage(name, "item-status", 1, int(time.time() * 1000) + 60_000, channel=CHANNEL,
-                                number=number))
-        self.answered[number] = name
+        journal.take(StoredMessage(name, "item-status", 1, int(time.time() * 1000) + 60_000, channel=CHANNEL,
+                                   number=number))
+        self.accepted[number] = name
         book.said(0, name)
 
-    def attempt(self, book: Book, kept: Kept, name: str, number: int) -> None:
+    def attempt(self, book: Book, journal: Kept, name: str, number: int) -> None:
         assert Release(name) in book.release(0)
-        kept.attempt(name, number, 1, "e0")
-
-    def play(self) -> None:
-        book, kept = self.open(self.disk)
-        self.hand_in(book, kept, "m1", 1)
-        self.attempt(book, kept, "m1", 0)
-        self.over.add("m1")
-        kept.over("m1")
-        self.hand_in(book, kept, "m2", 2)
-        self.over.add("m2")
-        kept.end("m2", "handed_back", 0)
-        kept.over("m2")
-        self.hand_in(book, kept, "m2b", 2)
-        self.attempt(book, kept, "m2b", 0)
-        kept.outcome("m2b", 0, True)
-        self.over.add("m2b")
-        kept.end("m2b", "given_up", 0)
-        self.hand_in(book, kept, "m3", 3)
-
-
-def operations() -> int:
-    """Of a whole play."""
+        journal.attempt(name, number, 1, "e0")
+
+    def run(self) -> None:
+        book, journal = self.open(self.disk)
+        self.hand_in(book, journal, "m1", 1)
+        self.attempt(book, journal, "m1", 0)
+        self.ended.add("m1")
+        journal.over("m1")
+        self.hand_in(book, journal, "m2", 2)
+        self.ended.add("m2")
+        journal.end("m2", "handed_back", 0)
+        journal.over("m2")
+        self.hand_in(book, journal, "m2b", 2)
+        self.attempt(book, journal, "m2b", 0)
+        journal.outcome("m2b", 0, True)
+        self.ended.add("m2b")
+        journal.end("m2b", "given_up", 0)
+        self.hand_in(book, journal, "m3", 3)
+
+
+def count_operations() -> int:
+    """Return the number of disk operations of a whole run."""
     disk = FaultyDisk(1)
-    Scene(disk).play()
+    ChannelScenario(disk).run()
     return disk.count
 
 
 @pytest.mark.parametrize("power", [False, True])
-def test_a_courier_cut_off_anywhere_owes_what_it_answered_and_gives_no_number_twice(power: bool) -> None:
-    cut = 0
-    for crash_at in range(1, operations() + 1):
+def test_crash_at_any_disk_operation_loses_no_accepted_message_and_reuses_no_number(power: bool) -> None:
+    crashes = 0
+    for crash_at in range(1, count_operations() + 1):
         disk = FaultyDisk(crash_at)
         disk.crash_at = crash_at
-        scene = Scene(disk)
+        scenario = ChannelScenario(disk)
         try:
-            scene.play()
+            scenario.run()
         except (CrashError, NoRoomError):
-            cut += 1
-        book, kept = scene.open(disk.after_crash(power=False) if not power else disk.after_crash(power=True))
+            crashes += 1
+        book, journal = scenario.open(disk.after_crash(power=False) if not power else disk.after_crash(power=True))
         if power:
-            continue  # nothing was synced: what is left of it must be readable, and nothing more
+            continue  # nothing was synced: the rest only has to be readable
         position = book.position(CHANNEL)
-        for number, name in scene.answered.items():
-            if name in scene.over:
+        for number, name in scenario.accepted.items():
+            if name in scenario.ended:
                 continue
-            assert name in kept.messages, f"crash at {crash_at}: {name} was answered 202 and is not owed"
+            assert name in journal.messages, f"crash at {crash_at}: {name} was answered 202 but is not owed"
             assert book.place_of(name) == (CHANNEL, number), crash_at
-        taken = max(scene.answered, default=0)
+        taken = max(scenario.accepted, default=0)
         if taken:
-            assert position is not None and position.next >= taken + 1, f"crash at {crash_at}: the position went back"
+            assert position is not None and position.next >= taken + 1, f"crash at {crash_at}: the position decreased"
             contract = CONTRACTS.named("updates")
             assert contract is not None
             verdict = book.offer(0, contract, CHANNEL, "other", taken, None)
-            free = scene.answered[taken] == "m2" and "m2" in scene.over
-            assert free or not isinstance(verdict, Take), f"crash at {crash_at}: number {taken} is given twice"
-        for name in kept.messages:
-            known = book.holds(name) or kept.messages[name].notice is not None
-            assert known, f"crash at {crash_at}: {name} is owed and in no position"
-    assert cut > 10
+            free = scenario.accepted[taken] == "m2" and "m2" in scenario.ended
+            assert free or not isinstance(verdict, Take), f"crash at {crash_at}: number {taken} is taken twice"
+        for name in journal.messages:
+            known = book.holds(name) or journal.messages[name].notice is not None
+            assert known, f"crash at {crash_at}: {name} is owed but in no position"
+    assert crashes > 10
--- a/tests/test_channel_moves.py
+++ b/tests/test_channel_moves.py
@@ -1,4 +1,4 @@
-"""Channels that go to another courier whole, and what a dead courier had."""
+"""Channels that are handed over to another courier, or continued there after the loss of their owner."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return book, data
 
 
-def test_a_channel_moves_whole() -> None:
+def test_adopted_channel_keeps_position_rest_and_order() -> None:
     world = World()
     for number in (1, 2, 4):
         world.hand_in("skip", f"m{number}", number, session=3)
@@ -25,7 +25,7 @@
     assert book.export("skip/7/k") == data and book.changes()[0][0] == ":cskip/7/k"
     assert book.release(0) == []
     book.adopt(70, "skip/7/k", data, None)
-    assert [one.message for one in book.release(80)] == ["m2"], "the same again does nothing"
+    assert [one.message for one in book.release(80)] == ["m2"], "adopting the same position again does nothing"
     part = part_of("skip/7/k", 8)
     assert book.channels(part) == ["skip/7/k"]
     book.shut(part)
@@ -41,14 +41,14 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[2]", b"[1,-1]", b"null", b"[" * 5000])
-def test_a_position_that_is_none_is_not_adopted(data: bytes) -> None:
+def test_invalid_position_is_not_adopted(data: bytes) -> None:
     book = World().book
     with pytest.raises(PositionError) as caught:
         book.adopt(0, "strict/7/k", data, None)
     assert "\n" not in str(caught.value) and len(book) == 0 and book.changes() == []
 
 
-def test_what_a_dead_courier_had_is_waited_for_where_the_contract_holds_gaps() -> None:
+def test_messages_of_a_lost_owner_block_only_where_the_contract_holds_at_gaps() -> None:
     former, world = World(), World()
     for number in range(1, 10):
         former.hand_in("strict", f"m{number}", number)
@@ -60,7 +60,7 @@
         world.book.inherit(part_of(f"{name}/7/k", 8))
         assert world.hand_in(name, f"{name}10", 10) == Take(10, 11)
     assert world.release(10**5) == ["skip10"]
-    assert world.offer("strict", "new", 9) == Refuse("beyond", 11, 0), "it may be another message, with a 202"
+    assert world.offer("strict", "new", 9) == Refuse("beyond", 11, 0), "another accepted message may have it"
     again = world.restored()[0]
     assert again.position("strict/7/k").lost == {6, 7, 8, 9}  # type: ignore[union-attr]
     world.book.learn(0, "strict/7/k", former.book.export("strict/7/k"))
@@ -70,10 +70,10 @@
     assert world.release() == ["m9"]
     assert not world.book.found(0, "strict/7/k", 8, "m8"), "it has ended"
     assert not world.book.found(0, "strict/7/k", 99, "m99") and not world.book.found(0, "strict/7/k", 2, "m2")
-    assert not world.book.found(0, "skip/7/k", 11, "n"), "a contract that skips gaps has no room"
+    assert not world.book.found(0, "skip/7/k", 11, "n"), "a contract that skips gaps accepts none"
 
 
-def test_a_former_owner_tells_of_a_channel_that_nobody_asked_for() -> None:
+def test_former_owner_restores_a_channel_unknown_to_the_new_owner() -> None:
     former, world = World(), World()
     for number in (1, 2, 4):
         former.hand_in("strict", f"m{number}", number)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,4 +1,4 @@
-"""What operators may declare of channels, how bad files are told, and which contract a message falls under."""
+"""Contracts of channels: validation and its errors, which contract applies to a message, and reloads."""
 
 from __future__ import annotations
 
@@ -60,33 +60,33 @@
 ]
 
 
-@pytest.mark.parametrize(("tables", "line"), BAD, ids=[line[:60] for _, line in BAD])
-def test_bad_contracts_are_told_on_one_line(tables: Any, line: str) -> None:
+@pytest.mark.parametrize(("tables", "message"), BAD, ids=[message[:60] for _, message in BAD])
+def test_invalid_contract_is_reported_on_one_line(tables: Any, message: str) -> None:
     with pytest.raises(ContractError) as caught:
         read(tables)
-    assert str(caught.value) == line
+    assert str(caught.value) == message
 
 
-@pytest.mark.parametrize(("first", "second", "hidden"), [
+@pytest.mark.parametrize(("first", "second", "is_covered"), [
     ({"classes": ["a", "b"]}, {"classes": ["a"]}, True),
     ({"classes": ["a"]}, {"classes": ["a", "b"]}, False),
     ({"classes": ["a"]}, {}, False),
     ({"keys": ["acct-*"]}, {"keys": ["acct-7"]}, True),
-    ({"keys": ["acct-*"]}, {"keys": ["acct-7*"]}, False),  # not told: needs more than a look
+    ({"keys": ["acct-*"]}, {"keys": ["acct-7*"]}, False),  # not detected: only patterns without wildcards are matched
     ({"keys": ["*"], "destinations": [1]}, {"keys": ["x"], "destinations": [1]}, True),
     ({"keys": ["*"], "destinations": [1]}, {"keys": ["x"], "destinations": [2]}, False),
     ({"paths": ["/a/*"]}, {"paths": ["/a/*"], "keys": ["k"]}, True),
 ])
-def test_a_contract_that_can_never_match_is_refused(first: Any, second: Any, hidden: bool) -> None:
+def test_contract_that_can_never_match_is_rejected(first: Any, second: Any, is_covered: bool) -> None:
     tables = [{**STRICT, **first}, {"name": "second", "order": "none", **second}]
-    if not hidden:
+    if not is_covered:
         assert len(read(tables)) == 2
         return
     with pytest.raises(ContractError, match="'second' never matches"):
         read(tables)
 
 
-def test_the_first_that_matches_counts() -> None:
+def test_first_matching_contract_applies() -> None:
     contracts = read([
         {"name": "vip", "order": "strict", "classes": ["pay"], "keys": ["vip-*", "gold"]},
         {"name": "seven", "order": "none", "destinations": [7], "paths": ["/t/acme/*"]},
@@ -103,7 +103,7 @@
     assert name("bill", 1, None, "/") == "pay" and name("else", 1, None, "/") is None
 
 
-def test_terms_are_filled_in() -> None:
+def test_unset_terms_get_defaults() -> None:
     contracts = read([{"name": "w", "order": "window", "open": 3, "gap": "skip", "gap_after": "1500us",
                        "unclear": "rest", "rest": "2s", "repeat": "once", "keep": "1min", "keys": ["k"]},
                       {"name": "f", "order": "latest", "gap": "fail"}])
@@ -114,12 +114,12 @@
     assert channel_name(first, 7, "k/1") == "w/7/k/1" and channel_name(second, 7, None) == "f/7/"
 
 
-def test_a_channel_keeps_its_part_for_good() -> None:
-    """Positions stand on disks and travel: another mapping would look for them at the wrong courier."""
+def test_part_of_a_channel_never_changes() -> None:
+    """Positions are stored and sent by part: with another mapping, couriers would look for them in the wrong place."""
     assert [part_of(name, 64) for name in ("orders/1/a", "orders/1/b", "orders/2/a", "w/7/")] == [5, 42, 12, 34]
 
 
-def test_a_reload_tells_what_changes_and_what_stays() -> None:
+def test_reload_reports_changed_contracts() -> None:
     old = read([STRICT, {"name": "gone", "order": "none", "classes": ["x"]}][::-1])
     new = read([{"name": "fresh", "order": "latest", "classes": ["y"]}, {**STRICT, "gap": "fail"}])
     assert changes(old, new) == [
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -1,4 +1,4 @@
-"""A channel's position: what comes back from a disk or another courier is what went there, or is refused."""
+"""Positions of channels: encoding and decoding, and rejection of invalid ones."""
 
 from __future__ import annotations
 
@@ -36,19 +36,20 @@
     return data
 
 
-def test_a_position_comes_back_as_it_was() -> None:
+def test_position_survives_json_and_msgpack() -> None:
     first = sample()
-    for way in (json, msgspec.msgpack):
-        data = way.loads(way.dumps(first.to_data())) if way is json else way.decode(way.encode(first.to_data()))
-        again = from_data(data)
-        assert again.to_data() == first.to_data() and again.terms == TERMS
-        assert [again.state(number) for number in range(1, 11)] == [
+    for module in (json, msgspec.msgpack):
+        data = module.loads(module.dumps(first.to_data())) if module is json \
+            else module.decode(module.encode(first.to_data()))
+        decoded = from_data(data)
+        assert decoded.to_data() == first.to_data() and decoded.terms == TERMS
+        assert [decoded.state(number) for number in range(1, 11)] == [
             "ended", "free", "held", "free", "held", "ended", "free", "free", "beyond", "beyond"]
-        assert again.entries[3].assigned and again.entries[3].unclear and not again.entries[5].unclear
-        assert (again.next, again.session, again.resting, again.next_assigned()) == (4, 9, True, 7)
+        assert decoded.entries[3].assigned and decoded.entries[3].unclear and not decoded.entries[5].unclear
+        assert (decoded.next, decoded.session, decoded.resting, decoded.next_assigned()) == (4, 9, True, 7)
 
 
-@pytest.mark.parametrize(("data", "line"), [
+@pytest.mark.parametrize(("data", "message"), [
     (None, "invalid position: Expected `array`, got `null`"),
     ([], "invalid position: Expected `array` of at least length 16, got 0"),
     (changed(0, 2), "position of format version 2; expected 1"),
@@ -71,24 +72,24 @@
     (changed(15, ["orders", "fifo"]), "invalid position: Invalid enum value 'fifo' - at `$[15][1]`"),
     ([*sample().to_data(), True, 1], "invalid position: Expected `array` of at most length 17, got 18"),
 ])
-def test_what_can_be_no_position_is_refused(data: Any, line: str) -> None:
+def test_invalid_position_is_rejected_with_its_reason(data: Any, message: str) -> None:
     with pytest.raises(PositionError) as caught:
         from_data(data)
-    assert str(caught.value) == line
+    assert str(caught.value) == message
 
 
 @pytest.mark.parametrize("text", ["", "0", "-1", "1.0", "x", " 1", "٣", "9007199254740993", "1" * 400, "0x1"])
-def test_a_header_that_is_no_number_is_refused(text: str) -> None:
+def test_invalid_header_number_is_rejected(text: str) -> None:
     with pytest.raises(PositionError, match=r"expected 1 to 2\*\*53") as caught:
         read_number(text)
     assert len(str(caught.value)) < 120
 
 
-def test_a_header_that_is_a_number() -> None:
+def test_valid_header_number_is_read() -> None:
     assert [read_number(text) for text in ("1", "007", str(MAX_NUMBER))] == [1, 7, MAX_NUMBER]
 
 
-def test_the_last_number_is_the_last() -> None:
+def test_no_number_follows_the_maximum() -> None:
     position = Position(TERMS, MAX_NUMBER)
     position.lost.clear()
     position.take(MAX_NUMBER, "m", False)
@@ -97,21 +98,21 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["take", "end", "free", "skip"]), st.integers(1, 40)), max_size=80))
-def test_a_position_never_goes_back_and_stays_bounded(steps: list[tuple[str, int]]) -> None:
+def test_position_never_decreases_and_stays_bounded(steps: list[tuple[str, int]]) -> None:
     position = Position(TERMS)
     ended: set[int] = set()
-    for what, number in steps:
+    for step, number in steps:
         before = (position.next, position.revision)
         state = position.state(number)
-        if what == "take" and state == "free":
+        if step == "take" and state == "free":
             assert number not in ended, "an ended number may be taken again"
             position.take(number, f"m{number}", False)
-        elif what == "end" and state == "held":
+        elif step == "end" and state == "held":
             position.end(number, "delivered")
             ended.add(number)
-        elif what == "free" and state == "held":
+        elif step == "free" and state == "held":
             position.free(number)
-        elif what == "skip" and number <= position.next + TERMS.ahead:
+        elif step == "skip" and number <= position.next + TERMS.ahead:
             position.skip(number)
             ended |= set(range(1, number)) - position.entries.keys()
         assert (position.next, position.revision) >= before and position.next >= before[0]
