--- a/benchmarks/channel_door.py
+++ b/benchmarks/channel_door.py
@@ -1,4 +1,4 @@
-"""What the book of channels costs alone: offers, releases and ends a second with 1 to 100,000 channels, beside a plain
+"""What the table of channels costs alone: offers, releases and ends a second with 1 to 100,000 channels, beside a plain
 dict of deques that keeps the order and nothing else.
 
     python benchmarks/channel_door.py [--messages 100000] [--rounds 3] [--journal]
@@ -16,8 +16,8 @@
 import time
 from collections import deque
 
-from wheelstep.channels.book import Book, Release, Take
-from wheelstep.channels.contracts import read
+from wheelstep.channels.book import Accept, ChannelTable, Release
+from wheelstep.channels.contracts import read_contracts
 from wheelstep.channels.terms import Contract
 
 _BATCH = 100
@@ -28,31 +28,31 @@
 
 def book_round(contract: Contract, names: list[str], journal: bool) -> tuple[float, int]:
     """Seconds and bytes of marks, for messages to these channels."""
-    book, written, ended = Book(read(_TABLES), 64, 200_000, 0), 0, 0
+    table, written, ended = ChannelTable(read_contracts(_TABLES), 64, 200_000, 0), 0, 0
 
     def note() -> None:
         nonlocal written
         if journal:
-            written += sum(len(json.dumps(value)) for _, value in book.changes())
+            written += sum(len(json.dumps(value)) for _, value in table.changed_marks())
 
     began = time.perf_counter()
     for start in range(0, len(names), _BATCH):
         for place in range(start, min(start + _BATCH, len(names))):
             channel, message = names[place], f"m{place}"
-            verdict = book.offer(start, contract, channel, message, None, None)
-            assert isinstance(verdict, Take), verdict
-            book.take(start, channel, message, verdict.number)
+            verdict = table.offer(start, contract, channel, message, None, None)
+            assert isinstance(verdict, Accept), verdict
+            table.take(start, channel, message, verdict.number)
             note()
-            book.said(start, message)
-        while out := book.release(start):
+            table.client_answered(start, message)
+        while out := table.release(start):
             for one in out:
                 assert isinstance(one, Release)
-                assert book.may_send(start, one.message)
-                book.ended(start, one.message, "delivered", False)
+                assert table.may_send(start, one.message)
+                table.ended(start, one.message, "delivered", False)
                 note()
                 ended += 1
         if not journal:
-            book.changes()
+            table.changed_marks()
     assert ended == len(names)
     return time.perf_counter() - began, written
 
@@ -88,7 +88,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--journal", action="store_true")
     given = parser.parse_args()
-    contracts = read(_TABLES)
+    contracts = read_contracts(_TABLES)
     print(f"seed {given.seed}, {given.messages} messages, best of {given.rounds}"
           f"{', with marks encoded' if given.journal else ''}")
     print(f"{'contract':>8} {'channels':>8} {'book/s':>10} {'us each':>8} {'plain/s':>10} {'ratio':>7} "
--- a/tests/test_channel_book.py
+++ b/tests/test_channel_book.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from wheelstep.channels.book import Again, Book, End, Refuse, Release, Take
-from wheelstep.channels.contracts import channel_name, read
+from wheelstep.channels.book import Accept, ChannelTable, Duplicate, End, Reject, Release
+from wheelstep.channels.contracts import channel_name, read_contracts
 
 TABLES = [
     {"name": "strict", "order": "strict", "ahead": 4},
@@ -27,7 +27,7 @@
 ]
 for table in TABLES:
     table["classes"] = [table["name"]]
-CONTRACTS = read(TABLES)
+CONTRACTS = read_contracts(TABLES)
 NAMES = CONTRACTS.names()
 
 
@@ -36,45 +36,45 @@
 
     def __init__(self) -> None:
         self.log: list[tuple[Any, ...]] = []
-        self.book, self.now = Book(CONTRACTS, 8, 100, 0), 0
+        self.table, self.now = ChannelTable(CONTRACTS, 8, 100, 0), 0
 
     def write(self, *records: tuple[Any, ...]) -> None:
-        self.log += [("mark", name, json.dumps(value)) for name, value in self.book.changes()]
+        self.log += [("mark", name, json.dumps(value)) for name, value in self.table.changed_marks()]
         self.log += records
 
     def offer(self, name: str, message: str, number: int | None = None, session: int | None = None,
-              key: str = "k") -> Take | Again | Refuse:
+              key: str = "k") -> Accept | Duplicate | Reject:
         contract = CONTRACTS.named(name)
         assert contract is not None
         channel = channel_name(contract, 7, key)
-        verdict = self.book.offer(self.now, contract, channel, message, number, session)
-        if isinstance(verdict, Take):
-            self.book.take(self.now, channel, message, verdict.number)
+        verdict = self.table.offer(self.now, contract, channel, message, number, session)
+        if isinstance(verdict, Accept):
+            self.table.take(self.now, channel, message, verdict.number)
             self.write(("take", message))
         self.write()
         return verdict
 
-    def hand_in(self, name: str, message: str, number: int | None = None, **more: Any) -> Take | Again | Refuse:
+    def hand_in(self, name: str, message: str, number: int | None = None, **more: Any) -> Accept | Duplicate | Reject:
         verdict = self.offer(name, message, number, **more)
-        self.book.said(self.now, message)
+        self.table.client_answered(self.now, message)
         return verdict
 
     def release(self, now: int | None = None) -> list[Any]:
         self.now = self.now if now is None else now
-        found = self.book.release(self.now)
+        found = self.table.release(self.now)
         self.write(*(("over", one.message) for one in found if isinstance(one, End)))
         return [one.message if isinstance(one, Release) else (one.message, one.how) for one in found]
 
     def end(self, message: str, outcome: str = "delivered", unclear: bool = False) -> None:
-        self.book.ended(self.now, message, outcome, unclear)
+        self.table.ended(self.now, message, outcome, unclear)
         self.write(("over", message))
 
     def attempt_unclear(self, message: str) -> None:
-        self.book.attempt_unclear(self.now, message)
+        self.table.attempt_unclear(self.now, message)
         self.log.append(("ran", message))  # an attempt is journalled before its first byte
         self.write()
 
-    def restored(self, records: int | None = None) -> tuple[Book, dict[str, bool], list[End]]:
+    def restored(self, records: int | None = None) -> tuple[ChannelTable, dict[str, bool], list[End]]:
         """Restore from the journal's first records. Returns the channels, the owed messages and the ends found."""
         marks: dict[str, Any] = {}
         owed: dict[str, bool] = {}
@@ -87,9 +87,9 @@
                 owed.pop(name, None)
             elif name in owed:
                 owed[name] = True
-        book = Book(CONTRACTS, 8, 100, self.now)
-        ends = book.restore(self.now, {name: value for name, value in marks.items() if value is not None}, owed)
-        return book, owed, ends
+        table = ChannelTable(CONTRACTS, 8, 100, self.now)
+        ends = table.restore(self.now, {name: value for name, value in marks.items() if value is not None}, owed)
+        return table, owed, ends
 
 
 class ChannelMachine(RuleBasedStateMachine):
@@ -124,21 +124,21 @@
         expected, expected_number = model.verdict(message, number)
         verdict = self.world.offer(name, message, number, session)
         if session is not None and session < self.sessions[name]:
-            assert verdict == Refuse("old-session", model.next(), self.sessions[name])
+            assert verdict == Reject("old-session", model.next(), self.sessions[name])
             return
-        if isinstance(verdict, Refuse):
-            assert verdict == Refuse(expected, model.next(), self.sessions[name])
+        if isinstance(verdict, Reject):
+            assert verdict == Reject(expected, model.next(), self.sessions[name])
             return
         self.sessions[name] = max(self.sessions[name], session or 0)
         if expected == "take":
             model.take(expected_number, message, number is None)
-            assert verdict == Take(expected_number, model.next())
+            assert verdict == Accept(expected_number, model.next())
             self.places[message] = (name, expected_number)
         else:
             status = model.messages[expected_number].status
-            assert expected == "again" and isinstance(verdict, Again)
+            assert expected == "again" and isinstance(verdict, Duplicate)
             outcome = None if status in ("unconfirmed", "waiting", "out") else status
-            assert verdict == Again(expected_number, model.next(), outcome)
+            assert verdict == Duplicate(expected_number, model.next(), outcome)
 
     @precondition(lambda self: any(model.numbers_with("unconfirmed") for model in self.models.values()))
     @rule(data=st.data(), confirmed=st.booleans() | st.just(True))
@@ -146,12 +146,12 @@
         name, number, message = self.draw_message(data, "unconfirmed")  # type: ignore[misc]
         model, world = self.models[name], self.world
         if confirmed:
-            world.book.said(world.now, message)
+            world.table.client_answered(world.now, message)
             model.messages[number].status = "waiting"
             self.confirmed[message] = (len(world.log), name, number, model.next())
         else:
             world.log.append(("over", message))  # a withdrawal removes the message first
-            world.book.withdraw(world.now, message)
+            world.table.withdraw(world.now, message)
             world.write()
             model.withdraw(number)
 
@@ -180,7 +180,7 @@
         how = "failed" if self.models[name].messages[number].may_have_run else "refused"
         self.models[name].end(self.world.now, number, how, False)
         self.ended_at.setdefault(message, []).append(len(self.world.log))
-        assert self.world.book.expired(self.world.now, message) == End(message, how)
+        assert self.world.table.expire(self.world.now, message) == End(message, how)
         self.world.write(("over", message))
 
     @rule(ms=st.sampled_from([1, 10, 30, 100]))
@@ -189,7 +189,7 @@
 
     @rule()
     def crash(self) -> None:
-        self.world.book, owed, ends = self.world.restored()
+        self.world.table, owed, ends = self.world.restored()
         assert not ends
         for name, model in self.models.items():
             for number in model.numbers_with("unconfirmed"):
@@ -200,7 +200,7 @@
     def releases_match_the_model(self) -> None:
         world, before = self.world, len(self.world.log)
         mine: dict[str, list[tuple[str, str]]] = {name: [] for name in NAMES}
-        for one in world.book.release(world.now):
+        for one in world.table.release(world.now):
             name = self.places[one.message][0]
             mine[name].append((one.message, "out" if isinstance(one, Release) else one.how))
             if isinstance(one, End):
@@ -209,28 +209,28 @@
         world.write()
         for name, model in self.models.items():
             assert mine[name] == model.release(world.now), name
-            position = world.book.position(f"{name}/7/k")
+            position = world.table.position(f"{name}/7/k")
             assert model.next() == (position.next if position else 1) >= self.nexts[name]
             self.nexts[name] = model.next()
-        assert world.book.next_ms() != 0 and (world.book.next_ms() or world.now + 1) > world.now
+        assert world.table.next_ms() != 0 and (world.table.next_ms() or world.now + 1) > world.now
 
     def teardown(self) -> None:
         """Cut off the journal after each record: every message confirmed with 202 is owed under the same number, none
         that ended."""
         for records in range(len(self.world.log) + 1):
-            book, owed, ends = self.world.restored(records)
+            table, owed, ends = self.world.restored(records)
             taken = {name: place for place, (kind, name, *_) in enumerate(self.world.log[:records]) if kind == "take"}
             over = {message for message in owed
                     if any(taken[message] < place < records for place in self.ended_at.get(message, ()))}
             assert {end.message for end in ends} == over
-            held = {entry.message: entry.unclear for name in NAMES if (known := book.position(f"{name}/7/k"))
+            held = {entry.message: entry.unclear for name in NAMES if (known := table.position(f"{name}/7/k"))
                     for entry in known.entries.values()}
             assert held == {message: ran for message, ran in owed.items() if message not in over}
-            assert all(book.holds(message) != (message in over) for message in owed)
+            assert all(table.holds(message) != (message in over) for message in owed)
             for message, (when, name, number, following) in self.confirmed.items():
                 if when <= records and taken[message] < when and message not in over and message in owed:
-                    assert book.place_of(message) == (f"{name}/7/k", number)
-                    position = book.position(f"{name}/7/k")
+                    assert table.place_of(message) == (f"{name}/7/k", number)
+                    position = table.position(f"{name}/7/k")
                     assert position is not None and position.next >= following
 
 
--- a/tests/test_channel_kept.py
+++ b/tests/test_channel_kept.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from wheelstep.channels.book import Book, Release, Take
-from wheelstep.channels.contracts import read
-from wheelstep.channels.kept import Kept
+from wheelstep.channels.book import Accept, ChannelTable, Release
+from wheelstep.channels.contracts import read_contracts
+from wheelstep.channels.kept import ChannelJournal
 from wheelstep.journal import Journal, NoRoomError, StoredMessage
 from wheelstep.rehearsal.faulty_disk import CrashError, FaultyDisk
 
-CONTRACTS = read([{"name": "updates", "order": "strict"}])
+CONTRACTS = read_contracts([{"name": "updates", "order": "strict"}])
 CHANNEL, PARTS = "updates/1/k", 4
 
 
@@ -25,46 +25,46 @@
         self.accepted: dict[int, str] = {}  # number -> message whose client received 202
         self.ended: set[str] = set()  # messages whose end was decided
 
-    def open(self, disk: FaultyDisk) -> tuple[Book, Kept]:
+    def open(self, disk: FaultyDisk) -> tuple[ChannelTable, ChannelJournal]:
         """Restore as a courier does at its start."""
-        book = Book(CONTRACTS, PARTS, 100, 0)
-        journal = Kept(Journal(disk, 1 << 20), book, PARTS, lambda: 0)  # type: ignore[arg-type]
+        table = ChannelTable(CONTRACTS, PARTS, 100, 0)
+        journal = ChannelJournal(Journal(disk, 1 << 20), table, PARTS, lambda: 0)  # type: ignore[arg-type]
         owed = {m.id: m.may_have_run() is not None for m in journal.messages.values()}
-        for end in book.restore(0, journal.marks, owed):
+        for end in table.restore(0, journal.marks, owed):
             journal.forget(end.message)
         journal.flush()
-        return book, journal
+        return table, journal
 
-    def hand_in(self, book: Book, journal: Kept, name: str, number: int) -> None:
+    def hand_in(self, table: ChannelTable, journal: ChannelJournal, name: str, number: int) -> None:
         contract = CONTRACTS.named("updates")
         assert contract is not None
-        verdict = book.offer(0, contract, CHANNEL, name, number, None)
-        assert isinstance(verdict, Take), verdict
+        verdict = table.offer(0, contract, CHANNEL, name, number, None)
+        assert isinstance(verdict, Accept), verdict
         journal.take(StoredMessage(name, "item-status", 1, int(time.time() * 1000) + 60_000, channel=CHANNEL,
                                    number=number))
         self.accepted[number] = name
-        book.said(0, name)
+        table.client_answered(0, name)
 
-    def attempt(self, book: Book, journal: Kept, name: str, number: int) -> None:
-        assert Release(name) in book.release(0)
+    def attempt(self, table: ChannelTable, journal: ChannelJournal, name: str, number: int) -> None:
+        assert Release(name) in table.release(0)
         journal.attempt(name, number, 1, "e0")
 
     def run(self) -> None:
-        book, journal = self.open(self.disk)
-        self.hand_in(book, journal, "m1", 1)
-        self.attempt(book, journal, "m1", 0)
+        table, journal = self.open(self.disk)
+        self.hand_in(table, journal, "m1", 1)
+        self.attempt(table, journal, "m1", 0)
         self.ended.add("m1")
         journal.over("m1")
-        self.hand_in(book, journal, "m2", 2)
+        self.hand_in(table, journal, "m2", 2)
         self.ended.add("m2")
         journal.end("m2", "handed_back", 0)
         journal.over("m2")
-        self.hand_in(book, journal, "m2b", 2)
-        self.attempt(book, journal, "m2b", 0)
+        self.hand_in(table, journal, "m2b", 2)
+        self.attempt(table, journal, "m2b", 0)
         journal.outcome("m2b", 0, True)
         self.ended.add("m2b")
         journal.end("m2b", "given_up", 0)
-        self.hand_in(book, journal, "m3", 3)
+        self.hand_in(table, journal, "m3", 3)
 
 
 def count_operations() -> int:
@@ -85,24 +85,24 @@
             scenario.run()
         except (CrashError, NoRoomError):
             crashes += 1
-        book, journal = scenario.open(disk.after_crash(power=False) if not power else disk.after_crash(power=True))
+        table, journal = scenario.open(disk.after_crash(power=False) if not power else disk.after_crash(power=True))
         if power:
             continue  # nothing was synced: the rest only has to be readable
-        position = book.position(CHANNEL)
+        position = table.position(CHANNEL)
         for number, name in scenario.accepted.items():
             if name in scenario.ended:
                 continue
             assert name in journal.messages, f"crash at {crash_at}: {name} was answered 202 but is not owed"
-            assert book.place_of(name) == (CHANNEL, number), crash_at
+            assert table.place_of(name) == (CHANNEL, number), crash_at
         taken = max(scenario.accepted, default=0)
         if taken:
             assert position is not None and position.next >= taken + 1, f"crash at {crash_at}: the position decreased"
             contract = CONTRACTS.named("updates")
             assert contract is not None
-            verdict = book.offer(0, contract, CHANNEL, "other", taken, None)
+            verdict = table.offer(0, contract, CHANNEL, "other", taken, None)
             free = scenario.accepted[taken] == "m2" and "m2" in scenario.ended
-            assert free or not isinstance(verdict, Take), f"crash at {crash_at}: number {taken} is taken twice"
+            assert free or not isinstance(verdict, Accept), f"crash at {crash_at}: number {taken} is taken twice"
         for name in journal.messages:
-            known = book.holds(name) or journal.messages[name].notice is not None
+            known = table.holds(name) or journal.messages[name].notice is not None
             assert known, f"crash at {crash_at}: {name} is owed but in no position"
     assert crashes > 10
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wheelstep.channels.contracts import ContractError, changes, channel_name, part_of, read
+from wheelstep.channels.contracts import ContractError, channel_name, describe_changes, part_of, read_contracts
 
 STRICT = {"name": "orders", "order": "strict"}
 
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize(("tables", "message"), BAD, ids=[message[:60] for _, message in BAD])
 def test_invalid_contract_is_reported_on_one_line(tables: Any, message: str) -> None:
     with pytest.raises(ContractError) as caught:
-        read(tables)
+        read_contracts(tables)
     assert str(caught.value) == message
 
 
@@ -80,14 +80,14 @@
 def test_contract_that_can_never_match_is_rejected(first: Any, second: Any, is_covered: bool) -> None:
     tables = [{**STRICT, **first}, {"name": "second", "order": "none", **second}]
     if not is_covered:
-        assert len(read(tables)) == 2
+        assert len(read_contracts(tables)) == 2
         return
     with pytest.raises(ContractError, match="'second' never matches"):
-        read(tables)
+        read_contracts(tables)
 
 
 def test_first_matching_contract_applies() -> None:
-    contracts = read([
+    contracts = read_contracts([
         {"name": "vip", "order": "strict", "classes": ["pay"], "keys": ["vip-*", "gold"]},
         {"name": "seven", "order": "none", "destinations": [7], "paths": ["/t/acme/*"]},
         {"name": "pay", "order": "window", "open": 3, "classes": ["pay", "bill"]}])
@@ -104,9 +104,9 @@
 
 
 def test_unset_terms_get_defaults() -> None:
-    contracts = read([{"name": "w", "order": "window", "open": 3, "gap": "skip", "gap_after": "1500us",
-                       "unclear": "rest", "rest": "2s", "repeat": "once", "keep": "1min", "keys": ["k"]},
-                      {"name": "f", "order": "latest", "gap": "fail"}])
+    contracts = read_contracts([{"name": "w", "order": "window", "open": 3, "gap": "skip", "gap_after": "1500us",
+                                 "unclear": "rest", "rest": "2s", "repeat": "once", "keep": "1min", "keys": ["k"]},
+                                {"name": "f", "order": "latest", "gap": "fail"}])
     first, second = contracts.named("w"), contracts.named("f")
     assert first is not None and second is not None
     assert (first.open, first.gap_after_ms, first.rest_ms, first.ahead, first.keep_ms) == (3, 2, 2_000, 16, 60_000)
@@ -120,11 +120,11 @@
 
 
 def test_reload_reports_changed_contracts() -> None:
-    old = read([STRICT, {"name": "gone", "order": "none", "classes": ["x"]}][::-1])
-    new = read([{"name": "fresh", "order": "latest", "classes": ["y"]}, {**STRICT, "gap": "fail"}])
-    assert changes(old, new) == [
+    old = read_contracts([STRICT, {"name": "gone", "order": "none", "classes": ["x"]}][::-1])
+    new = read_contracts([{"name": "fresh", "order": "latest", "classes": ["y"]}, {**STRICT, "gap": "fail"}])
+    assert describe_changes(old, new) == [
         "contract 'gone' is removed; channels that hold messages of it keep its terms",
         "contract 'orders': gap 'hold' -> 'fail', ahead 16 -> 0; channels that hold messages keep the old terms until "
         "they are empty",
         "contract 'fresh' is added"]
-    assert changes(new, new) == []
+    assert describe_changes(new, new) == []
--- a/wheelstep/channels/book.py
+++ b/wheelstep/channels/book.py
@@ -2,75 +2,75 @@
 stored and how it is restored from a journal, `parts` how parts arrive and leave, `line` the order of one channel.
 
 No I/O: the caller passes the time in milliseconds of a clock of this process only (no point in time is stored). The
-caller writes the marks of `changes` before it acts on what caused them: before the 202, before an outcome is reported,
-before a message is removed from the journal. The cost of a call does not grow with the number of channels.
+caller writes the marks of `changed_marks` before it acts on what caused them: before the 202, before an outcome is
+reported, before a message is removed from the journal. The cost of a call does not grow with the number of channels.
 """
 
 from __future__ import annotations
 
 from wheelstep.channels.contracts import Contracts
-from wheelstep.channels.line import Line
-from wheelstep.channels.parts import Parts
+from wheelstep.channels.line import ChannelQueue
+from wheelstep.channels.parts import ChannelParts
 from wheelstep.channels.position import Position, PositionError
-from wheelstep.channels.shelf import MARK
-from wheelstep.channels.terms import Again, Contract, End, Refuse, Release, Take, Verdict
+from wheelstep.channels.shelf import MARK_PREFIX
+from wheelstep.channels.terms import Accept, Contract, Duplicate, End, Reject, Release, Verdict
 
-__all__ = ["MARK", "Again", "Book", "End", "PositionError", "Refuse", "Release", "Take", "Verdict"]
+__all__ = ["MARK_PREFIX", "Accept", "ChannelTable", "Duplicate", "End", "PositionError", "Reject", "Release", "Verdict"]
 
 
-class Book(Parts):
+class ChannelTable(ChannelParts):
     """The channels of this courier, with admission of their messages."""
 
     def __init__(self, contracts: Contracts, parts: int, max_channels: int, now_ms: int) -> None:
         super().__init__(contracts, parts, max_channels, now_ms)
-        self._last_offer: tuple[str, str, int] | None = None  # channel, message and number of the last `Take`
+        self._last_offer: tuple[str, str, int] | None = None  # channel, message and number of the last `Accept`
         self._last_offer_terms: tuple[Contract, bool, int | None] | None = None  # contract, number assigned, session
 
     # --- admission ---
 
     def offer(self, now_ms: int, contract: Contract, channel: str, message: str, number: int | None,
               session: int | None) -> Verdict:
-        """Return the verdict on a message handed in. After a `Take` the caller either calls `take` in the same turn or
-        does nothing."""
+        """Return the verdict on a message handed in. After an `Accept` the caller either calls `take` in the same turn
+        or does nothing."""
         self._last_offer = None
         queue = self._queues.get(channel)
         position = self._new_position(contract, channel, number) if queue is None else queue.position
         if queue is not None and not position.entries:
             position.terms = contract
         if session is not None and session < position.session:
-            return Refuse("old-session", position.next, position.session)
+            return Reject("old-session", position.next, position.session)
         verdict = self._verdict_for(now_ms, queue, position, message, number)
-        if isinstance(verdict, Take):
+        if isinstance(verdict, Accept):
             self._last_offer = (channel, message, verdict.number)
             self._last_offer_terms = (contract, number is None, session)
-        elif queue is not None and session is not None and isinstance(verdict, Again):
+        elif queue is not None and session is not None and isinstance(verdict, Duplicate):
             position.raise_session(session)
             self._note_change(now_ms, queue, release_due=False)
         return verdict
 
-    def _verdict_for(self, now_ms: int, queue: Line | None, position: Position, message: str,
+    def _verdict_for(self, now_ms: int, queue: ChannelQueue | None, position: Position, message: str,
                      number: int | None) -> Verdict:
         """Return the verdict on a message, without its session."""
         known = self._by_message.get(message)
         if known is not None:
             if known[0] is queue and number in (None, known[1]):
-                return Again(known[1], position.next, None)
-            return Refuse("other-message", position.next, position.session)
+                return Duplicate(known[1], position.next, None)
+            return Reject("other-message", position.next, position.session)
         chosen = position.next_assigned() if number is None else number
         why = "beyond"
         match position.state(chosen):
             case "held":
                 why = "other-message"
             case "ended":
-                name, outcome = position.answer(chosen)
+                name, outcome = position.outcome_of(chosen)
                 if name == message and outcome != "skipped":
-                    return Again(chosen, position.next, outcome)
+                    return Duplicate(chosen, position.next, outcome)
                 why = "skipped" if outcome == "skipped" else "other-message"
             case "free":
                 if not position.full(chosen) and (queue is not None or self._has_room(now_ms)):
-                    return Take(chosen, position.next_after(chosen))
+                    return Accept(chosen, position.next_after(chosen))
                 why = "full"
-        return Refuse(why, position.next, position.session)
+        return Reject(why, position.next, position.session)
 
     def _has_room(self, now_ms: int) -> bool:
         """Return whether another channel may be added."""
@@ -99,7 +99,7 @@
             known[0].withdrawn(known[1])
             self._note_change(now_ms, known[0])
 
-    def said(self, now_ms: int, message: str) -> None:
+    def client_answered(self, now_ms: int, message: str) -> None:
         """Note that the client has received 202: the message may be released."""
         if (known := self._by_message.get(message)) is not None:
             known[0].client_answered(known[1])
@@ -131,7 +131,7 @@
             known[0].ended(now_ms, known[1], outcome, unclear)
             self._note_change(now_ms, known[0])
 
-    def expired(self, now_ms: int, message: str) -> End | None:
+    def expire(self, now_ms: int, message: str) -> End | None:
         """End a message whose deadline has passed. Returns None, and does nothing, if the message is in flight (the
         decision module ends it) or unknown."""
         known = self._by_message.get(message)
--- a/wheelstep/channels/content.py
+++ b/wheelstep/channels/content.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 
 from wheelstep.channels.book import PositionError
-from wheelstep.channels.serving import EPOCH, SENT, Serving
+from wheelstep.channels.serving import EPOCH_MARK, SENT_MARK, ChannelService
 from wheelstep.journal import NoRoomError, StoredMessage, codec
 from wheelstep.moves.types import Piece
 
@@ -25,22 +25,22 @@
     raise ValueError("the piece holds no message of a channel")
 
 
-class ChannelContent(Serving):
+class ChannelContent(ChannelService):
     """A courier's channels and their messages, by part."""
 
     version = 1
 
     def weight(self, part: int) -> int:
         """Return the number of the part's messages and channels."""
-        return len(self._journal.undecided(part)) + len(self._book.channels(part))
+        return len(self._journal.undecided(part)) + len(self._table.channels(part))
 
     def pieces(self, part: int) -> list[Piece]:
         """Return all pieces of a part, and start recording its changes for `changed`."""
         self._journal.flush()
-        self._journal.mark(f"{SENT}{part}", 1)
+        self._journal.mark(f"{SENT_MARK}{part}", 1)
         self._journal.track_changes(part)
-        names = ["c:" + name for name in self._book.channels(part)]
-        names += [_INHERITED_PIECE] if self._book.inherited(part) else []
+        names = ["c:" + name for name in self._table.channels(part)]
+        names += [_INHERITED_PIECE] if self._table.inherited(part) else []
         return [self._piece(name) for name in [*names, *("m:" + m.id for m in self._journal.undecided(part))]]
 
     def changed(self, part: int) -> list[Piece]:
@@ -54,7 +54,7 @@
         if name == _INHERITED_PIECE:
             return Piece(name, b"1")
         if name.startswith("c:"):
-            return Piece(name, self._book.export(key) if self._book.position(key) is not None else b"")
+            return Piece(name, self._table.export(key) if self._table.position(key) is not None else b"")
         message = self._journal.messages.get(key)
         return Piece(name, codec.take(message) if message is not None and message.notice is None else b"")
 
@@ -62,35 +62,35 @@
         """Store the pieces of a part that was handed over in the journal. Idempotent. Raises `NoRoomError`, and
         `ValueError` or `PositionError` for an invalid piece."""
         now_ms = self._now_ms()
-        known = self._journal.marks.get(f"{EPOCH}{part}", 0) >= epoch
-        former = {} if known else {name: self._book.export(name) for name in self._book.channels(part)}
+        known = self._journal.marks.get(f"{EPOCH_MARK}{part}", 0) >= epoch
+        former = {} if known else {name: self._table.export(name) for name in self._table.channels(part)}
         if not known:
-            self._book.drop(part)
+            self._table.drop(part)
         found = list(pieces)
         messages = [read_message(piece.data) for piece in found if piece.name.startswith("m:") and piece.data]
         for message in sorted(messages, key=lambda message: message.seq):
             self._journal.adopt(message)
         for piece in found:
             if piece.name == _INHERITED_PIECE:
-                self._book.inherit(part)
+                self._table.inherit(part)
             elif piece.name.startswith("c:") and piece.data:
                 name = piece.name[2:]
-                self._book.adopt(now_ms, name, piece.data, self._book.contracts.named(name.partition("/")[0]))
+                self._table.adopt(now_ms, name, piece.data, self._table.contracts.named(name.partition("/")[0]))
         for message in messages:
-            if message.may_have_run() is not None and self._book.holds(message.id):
-                self._book.attempt_unclear(now_ms, message.id)
+            if message.may_have_run() is not None and self._table.holds(message.id):
+                self._table.attempt_unclear(now_ms, message.id)
         for name, data in former.items():  # also of channels unknown to the giver, which had inherited the part
-            self._book.learn(now_ms, name, data)
+            self._table.merge_former(now_ms, name, data)
         self._journal.flush()
         self._reconcile(part)
-        self._journal.mark(f"{EPOCH}{part}", epoch)
+        self._journal.mark(f"{EPOCH_MARK}{part}", epoch)
         log.info("part %d was handed over: %d messages, %d channels", part, len(messages), len(found) - len(messages))
 
     def drop(self, part: int) -> None:
         """Drop the part without reporting outcomes: another courier owes them now."""
         self._served.pop(part, None)
         self._journal.stop_tracking(part)
-        self._book.drop(part)
+        self._table.drop(part)
         for message in self._journal.undecided(part):
             self._core.set_aside(message.id)
             if self._journal.has_open_call(message.id) or self._core.endpoint_client.carries(message.id):
@@ -101,7 +101,7 @@
     def orphans(self, part: int) -> list[Piece]:
         """Return what is stored here of a part that another courier owns: positions, then messages, then outcomes of
         calls that ended after the part had left."""
-        pieces = [self._piece("c:" + name) for name in self._book.channels(part)]
+        pieces = [self._piece("c:" + name) for name in self._table.channels(part)]
         pieces += [self._piece("m:" + m.id) for m in self._journal.undecided(part)
                    if not self._journal.has_open_call(m.id)]
         return pieces + [Piece("o:" + name, how.encode()) for name, how in self._late_outcomes.get(part, {}).items()]
@@ -119,7 +119,7 @@
             elif kind == "m:":
                 self.end_here(key)
         if not self._journal.undecided(part):
-            self._book.drop(part)
+            self._table.drop(part)
             self._journal.flush()
 
     def late(self, part: int, message: str, outcome: str, piece: bytes) -> bool:
@@ -128,7 +128,7 @@
         now_ms, kind, key = self._now_ms(), message[:2], message[2:]
         try:
             if kind == "c:":
-                self._book.learn(now_ms, key, piece)
+                self._table.merge_former(now_ms, key, piece)
             elif kind == "o:":
                 if outcome == "delivered" and (held := self._journal.messages.get(key)) is not None \
                         and held.notice is None:
@@ -150,12 +150,12 @@
             return True
         if self._journal.part_of(message) != part or self.served_epoch(part) is None:
             return False
-        if not self._book.found(now_ms, message.channel, message.number, message.id):
+        if not self._table.accept_found(now_ms, message.channel, message.number, message.id):
             return False
         self._journal.flush()
         self._journal.adopt(message)
         if message.may_have_run() is not None:
-            self._book.attempt_unclear(now_ms, message.id)
+            self._table.attempt_unclear(now_ms, message.id)
         return True
 
     def owed(self) -> int:
--- a/wheelstep/channels/contracts.py
+++ b/wheelstep/channels/contracts.py
@@ -169,7 +169,7 @@
 _Row = tuple[Contract, frozenset[int], "re.Pattern[str] | None", "re.Pattern[str] | None"]
 
 
-def read(tables: Any) -> Contracts:
+def read_contracts(tables: Any) -> Contracts:
     """Return the contracts of a file's `contract` tables (a list of dicts). Raises `ContractError`."""
     try:
         return Contracts(_ContractFile.model_validate({"contract": tables}).contract)
@@ -177,7 +177,7 @@
         raise ContractError(describe_error(error, _DOCUMENTATION)) from error
 
 
-def changes(old: Contracts, new: Contracts) -> list[str]:
+def describe_changes(old: Contracts, new: Contracts) -> list[str]:
     """Describe what a reload changes, one line for each contract. A channel that holds messages keeps the terms under
     which they were taken: terms are stored with the channel, also across restarts and moves."""
     lines = []
--- a/wheelstep/channels/front.py
+++ b/wheelstep/channels/front.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from wheelstep.channels.book import Again, Book, Refuse
+from wheelstep.channels.book import ChannelTable, Duplicate, Reject
 from wheelstep.channels.contracts import Contracts, channel_name, part_of
-from wheelstep.channels.kept import Kept
+from wheelstep.channels.kept import ChannelJournal
 from wheelstep.channels.position import PositionError, read_number
-from wheelstep.channels.serving import Serving
+from wheelstep.channels.serving import ChannelService
 from wheelstep.courier.admission import BadRequestError, Connection, RefusedError
 from wheelstep.courier.core import Core
 from wheelstep.courier.endpoint_client import Item
@@ -28,20 +28,20 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class ChannelFront:
+class ChannelClientApi:
     """Implements `courier.admission.ClientApi`. `owner` returns the client address of a part's owner ("" if unknown)
     and the delay before a retry in seconds."""
 
-    def __init__(self, classes: Mapping[str, bool], book: Book, serving: Serving, parts: int,
+    def __init__(self, classes: Mapping[str, bool], table: ChannelTable, service: ChannelService, parts: int,
                  now_ms: Callable[[], int], owner: Callable[[int], tuple[str, float]]) -> None:
-        self._classes, self._book, self._serving, self._parts = classes, book, serving, parts
+        self._classes, self._table, self._service, self._parts = classes, table, service, parts
         self._now_ms, self._owner = now_ms, owner
         self._last_next: tuple[str, int] = ("", 0)  # last message offered, and the next number after it
 
     @property
     def contracts(self) -> Contracts:
         """The contracts in force."""
-        return self._book.contracts
+        return self._table.contracts
 
     def message(self, request: Request) -> StoredMessage:
         """Return the message that a request hands in. Raises `BadRequestError` and `RefusedError`."""
@@ -55,17 +55,17 @@
             return message
         channel = channel_name(contract, message.destination, key)
         self._require_served(part_of(channel, self._parts))
-        verdict = self._book.offer(self._now_ms(), contract, channel, message.id, number, session)
+        verdict = self._table.offer(self._now_ms(), contract, channel, message.id, number, session)
         match verdict:
-            case Again(taken, following, None):
+            case Duplicate(taken, following, None):
                 raise RefusedError(202, "", (("X-Channel-Number", str(taken)), ("X-Channel-Next", str(following))))
-            case Again(taken, following, outcome):
+            case Duplicate(taken, following, outcome):
                 raise RefusedError(200, _json_line(message=message.id, number=taken, outcome=outcome),
                                    (_JSON_HEADER, ("X-Channel-Next", str(following))))
-            case Refuse("full", following, _):
+            case Reject("full", following, _):
                 raise RefusedError(503, "the channel holds all it can\n",
                                    (("Retry-After", "1"), ("X-Channel-Next", str(following))))
-            case Refuse(why, following, epoch):
+            case Reject(why, following, epoch):
                 raise RefusedError(409, _json_line(refused=why, channel=channel, number=number, next=following,
                                                    epoch=epoch),
                                    (_JSON_HEADER, ("X-Channel-Next", str(following))))
@@ -77,7 +77,7 @@
         """Return the headers of the 202: the message's number and the next one expected. Empty without a channel."""
         if message.channel is None:
             return ()
-        position = self._book.position(message.channel)
+        position = self._table.position(message.channel)
         following = position.next if position is not None else self._last_next[1]
         return (("X-Channel-Number", str(message.number)), ("X-Channel-Next", str(following)))
 
@@ -94,8 +94,8 @@
             raise RefusedError(404, "no such channel; expected CONTRACT/DESTINATION/KEY of a declared contract\n")
         part = part_of(channel, self._parts)
         epoch = self._require_served(part)
-        position = self._book.position(channel)
-        if position.stale if position is not None else self._book.inherited(part):
+        position = self._table.position(channel)
+        if position.stale if position is not None else self._table.inherited(part):
             raise RefusedError(503, "only a courier that is gone knows this position\n", (("Retry-After", "1"),))
         row: dict[str, Any] = {"channel": channel, "part": part, "part_epoch": epoch, "known": position is not None}
         row |= {"next": 1, "epoch": 0, "held": []} if position is None else {
@@ -118,7 +118,7 @@
     def _require_served(self, part: int) -> int:
         """Return the epoch under which this courier serves the part. Raises `RefusedError`, with the owner's address if
         known."""
-        if (epoch := self._serving.served_epoch(part)) is not None:
+        if (epoch := self._service.served_epoch(part)) is not None:
             return epoch
         owner, retry_s = self._owner(part)
         where = (("X-Channel-Owner", owner),) if owner else ()
@@ -126,16 +126,16 @@
                            (("Retry-After", f"{retry_s:.2f}"), *where))
 
 
-class ChannelDesk:
+class ChannelAdmission:
     """Implements `courier.admission.Admission`: an accepted message goes to the decision module when its contract
     allows it."""
 
-    def __init__(self, core: Core, journal: Kept, serving: Serving, now_ms: Callable[[], int],
+    def __init__(self, core: Core, journal: ChannelJournal, service: ChannelService, now_ms: Callable[[], int],
                  wall_ms: Callable[[], int]) -> None:
-        self._core, self._journal, self._serving, self._now_ms, self._wall_ms = core, journal, serving, now_ms, wall_ms
+        self._core, self._journal, self._service, self._now_ms, self._wall_ms = core, journal, service, now_ms, wall_ms
         self._deadlines: list[tuple[int, str]] = []  # heap of (Unix time, message): when to end it unless released
         self._timer: asyncio.TimerHandle | None = None
-        journal.on_change, journal.on_message = self.wake, self.expect
+        journal.on_change, journal.on_message = self.wake, self.watch_deadline
 
     @property
     def ready(self) -> bool:
@@ -182,12 +182,12 @@
                 self._core.begin(name)
             return  # handed over with its part in the meantime: another courier owes it
         self._core.client_answered(name)
-        self._journal.book.said(self._now_ms(), name)
+        self._journal.table.client_answered(self._now_ms(), name)
         self.wake()
 
     def withdraw(self, name: str) -> None:
         """Forget a message whose client was not told that it is accepted."""
-        self._journal.book.withdraw(self._now_ms(), name)
+        self._journal.table.withdraw(self._now_ms(), name)
         self._journal.flush()
         self._core.withdraw(name)
         self.wake()
@@ -198,7 +198,7 @@
 
     # --- waiting messages ---
 
-    def expect(self, message: StoredMessage) -> None:
+    def watch_deadline(self, message: StoredMessage) -> None:
         """Watch the deadline of a message, which may pass before the message is released."""
         heapq.heappush(self._deadlines, (message.deadline_ms - _EXPIRY_MARGIN_MS, message.id))
         self.wake()
@@ -221,22 +221,23 @@
         self._timer = None
         wall_ms = self._wall_ms()
         while self._deadlines and self._deadlines[0][0] <= wall_ms:
-            self._serving.expire(heapq.heappop(self._deadlines)[1])
-        self._serving.dispatch_due()
+            self._service.expire(heapq.heappop(self._deadlines)[1])
+        self._service.dispatch_due()
         delays_ms = [self._deadlines[0][0] - wall_ms] if self._deadlines else []
-        if (next_ms := self._journal.book.next_ms()) is not None:
+        if (next_ms := self._journal.table.next_ms()) is not None:
             delays_ms.append(next_ms - self._now_ms())
         if delays_ms:
             self._set_timer(max(min(delays_ms), 1) / 1e3)
 
 
-def signed(journal: Kept, serving: Serving) -> Callable[[str, Item], Sequence[tuple[str, str]]]:
+def channel_headers(journal: ChannelJournal,
+                    service: ChannelService) -> Callable[[str, Item], Sequence[tuple[str, str]]]:
     """Return a function that gives the headers of a call to an endpoint: channel, number, and the epoch of its part."""
     def headers(_: str, item: Item) -> Headers:
         message = journal.messages.get(item.message)
         if message is None or message.channel is None:
             return ()
-        epoch = serving.served_epoch(journal.part_of(message))
+        epoch = service.served_epoch(journal.part_of(message))
         return (("X-Channel", message.channel), ("X-Channel-Number", str(message.number)),
                 ("X-Channel-Epoch", str(epoch or 0)))
     return headers
--- a/wheelstep/channels/kept.py
+++ b/wheelstep/channels/kept.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wheelstep.channels.book import Book
+from wheelstep.channels.book import ChannelTable
 from wheelstep.channels.contracts import part_of
 from wheelstep.courier.ports import JournalPort as Journal
 from wheelstep.journal import NoRoomError, StoredMessage
@@ -15,11 +15,11 @@
 _OUTCOMES = {"delivered": "delivered", "handed_back": "refused", "given_up": "failed"}
 
 
-class Kept:
+class ChannelJournal:
     """Implements `courier.ports.JournalPort`. `on_unclear` is called for a message that may have run and continues."""
 
-    def __init__(self, journal: Journal, book: Book, parts: int, now_ms: Callable[[], int]) -> None:
-        self.journal, self.book, self._parts, self._now_ms = journal, book, parts, now_ms
+    def __init__(self, journal: Journal, table: ChannelTable, parts: int, now_ms: Callable[[], int]) -> None:
+        self.journal, self.table, self._parts, self._now_ms = journal, table, parts, now_ms
         self._by_part: dict[int, dict[str, None]] = {}  # part -> its messages, including those with a notification owed
         self._changed_pieces: dict[int, dict[str, None]] = {}  # part that is being copied -> changed pieces
         self._open_attempts: dict[str, set[int]] = {}  # message -> attempts of this process without an outcome
@@ -59,12 +59,12 @@
         if message.channel is None:
             self.journal.take(message)
             return
-        self.book.take(self._now_ms(), message.channel, message.id, message.number)
+        self.table.take(self._now_ms(), message.channel, message.id, message.number)
         self.flush()
         try:
             self.adopt(message)
         except NoRoomError:
-            self.book.withdraw(self._now_ms(), message.id)
+            self.table.withdraw(self._now_ms(), message.id)
             self.flush()
             raise
 
@@ -77,7 +77,7 @@
     def outcome(self, message: str, number: int, may_have_run: bool) -> None:
         """Write the outcome of an attempt whose message continues."""
         if may_have_run and self._note_change(message):
-            self.book.attempt_unclear(self._now_ms(), message)
+            self.table.attempt_unclear(self._now_ms(), message)
             self.flush()
         self.journal.outcome(message, number, may_have_run)
         if self._note_change(message):
@@ -93,7 +93,7 @@
             if outcome == "handed_back" and may_have_run:
                 outcome, retry_ms = "given_up", 0
             unclear = outcome == "given_up" and may_have_run
-            self.book.ended(self._now_ms(), message, _OUTCOMES[outcome], unclear)
+            self.table.ended(self._now_ms(), message, _OUTCOMES[outcome], unclear)
             self.flush()
             self._open_attempts.pop(message, None)
             self._note_change(message)
@@ -105,7 +105,7 @@
         held = self.messages.get(message)
         if held is not None and held.channel is not None:
             if held.notice is None:
-                self.book.ended(self._now_ms(), message, "delivered", False)
+                self.table.ended(self._now_ms(), message, "delivered", False)
                 self.flush()
             self.forget(message)
             self.on_change()
@@ -163,7 +163,7 @@
 
     def flush(self) -> None:
         """Write the positions that have changed."""
-        for mark, value in self.book.changes():
+        for mark, value in self.table.changed_marks():
             self.journal.mark(mark, value)
             name = mark[2:]
             part = part_of(name, self._parts)
--- a/wheelstep/channels/line.py
+++ b/wheelstep/channels/line.py
@@ -14,7 +14,7 @@
 from wheelstep.channels.terms import End, Release
 
 
-class Line:
+class ChannelQueue:
     """The messages of one channel, by number. A message is confirmed once its client has received 202, or if it comes
     from a journal or another courier; earlier it is not released."""
 
@@ -132,7 +132,7 @@
             heapq.heappop(self._waiting)
             released.append(self._release_one(number))
         position = self.position
-        if position.taken_above and self._in_the_way(now_ms, position.first_missing(max(position.taken_above))):
+        if position.taken_above and self._may_skip_gap(now_ms, position.first_missing(max(position.taken_above))):
             position.skip(max(position.taken_above))  # else numbers that never come would block the channel forever
         if not position.taken_above:
             self._gap = 0
@@ -147,7 +147,7 @@
             if self._unconfirmed and min(self._unconfirmed) < number:
                 break
             if (gap := position.first_missing(number)) is not None:
-                if not self._in_the_way(now_ms, gap):
+                if not self._may_skip_gap(now_ms, gap):
                     return released
                 position.skip(number)
             heapq.heappop(self._waiting)
@@ -155,8 +155,8 @@
         self._gap = 0  # a gap's time counts only while nothing else blocks
         return released
 
-    def _in_the_way(self, now_ms: int, gap: int | None) -> bool:
-        """Return whether this gap may be skipped now; starts the time of a gap that was not the first one before."""
+    def _may_skip_gap(self, now_ms: int, gap: int | None) -> bool:
+        """Return whether this gap may be skipped now. A gap that was not the first one before starts its time here."""
         terms = self.position.terms
         if gap is None or terms.gap == "hold":
             return False
@@ -194,7 +194,7 @@
         gap_dues = [self._gap_until_ms] if self._gap and self.position.terms.gap == "skip" else []
         return min(rest_dues + gap_dues, default=None)
 
-    def carry_over_in_flight(self, earlier: Line) -> None:
+    def carry_over_in_flight(self, earlier: ChannelQueue) -> None:
         """Keep in flight what is in flight in an earlier state of this channel."""
         for number in earlier.in_flight:
             entry, before = self.position.entries.get(number), earlier.position.entries[number]
--- a/wheelstep/channels/parts.py
+++ b/wheelstep/channels/parts.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from wheelstep.channels.position import Position, PositionError
-from wheelstep.channels.shelf import INHERITED, Shelf
+from wheelstep.channels.shelf import INHERITED, ChannelStore
 from wheelstep.channels.stored import from_data
 from wheelstep.channels.terms import Contract
 
 
-class Parts(Shelf):
+class ChannelParts(ChannelStore):
     """The channels of this courier, by part."""
 
     def channels(self, part: int) -> list[str]:
@@ -27,7 +27,7 @@
         self._shut.discard(part)
         self._release_due |= self._by_part.get(part, {})
 
-    def out(self, part: int) -> list[str]:
+    def in_flight(self, part: int) -> list[str]:
         """Return the part's messages that are in flight, in order within each channel."""
         queues = [self._queues[name] for name in self._by_part.get(part, ())]
         return [queue.position.entries[number].message for queue in queues for number in sorted(queue.in_flight)]
@@ -71,7 +71,8 @@
     def inherit(self, part: int) -> None:
         """Note that the part's owner is gone, together with positions that are only on its disk. A channel not known
         here then starts at the number that its client uses. Where the contract holds at gaps, the numbers right before
-        it are lost: they block the channel until the former owner sends its messages (`learn`, `found`)."""
+        it are lost: they block the channel until the former owner sends its messages (see `merge_former` and
+        `accept_found`)."""
         self._inherited.add(part)
         self._changed_names[INHERITED] = None
 
@@ -79,8 +80,8 @@
         """Return whether a former owner has positions of the part that are missing here."""
         return part in self._inherited
 
-    def learn(self, now_ms: int, channel: str, data: bytes) -> None:
-        """Merge the position of a former owner that has returned; it then sends its messages, for `found`. Raises
+    def merge_former(self, now_ms: int, channel: str, data: bytes) -> None:
+        """Merge the position of a former owner that has returned; its messages follow, for `accept_found`. Raises
         `PositionError`."""
         former = _decode(data)
         queue = self._queues.get(channel)
@@ -98,7 +99,7 @@
             self._changed_names[channel] = None
         self._note_change(now_ms, queue)
 
-    def found(self, now_ms: int, channel: str, number: int, message: str) -> bool:
+    def accept_found(self, now_ms: int, channel: str, number: int, message: str) -> bool:
         """Handle a message that a former owner has found on its disk. Returns True if it is accepted: its number is
         still missing and the contract holds at gaps. False: it must never run here."""
         queue = self._queues.get(channel)
--- a/wheelstep/channels/position.py
+++ b/wheelstep/channels/position.py
@@ -87,7 +87,7 @@
         within_ahead = self.stale or number - self.next <= self.terms.ahead
         return "free" if 1 <= number <= MAX_NUMBER and within_ahead else "beyond"
 
-    def answer(self, number: int) -> tuple[str, str]:
+    def outcome_of(self, number: int) -> tuple[str, str]:
         """Return message and outcome of an ended number. Raises `KeyError` if no outcome is recorded."""
         message, code = self.outcomes[number]
         return message, OUTCOMES[code]
--- a/wheelstep/channels/serving.py
+++ b/wheelstep/channels/serving.py
@@ -7,26 +7,26 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from wheelstep.channels.book import Book, End, Release
-from wheelstep.channels.kept import Kept
+from wheelstep.channels.book import ChannelTable, End, Release
+from wheelstep.channels.kept import ChannelJournal
 from wheelstep.courier.core import Core
 from wheelstep.courier.endpoint_client import Item, Result
 from wheelstep.interface import NEVER_EXECUTED, Outcome
 from wheelstep.journal import StoredMessage
 
-EPOCH = ":e"  # prefix of a part's mark: the last epoch under which the part was served or adopted here
-SENT = ":s"  # prefix of a part's mark: its pieces have been sent to another courier since
+EPOCH_MARK = ":e"  # prefix of a part's mark: the last epoch under which the part was served or adopted here
+SENT_MARK = ":s"  # prefix of a part's mark: its pieces have been sent to another courier since
 _MAX_LATE_OUTCOMES = 1_000  # recorded outcomes of calls that ended after their part had left
 
 log = logging.getLogger(__name__)
 
 
-class Serving:
+class ChannelService:
     """Connects the channels with the core. `epoch` returns the epoch under which a part may be served right now, or
     None."""
 
-    def __init__(self, core: Core, journal: Kept, book: Book, now_ms: Callable[[], int]) -> None:
-        self._core, self._journal, self._book, self._now_ms = core, journal, book, now_ms
+    def __init__(self, core: Core, journal: ChannelJournal, table: ChannelTable, now_ms: Callable[[], int]) -> None:
+        self._core, self._journal, self._table, self._now_ms = core, journal, table, now_ms
         self.epoch: Callable[[int], int | None] = lambda part: None
         self._served: dict[int, int] = {}  # part -> epoch
         self._late_outcomes: dict[int, dict[str, str]] = {}  # part -> outcomes while it was shut, for its next owner
@@ -46,11 +46,11 @@
         if message is None or message.channel is None:
             return True
         return self.served_epoch(self._journal.part_of(message)) is not None \
-            and self._book.may_send(self._now_ms(), name)
+            and self._table.may_send(self._now_ms(), name)
 
     def dispatch_due(self) -> None:
         """Pass the messages that are due to the decision module, and finish those that end here."""
-        for released in self._book.release(self._now_ms()):
+        for released in self._table.release(self._now_ms()):
             match released:
                 case Release(name):
                     self._resume(name)
@@ -63,12 +63,12 @@
         message = self._journal.messages.get(name)
         if message is None or message.notice is not None or message.channel is None:
             return
-        if self._book.holds(name) and (end := self._book.expired(self._now_ms(), name)) is not None:
+        if self._table.holds(name) and (end := self._table.expire(self._now_ms(), name)) is not None:
             self._journal.flush()
             self._core.finish(name, "handed_back" if end.how == "refused" else "given_up")
             self.dispatch_due()
         elif self.served_epoch(self._journal.part_of(message)) is None and not self._journal.has_open_call(name) \
-                and f"{SENT}{self._journal.part_of(message)}" not in self._journal.marks:
+                and f"{SENT_MARK}{self._journal.part_of(message)}" not in self._journal.marks:
             # The lease is lost, and no other courier can know the message: its end is owed here. Once its pieces were
             # sent to another courier, that one may end it: the owner is asked first (`orphans`), as otherwise two ends
             # could be reported.
@@ -94,12 +94,12 @@
                 self._note_late(part, item.message)
             return
         self._journal.late_outcome(item.message, item.attempt, result.outcome not in NEVER_EXECUTED)
-        if part in self._served and item.message in self._book.out(part):
+        if part in self._served and item.message in self._table.in_flight(part):
             self._resume(item.message)
 
     def _on_unclear(self, name: str) -> None:
         """Give up a message that may have run, if its contract forbids another attempt."""
-        if not self._book.may_repeat(name):
+        if not self._table.may_repeat(name):
             self._core.finish(name, "given_up")
 
     def under_way(self, part: int) -> int:
@@ -110,7 +110,7 @@
         """Accept no message and begin no attempt for the part until `open`. Its messages are taken from the decision
         module and remain stored."""
         self._served.pop(part, None)
-        self._book.shut(part)
+        self._table.shut(part)
         for message in self._journal.undecided(part):
             self._core.set_aside(message.id)
 
@@ -121,28 +121,28 @@
 
     def open(self, part: int, epoch: int, first: int = 0) -> None:
         """Serve the part under this epoch. No other courier can have owned it since `first` (0: since this epoch)."""
-        last = self._journal.marks.get(f"{EPOCH}{part}", 0)
+        last = self._journal.marks.get(f"{EPOCH_MARK}{part}", 0)
         if last + 1 < min(first or epoch, epoch):
             self._inherit(part)
-        self._journal.mark(f"{EPOCH}{part}", epoch)
-        self._journal.mark(f"{SENT}{part}", None)
+        self._journal.mark(f"{EPOCH_MARK}{part}", epoch)
+        self._journal.mark(f"{SENT_MARK}{part}", None)
         self._late_outcomes.pop(part, None)
         self._journal.stop_tracking(part)
         self._served[part] = epoch
-        self._book.open(part)
+        self._table.open(part)
         log.info("part %d is served under epoch %d, %d messages", part, epoch, len(self._journal.undecided(part)))
-        for name in self._book.out(part):
+        for name in self._table.in_flight(part):
             self._resume(name)
         self.dispatch_due()
 
     def _inherit(self, part: int) -> None:
         """Treat what is stored of the part as a former owner's: another courier owned it last and did not hand it
         over."""
-        former = {name: self._book.export(name) for name in self._book.channels(part)}
-        self._book.drop(part)
-        self._book.inherit(part)
+        former = {name: self._table.export(name) for name in self._table.channels(part)}
+        self._table.drop(part)
+        self._table.inherit(part)
         for name, data in former.items():
-            self._book.learn(self._now_ms(), name, data)
+            self._table.merge_former(self._now_ms(), name, data)
         self._reconcile(part)
 
     def _reconcile(self, part: int) -> None:
@@ -151,17 +151,17 @@
         for message in self._journal.undecided(part):
             if self.has_ended_here(message):
                 self._journal.forget(message.id)
-            elif not self._book.holds(message.id) and not self._journal.has_open_call(message.id):
+            elif not self._table.holds(message.id) and not self._journal.has_open_call(message.id):
                 assert message.channel is not None
-                if not self._book.found(self._now_ms(), message.channel, message.number, message.id):
+                if not self._table.accept_found(self._now_ms(), message.channel, message.number, message.id):
                     self.end_here(message.id)
         self._journal.flush()
 
     def has_ended_here(self, message: StoredMessage) -> bool:
         """Return whether the message has ended according to its position here: then nothing more is owed of it."""
-        position = self._book.position(message.channel or "")
+        position = self._table.position(message.channel or "")
         return (position is not None and position.state(message.number) == "ended"
-                and position.answer(message.number)[0] == message.id)
+                and position.outcome_of(message.number)[0] == message.id)
 
     def end_here(self, name: str) -> None:
         """End a message that was found on this disk. It is handed back only if it certainly never ran: neither here nor
@@ -169,7 +169,7 @@
         message = self._journal.messages.get(name)
         if message is not None:
             never_ran = message.may_have_run() is None \
-                and f"{SENT}{self._journal.part_of(message)}" not in self._journal.marks
+                and f"{SENT_MARK}{self._journal.part_of(message)}" not in self._journal.marks
             self._core.finish(name, "handed_back" if never_ran else "given_up")
 
     def restore(self, marks: Mapping[str, Any]) -> list[StoredMessage]:
@@ -177,8 +177,8 @@
         with at once; those of channels wait until their part is served."""
         messages = self._journal.messages
         owed = {m.id: m.may_have_run() is not None for m in messages.values() if m.channel is not None}
-        ended = self._book.restore(self._now_ms(), marks, owed)
-        for line in self._book.unreadable:
+        ended = self._table.restore(self._now_ms(), marks, owed)
+        for line in self._table.unreadable:
             log.error("%s", line)
         self._journal.flush()
         for end in ended:  # stored in its position, but the journal was cut off before the message's own record
--- a/wheelstep/channels/shelf.py
+++ b/wheelstep/channels/shelf.py
@@ -9,30 +9,30 @@
 from typing import Any
 
 from wheelstep.channels.contracts import Contracts, part_of
-from wheelstep.channels.line import Line
+from wheelstep.channels.line import ChannelQueue
 from wheelstep.channels.position import MAX_NUMBER, Position, PositionError
 from wheelstep.channels.stored import from_data
 from wheelstep.channels.terms import Contract, End
 
-MARK = ":c"  # prefix of the mark that holds a channel's position
+MARK_PREFIX = ":c"  # prefix of the mark that holds a channel's position
 INHERITED = " inherited"  # stands for a channel's name, which never starts with a space
 _END_OUTCOMES = {"delivered": "delivered", "failed": "failed"}  # with any other, the message never ran: "refused"
 
 
-class Shelf:
+class ChannelStore:
     """The channels of this courier."""
 
     def __init__(self, contracts: Contracts, parts: int, max_channels: int, now_ms: int) -> None:
         self.contracts = contracts  # replaced by a reload; channels that hold messages keep their terms
         self._parts, self._max_channels, self._began_ms = parts, max_channels, now_ms
-        self._queues: dict[str, Line] = {}
+        self._queues: dict[str, ChannelQueue] = {}
         self._by_part: dict[int, dict[str, None]] = {}
-        self._by_message: dict[str, tuple[Line, int]] = {}
+        self._by_message: dict[str, tuple[ChannelQueue, int]] = {}
         self._shut: set[int] = set()
         self._inherited: set[int] = set()  # parts of which a former owner has positions that are missing here
         self._release_due: dict[str, None] = {}  # names of channels that `release` has to visit
-        self._timers: list[tuple[int, int, Line]] = []  # heap; entries may be obsolete
-        self._expiries: list[tuple[int, int, Line]] = []  # heap: when to check whether a channel can be forgotten
+        self._timers: list[tuple[int, int, ChannelQueue]] = []  # heap; entries may be obsolete
+        self._expiries: list[tuple[int, int, ChannelQueue]] = []  # heap: when a channel may be forgotten
         self._serials = count()
         self._changed_names: dict[str, None] = {}
         self.unreadable: list[str] = []  # a line for each mark that `restore` could not use
@@ -40,9 +40,9 @@
     def __len__(self) -> int:
         return len(self._queues)
 
-    def _add(self, now_ms: int, name: str, position: Position) -> Line:
+    def _add(self, now_ms: int, name: str, position: Position) -> ChannelQueue:
         """Add a channel with this position and the messages held in it."""
-        queue = Line(name, part_of(name, self._parts), position, now_ms)
+        queue = ChannelQueue(name, part_of(name, self._parts), position, now_ms)
         self._queues[name] = queue
         self._by_part.setdefault(queue.part, {})[name] = None
         heapq.heappush(self._expiries, (now_ms + position.terms.keep_ms, next(self._serials), queue))
@@ -57,7 +57,7 @@
             or part_of(channel, self._parts) not in self._inherited
         return Position(terms, 1 if at_one or number is None else number)
 
-    def _forget(self, queue: Line) -> None:
+    def _forget(self, queue: ChannelQueue) -> None:
         """Remove a channel and its messages; its mark will be removed too."""
         del self._queues[queue.name]
         names = self._by_part[queue.part]
@@ -69,7 +69,7 @@
         self._release_due.pop(queue.name, None)
         self._changed_names[queue.name] = None
 
-    def _note_change(self, now_ms: int, queue: Line, release_due: bool = True) -> None:
+    def _note_change(self, now_ms: int, queue: ChannelQueue, release_due: bool = True) -> None:
         """Record that a channel may have changed: its mark if the position did, its timer, and with `release_due` that
         `release` has to visit it."""
         if queue.noted_revision != queue.position.revision:
@@ -109,10 +109,10 @@
 
     # --- the journal ---
 
-    def changes(self) -> list[tuple[str, Any | None]]:
+    def changed_marks(self) -> list[tuple[str, Any | None]]:
         """Return the marks that changed since the last call; None as the value removes a mark."""
         dirty, self._changed_names = self._changed_names, {}
-        return [(MARK + name, self._mark_value(name)) for name in dirty]
+        return [(MARK_PREFIX + name, self._mark_value(name)) for name in dirty]
 
     def _mark_value(self, name: str) -> Any | None:
         """Return the value of a mark, or None if it is to be removed."""
@@ -131,9 +131,9 @@
         """
         ended: dict[str, str] = {}
         for mark, value in marks.items():
-            if not mark.startswith(MARK):
+            if not mark.startswith(MARK_PREFIX):
                 continue
-            name = mark.removeprefix(MARK)
+            name = mark.removeprefix(MARK_PREFIX)
             if name == INHERITED:
                 self._inherited.update(value)
                 continue
--- a/wheelstep/channels/terms.py
+++ b/wheelstep/channels/terms.py
@@ -30,14 +30,14 @@
     keep_ms: _Ms = 3_600_000
 
 
-class Take(msgspec.Struct, frozen=True):
+class Accept(msgspec.Struct, frozen=True):
     """The message may be taken under this number; `next` is the next expected number after that."""
 
     number: int
     next: int
 
 
-class Again(msgspec.Struct, frozen=True):
+class Duplicate(msgspec.Struct, frozen=True):
     """The message was taken under this number before. `outcome` is None while its end is owed, else "delivered",
     "refused", "failed" or "replaced"."""
 
@@ -46,7 +46,7 @@
     outcome: str | None
 
 
-class Refuse(msgspec.Struct, frozen=True):
+class Reject(msgspec.Struct, frozen=True):
     """The message is not taken.
 
     `why`: "beyond" (the number is too far ahead, or so old that its outcome is no longer recorded), "old-session" (a
@@ -59,7 +59,7 @@
     session: int
 
 
-Verdict = Take | Again | Refuse
+Verdict = Accept | Duplicate | Reject
 
 
 class Release(msgspec.Struct, frozen=True):
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Coroutine, Sequence
 from concurrent.futures import ThreadPoolExecutor
 
-from wheelstep.channels.book import Book
+from wheelstep.channels.book import ChannelTable
 from wheelstep.channels.content import ChannelContent
-from wheelstep.channels.contracts import changes
-from wheelstep.channels.front import ChannelDesk, ChannelFront, signed
-from wheelstep.channels.kept import Kept
+from wheelstep.channels.contracts import describe_changes
+from wheelstep.channels.front import ChannelAdmission, ChannelClientApi, channel_headers
+from wheelstep.channels.kept import ChannelJournal
 from wheelstep.courier.admission import Admission, ClientApi
 from wheelstep.courier.config import Address, Config, ConfigError
 from wheelstep.courier.core import Core
@@ -44,8 +44,8 @@
 
     def __init__(self, config: Config, fleet: Fleet, journal: Journal) -> None:
         self.config, self._fleet, self._part = config, fleet, fleet.part
-        self.book = Book(fleet.contracts, fleet.part.parts, fleet.part.most_channels, now_ms())
-        self.kept = Kept(journal, self.book, fleet.part.parts, now_ms)
+        self.channel_table = ChannelTable(fleet.contracts, fleet.part.parts, fleet.part.most_channels, now_ms())
+        self.kept = ChannelJournal(journal, self.channel_table, fleet.part.parts, now_ms)
         self._disk = Folder(config.state / "fleet")
         (config.state / "fleet").mkdir(parents=True, exist_ok=True)
         self._log, self._records = self._open_log()
@@ -72,7 +72,7 @@
         """Create what needs the core, and return the interfaces for the client server."""
         part, config = self._part, self.config
         self._core = core
-        self.content = ChannelContent(core, self.kept, self.book, now_ms)
+        self.content = ChannelContent(core, self.kept, self.channel_table, now_ms)
         listen = Address.parse(part.listen or "")
         me = Member(config.name, self._log.boot, State.ALIVE, part.address or f"{listen.host}:{listen.port}",
                     part.serves or f"{config.listen.host}:{config.listen.port}", part.weight, part.zone)
@@ -82,17 +82,17 @@
         self._records = ()
         self.content.epoch = lambda number: self.node.epoch(number, now_us())
         self.peers = Peers(self._fleet.keys, part.name, config.name, self._log.boot, now_us, self._heard, self._asked)
-        self.desk = ChannelDesk(core, self.kept, self.content, now_ms, lambda: int(time.time() * 1000))
-        front = ChannelFront(core.ordered, self.book, self.content, part.parts, now_ms, self._owner)
-        core.endpoint_client.sign = signed(self.kept, self.content)
-        return self.desk, front, None
+        self.admission = ChannelAdmission(core, self.kept, self.content, now_ms, lambda: int(time.time() * 1000))
+        front = ChannelClientApi(core.ordered, self.channel_table, self.content, part.parts, now_ms, self._owner)
+        core.endpoint_client.sign = channel_headers(self.kept, self.content)
+        return self.admission, front, None
 
     def restore(self) -> None:
         """Restore the journal's state. Channel messages wait until this courier owns their part again."""
         self._core.restore(self.kept.marks, self.content.restore(self.kept.marks))
         for message in self.kept.messages.values():
             if message.channel is not None and message.notice is None:
-                self.desk.expect(message)
+                self.admission.watch_deadline(message)
 
     def _owner(self, part: int) -> tuple[str, float]:
         """Return the client address for a part not served here ("" if unknown), and the retry delay in seconds."""
@@ -108,7 +108,7 @@
         except OSError as error:
             raise ConfigError(f"fleet.listen: {self._part.listen}: {error}") from error
         self._tick()
-        self.desk.wake()
+        self.admission.wake()
 
     async def run(self) -> None:
         """Log refused packets periodically, forever."""
@@ -119,9 +119,9 @@
 
     def renew(self, fleet: Fleet) -> None:
         """Apply a reloaded operator's file: only contracts change; all else takes effect at the next start."""
-        for line in changes(self.book.contracts, fleet.contracts):
+        for line in describe_changes(self.channel_table.contracts, fleet.contracts):
             log.info("%s", line)
-        self.book.contracts = fleet.contracts
+        self.channel_table.contracts = fleet.contracts
 
     async def leave(self) -> None:
         """Give the parts away within `give_away_within`, if `give_away` is set."""
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -7,8 +7,7 @@
 
 from pydantic import Field, ValidationError
 
-from wheelstep.channels.contracts import ContractError, Contracts
-from wheelstep.channels.contracts import read as read_contracts
+from wheelstep.channels.contracts import ContractError, Contracts, read_contracts
 from wheelstep.fields import Duration, Table, describe_error
 from wheelstep.fleet.membership import Limits as MemberLimits
 from wheelstep.fleet.placing import NodeSettings
--- a/wheelstep/rehearsal/fleet/broken/ownership.py
+++ b/wheelstep/rehearsal/fleet/broken/ownership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wheelstep.channels.serving import Serving
+from wheelstep.channels.serving import ChannelService
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.proposer import Proposer
 
@@ -26,4 +26,4 @@
 
 def ignores_epoch() -> None:
     """What has once been given out is sent, whoever has the part by now."""
-    Serving.may_send = lambda self, name: True  # type: ignore[method-assign]
+    ChannelService.may_send = lambda self, name: True  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/simulation/attempts.py
+++ b/wheelstep/rehearsal/simulation/attempts.py
@@ -1,6 +1,6 @@
-"""A stand-in for the daemon's decision module: what the book releases is sent at once, and again after a refusal or an
-unknown outcome where the contract lets it. The attempt is journalled before; epoch and contract are asked right before
-the send.
+"""A stand-in for the daemon's decision module: what the channels release is sent at once, and again after a refusal or
+an unknown outcome where the contract lets it. The attempt is journalled before; epoch and contract are asked right
+before the send.
 
 Imports `wheelstep.channels` and its neighbours.
 """
@@ -33,9 +33,9 @@
         return part_of(held.channel, self._store.parts)
 
     def pump(self) -> None:
-        """Whatever the book gives out now."""
+        """Send what the channels release now."""
         store = self._store
-        for one in store.book.release(store.now_ms()):
+        for one in store.table.release(store.now_ms()):
             if isinstance(one, End):
                 self._ended(one.message, one.how)
             else:
@@ -70,9 +70,9 @@
         if store.messages.get(message) is not held:
             return
         epoch = self._may(self._part(held))
-        if epoch is None or not store.book.may_send(store.now_ms(), message):
+        if epoch is None or not store.table.may_send(store.now_ms(), message):
             held.out, held.doubt = False, doubted
-            if doubted and epoch is not None and not store.book.may_repeat(message):
+            if doubted and epoch is not None and not store.table.may_repeat(message):
                 self.end(message, "failed")
             else:
                 store.put(message)
@@ -92,18 +92,18 @@
             held.doubt = False
         if answer == OK:
             self.end(message, "delivered")
-        elif held.attempts >= TRIES or (answer != REFUSED and not store.book.may_repeat(message)):
+        elif held.attempts >= TRIES or (answer != REFUSED and not store.table.may_repeat(message)):
             self.end(message, "failed", answer != REFUSED)
         else:
             if answer != REFUSED:
-                store.book.attempt_unclear(store.now_ms(), message)
+                store.table.attempt_unclear(store.now_ms(), message)
             store.flush()
             store.put(message)
             self._soon(message, 20 * MS)
 
     def end(self, message: str, outcome: str, unclear: bool = False) -> None:
         """The position first, then the message; the end is told once both are safe."""
-        self._store.book.ended(self._store.now_ms(), message, outcome, unclear)
+        self._store.table.ended(self._store.now_ms(), message, outcome, unclear)
         self._store.flush()
         self._ended(message, outcome)
         self.pump()
--- a/wheelstep/rehearsal/simulation/content.py
+++ b/wheelstep/rehearsal/simulation/content.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from wheelstep.channels.book import Again, Refuse
+from wheelstep.channels.book import Duplicate, Reject
 from wheelstep.channels.contracts import part_of
 from wheelstep.moves.types import Piece
 from wheelstep.rehearsal.simulation.attempts import Attempts
@@ -32,12 +32,12 @@
         self.attempts = Attempts(machine, store, partners, check, self.may)
         for end in store.cut:
             store.messages[end.message].end = f"{end.how}/-/{machine.name}"
-        for one in [one for one, mine in store.messages.items() if not mine.end and not store.book.holds(one)]:
+        for one in [one for one, mine in store.messages.items() if not mine.end and not store.table.holds(one)]:
             del store.messages[one]  # withdrawn: nobody heard 202
 
     def next_us(self) -> int:
-        """When the book wants to be asked again."""
-        next_ms = self.store.book.next_ms()
+        """Return when the channel table has to be asked again; `NEVER_US` for never."""
+        next_ms = self.store.table.next_ms()
         return NEVER_US if next_ms is None else next_ms * 1000
 
     def tick(self, now_us: int) -> None:
@@ -62,13 +62,13 @@
         assert contract is not None
         if epoch is None:
             return answer(503, 0, self.machine.node.owner_of(part) or "")
-        verdict = store.book.offer(now_ms, contract, channel, message, number, None)
-        if isinstance(verdict, Refuse):
+        verdict = store.table.offer(now_ms, contract, channel, message, number, None)
+        if isinstance(verdict, Reject):
             return answer(409, verdict.next, verdict.why)
-        if isinstance(verdict, Again):
+        if isinstance(verdict, Duplicate):
             status = 202 if verdict.outcome is None else 200
             return self.machine.sync(store.file, store.file.place, lambda: answer(status, verdict.next, ""))
-        store.book.take(now_ms, channel, message, verdict.number)
+        store.table.take(now_ms, channel, message, verdict.number)
         store.flush()
         mine = store.messages[message] = Message(channel, verdict.number)
 
@@ -76,13 +76,13 @@
             if store.messages.get(message) is not mine:
                 return answer(503, 0, "")
             if self.may(part) != epoch:
-                store.book.withdraw(store.now_ms(), message)
+                store.table.withdraw(store.now_ms(), message)
                 store.flush()
                 store.over(message)
                 return answer(503, 0, "")
             answer(202, verdict.next, "")
             self.machine.boundary()
-            store.book.said(store.now_ms(), message)
+            store.table.client_answered(store.now_ms(), message)
             self.attempts.pump()
         self.machine.sync(store.file, store.put(message), taken)
 
@@ -92,8 +92,8 @@
         """As it stands."""
         self.store.flush()
         self.store.news[part] = {}
-        names = ["c:" + one for one in self.store.book.channels(part)] + ["m:" + one for one in self.store.of(part)]
-        inherited = [Piece("inherited", b"1")] if self.store.book.inherited(part) else []
+        names = ["c:" + one for one in self.store.table.channels(part)] + ["m:" + one for one in self.store.of(part)]
+        inherited = [Piece("inherited", b"1")] if self.store.table.inherited(part) else []
         return inherited + [Piece(name, self.store.piece(name)) for name in names]
 
     def changed(self, part: int) -> list[Piece]:
@@ -104,7 +104,7 @@
 
     def weight(self, part: int) -> int:
         """How many pieces there are, about."""
-        return len(self.store.book.channels(part)) + len(self.store.of(part))
+        return len(self.store.table.channels(part)) + len(self.store.of(part))
 
     def under_way(self, part: int) -> int:
         """Calls that are out."""
@@ -114,7 +114,7 @@
         """Take and begin nothing."""
         self.machine.world.trace(self.machine.name, "shut", part)
         self._shut.add(part)
-        self.store.book.shut(part)
+        self.store.table.shut(part)
 
     def open(self, part: int, epoch: int, first: int = 0) -> None:
         """Serve it."""
@@ -127,7 +127,7 @@
         self._shut.discard(part)
         self.served[part] = epoch
         store.news.pop(part, None)
-        store.book.open(part)
+        store.table.open(part)
         for message in store.of(part):
             if store.messages[message].end:
                 self.attempts.tell(message)
@@ -136,12 +136,12 @@
 
     def _inherit(self, part: int) -> None:
         """Another had it last, and did not hand it over. What is here from before that is as a former owner's."""
-        book, now_ms = self.store.book, self.store.now_ms()
-        former = {channel: book.export(channel) for channel in book.channels(part)}
-        book.drop(part)
-        book.inherit(part)
+        table, now_ms = self.store.table, self.store.now_ms()
+        former = {channel: table.export(channel) for channel in table.channels(part)}
+        table.drop(part)
+        table.inherit(part)
         for channel, data in former.items():
-            book.learn(now_ms, channel, data)
+            table.merge_former(now_ms, channel, data)
         self._find(part)
 
     def _find(self, part: int) -> None:
@@ -149,11 +149,11 @@
         store = self.store
         for message in store.of(part):
             mine = store.messages[message]
-            if not mine.end and not store.book.holds(message):
+            if not mine.end and not store.table.holds(message):
                 self.attempts.forget(message)
                 if store.ended_here(message, mine):
                     store.over(message)
-                elif not store.book.found(store.now_ms(), mine.channel, mine.number, message):
+                elif not store.table.accept_found(store.now_ms(), mine.channel, mine.number, message):
                     self.attempts.end_here(message)
         store.flush()
 
@@ -161,23 +161,23 @@
         """Into the journal, synced: the caller says so next."""
         store, now_ms = self.store, self.store.now_ms()
         known = store.epochs.get(part, 0) >= epoch
-        former = {} if known else {one: store.book.export(one) for one in store.book.channels(part)}
+        former = {} if known else {one: store.table.export(one) for one in store.table.channels(part)}
         if not known:
-            store.book.drop(part)
+            store.table.drop(part)
         for piece in sorted(pieces, key=lambda piece: piece.name, reverse=True):  # messages before positions
             what, key = piece.name[:2], piece.name[2:]
             if piece.name == "inherited":
-                store.book.inherit(part)
+                store.table.inherit(part)
             if what == "m:" and piece.data:
                 store.messages[key] = Message(*decode(piece.data))
                 store.put(key)
             elif what == "c:" and piece.data:
-                store.book.adopt(now_ms, key, piece.data, CONTRACTS.named(key.partition("/")[0]))
+                store.table.adopt(now_ms, key, piece.data, CONTRACTS.named(key.partition("/")[0]))
         for message in store.of(part):
-            if store.messages[message].doubt and store.book.holds(message):
-                store.book.attempt_unclear(now_ms, message)
+            if store.messages[message].doubt and store.table.holds(message):
+                store.table.attempt_unclear(now_ms, message)
         for channel, data in former.items():
-            store.book.learn(now_ms, channel, data)
+            store.table.merge_former(now_ms, channel, data)
         self._find(part)
         store.opened(part, epoch)
         self.machine.disk.sync(store.file, store.flush())
@@ -188,7 +188,7 @@
         self.machine.world.trace(self.machine.name, "drop", part)
         self._check.dropped(self.machine.name, self.store.of(part), self._elsewhere)
         self.served.pop(part, None)
-        self.store.book.drop(part)
+        self.store.table.drop(part)
         for message in self.store.of(part):
             self.attempts.forget(message)
             self.store.over(message)
@@ -200,7 +200,7 @@
 
     def orphans(self, part: int) -> list[Piece]:
         """Of a part that is another's: positions first, then messages."""
-        names = ["c:" + one for one in self.store.book.channels(part)]
+        names = ["c:" + one for one in self.store.table.channels(part)]
         names += ["m:" + one for one in self.store.of(part) if not self.store.messages[one].out]
         return [Piece(name, self.store.piece(name)) for name in names]
 
@@ -217,14 +217,14 @@
             else:
                 self.attempts.end_here(message)
         if not self.store.of(part):
-            self.store.book.drop(part)
+            self.store.table.drop(part)
             self.store.flush()
 
     def late(self, part: int, message: str, outcome: str, piece: bytes) -> bool:
         """Does this courier take what a former owner found, or the outcome of its call?"""
         store, now_ms = self.store, self.store.now_ms()
         if message.startswith("c:"):
-            store.book.learn(now_ms, message[2:], piece)
+            store.table.merge_former(now_ms, message[2:], piece)
             store.flush()
             self.attempts.pump()
             return True
@@ -238,12 +238,13 @@
             return True
         if found is None or store.ended_here(message, found):
             return found is not None
-        if found.end or not self.may(part) or not store.book.found(now_ms, found.channel, found.number, message):
+        if found.end or not self.may(part) \
+                or not store.table.accept_found(now_ms, found.channel, found.number, message):
             return False
         store.flush()
         store.messages[message] = found
         self.machine.disk.sync(store.file, store.put(message))
         if found.doubt:
-            store.book.attempt_unclear(now_ms, message)
+            store.table.attempt_unclear(now_ms, message)
         self.attempts.pump()
         return True
--- a/wheelstep/rehearsal/simulation/store.py
+++ b/wheelstep/rehearsal/simulation/store.py
@@ -1,5 +1,5 @@
-"""What a courier knows of its channels and messages: a real `Book`, messages beside it, and the simulated journal that
-brings both back after a start.
+"""What a courier knows of its channels and messages: a real `ChannelTable`, messages beside it, and the simulated
+journal that brings both back after a start.
 
 Imports msgspec, `wheelstep.channels`, and its neighbours `disk` and `world`.
 """
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from wheelstep.channels.book import MARK, Book
-from wheelstep.channels.contracts import part_of, read
+from wheelstep.channels.book import MARK_PREFIX, ChannelTable
+from wheelstep.channels.contracts import part_of, read_contracts
 from wheelstep.rehearsal.simulation.disk import File
 
 MOST_CHANNELS = 1_000
-CONTRACTS = read([
+CONTRACTS = read_contracts([
     {"name": "orders", "keys": ["orders*"], "order": "strict", "gap": "hold"},
     {"name": "skips", "keys": ["skips*"], "order": "strict", "gap": "skip", "gap_after": "1s"},
     {"name": "once", "keys": ["once*"], "order": "strict", "gap": "skip", "gap_after": "1s", "repeat": "once"},
@@ -47,7 +47,7 @@
         self.messages: dict[str, Message] = {}
         self.epochs: dict[int, int] = {}  # part -> the last epoch under which it was opened or adopted here
         self.news: dict[int, dict[str, None]] = {}  # pieces that changed, of parts that are being copied
-        self.book = Book(CONTRACTS, parts, MOST_CHANNELS, now_ms())
+        self.table = ChannelTable(CONTRACTS, parts, MOST_CHANNELS, now_ms())
         marks: dict[str, Any] = {}
         for record in file.records:
             match decode(record):
@@ -62,11 +62,11 @@
                 case ["o", part, epoch]:
                     self.epochs[part] = epoch
         owed = {message: held.doubt for message, held in self.messages.items() if not held.end}
-        self.cut = self.book.restore(now_ms(), marks, owed)  # their end was cut off after their position's
+        self.cut = self.table.restore(now_ms(), marks, owed)  # their end was cut off after their position's
 
     def channels(self) -> list[str]:
         """All by name."""
-        return [channel for part in range(self.parts) for channel in self.book.channels(part)]
+        return [channel for part in range(self.parts) for channel in self.table.channels(part)]
 
     def of(self, part: int) -> list[str]:
         """Its messages."""
@@ -74,9 +74,9 @@
 
     def ended_here(self, message: str, held: Message) -> bool:
         """Does its position say that it had its end? Then it is nobody's any more."""
-        position = self.book.position(held.channel)
+        position = self.table.position(held.channel)
         return position is not None and position.state(held.number) == "ended" \
-            and position.answer(held.number)[0] == message
+            and position.outcome_of(held.number)[0] == message
 
     def write(self, *record: Any) -> int:
         """A record; gives the place to sync to."""
@@ -84,9 +84,9 @@
         return self.file.write([encode(record)])
 
     def flush(self) -> int:
-        """Write what the book has changed."""
-        for mark, value in self.book.changes():
-            name = mark.removeprefix(MARK)
+        """Write the positions that have changed; returns the place to sync to."""
+        for mark, value in self.table.changed_marks():
+            name = mark.removeprefix(MARK_PREFIX)
             if name[0] != " ":
                 self._changed(name, "c:" + name)
             self.write("k", mark, value)
@@ -126,5 +126,5 @@
         """By a piece's name; empty for what is gone."""
         what, key = name[:2], name[2:]
         if what == "c:":
-            return self.book.export(key) if self.book.position(key) is not None else b""
+            return self.table.export(key) if self.table.position(key) is not None else b""
         return self.message(key) if key in self.messages else b""
