--- a/tests/channel_model.py
+++ b/tests/channel_model.py
@@ -29,15 +29,18 @@
     highest_released: int = 0
 
     def next(self) -> int:
+        """Return the lowest number that was never taken or has lapsed."""
         number = 1
         while number in self.messages and self.messages[number].status != "lapsed":
             number += 1
         return number
 
     def numbers_with(self, *statuses: str) -> list[int]:
+        """Return the numbers in one of these states, in order."""
         return sorted(number for number, known in self.messages.items() if known.status in statuses)
 
     def missing(self, below: int) -> list[int]:
+        """Return the numbers below this one that have no message."""
         return [number for number in range(1, below)
                 if number not in self.messages or self.messages[number].status in ("freed", "lapsed")]
 
@@ -54,15 +57,18 @@
         return ("again" if known.message == message else "other-message"), number
 
     def take(self, number: int, message: str, assigned: bool) -> None:
+        """Assign a number to a message."""
         if self.terms.order == "latest" and number >= self.next():
             self.skip(number)
         self.messages[number] = ModelMessage(message, assigned)
 
     def skip(self, below: int) -> None:
+        """Mark the missing numbers below this one as skipped."""
         for number in self.missing(below):
             self.messages[number] = ModelMessage("", False, "skipped")
 
     def withdraw(self, number: int) -> None:
+        """Remove a message whose client received no answer."""
         known = self.messages[number]
         latest = self.terms.order == "latest"
         if known.assigned or (latest and number != max(self.messages)):
@@ -71,9 +77,11 @@
             self.free(number)
 
     def free(self, number: int) -> None:
+        """Allow a number to be handed in again."""
         self.messages[number].status = "lapsed" if number > self.next() else "freed"
 
     def end(self, now_ms: int, number: int, outcome: str, unclear: bool) -> None:
+        """Apply the end of a message."""
         known = self.messages[number]
         if outcome == "refused" and known.may_have_run:
             outcome = "failed"
@@ -86,6 +94,7 @@
             self.begin_rest(now_ms)
 
     def begin_rest(self, now_ms: int) -> None:
+        """Start the contract's rest, if it has one."""
         if self.terms.unclear == "rest" and self.terms.order != "none":
             self.rest_ms = now_ms + self.terms.rest_ms
 
--- a/tests/test_channel_kept.py
+++ b/tests/test_channel_kept.py
@@ -36,6 +36,7 @@
         return table, journal
 
     def hand_in(self, table: ChannelTable, journal: ChannelJournal, name: str, number: int) -> None:
+        """Accept a message, written to the journal, and confirm it."""
         contract = CONTRACTS.named("updates")
         assert contract is not None
         verdict = table.offer(0, contract, CHANNEL, name, number, None)
@@ -46,10 +47,12 @@
         table.client_answered(0, name)
 
     def attempt(self, table: ChannelTable, journal: ChannelJournal, name: str, number: int) -> None:
+        """Release a message and start an attempt of it."""
         assert Release(name) in table.release(0)
         journal.attempt(name, number, 1, "e0")
 
     def run(self) -> None:
+        """Run the whole scenario."""
         table, journal = self.open(self.disk)
         self.hand_in(table, journal, "m1", 1)
         self.attempt(table, journal, "m1", 0)
--- a/tests/test_channel_moves.py
+++ b/tests/test_channel_moves.py
@@ -10,6 +10,7 @@
 
 
 def moved(world: World, channel: str) -> tuple[ChannelTable, bytes]:
+    """Return another courier's channels after this channel was handed over, and the position that was sent."""
     table, data = ChannelTable(CONTRACTS, 8, 100, 0), world.table.export(channel)
     table.adopt(0, channel, data, None)
     return table, data
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -12,6 +12,7 @@
 
 
 def one(**fields: Any) -> list[dict[str, Any]]:
+    """Return the table of one contract with these fields added."""
     return [{**STRICT, **fields}]
 
 
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -18,6 +18,7 @@
 
 
 def sample() -> Position:
+    """Return a position with free, held and ended numbers."""
     position = Position(TERMS)
     for number in (1, 2, 3, 5, 6):
         position.take(number, f"m{number}", number == 3)
@@ -31,6 +32,7 @@
 
 
 def changed(place: int, value: Any) -> list[Any]:
+    """Return the encoded sample with one field replaced."""
     data = sample().to_data()
     data[place] = value
     return data
--- a/wheelstep/channels/book.py
+++ b/wheelstep/channels/book.py
@@ -19,7 +19,7 @@
 
 
 class ChannelTable(ChannelParts):
-    """The channels of this courier, with admission of their messages."""
+    """The channels of this courier, with admission of their messages and release by their contracts."""
 
     def __init__(self, contracts: Contracts, parts: int, max_channels: int, now_ms: int) -> None:
         super().__init__(contracts, parts, max_channels, now_ms)
@@ -50,7 +50,7 @@
 
     def _verdict_for(self, now_ms: int, queue: ChannelQueue | None, position: Position, message: str,
                      number: int | None) -> Verdict:
-        """Return the verdict on a message, without its session."""
+        """Return the verdict on a message, regardless of its session."""
         known = self._by_message.get(message)
         if known is not None:
             if known[0] is queue and number in (None, known[1]):
--- a/wheelstep/channels/front.py
+++ b/wheelstep/channels/front.py
@@ -44,7 +44,8 @@
         return self._table.contracts
 
     def message(self, request: Request) -> StoredMessage:
-        """Return the message that a request hands in. Raises `BadRequestError` and `RefusedError`."""
+        """Return the message that a request hands in. Raises `BadRequestError`, and `RefusedError` with the answer for
+        a repeated or rejected message, or for a part that this courier does not serve."""
         message = read_message(request, self._classes)
         key, path = key_of(request.target), request.target.partition("?")[0]
         contract = self.contracts.match(message.message_class, message.destination, key, path)
@@ -168,7 +169,7 @@
         return self._core.durable()
 
     def take(self, message: StoredMessage) -> None:
-        """Write a message to the journal. Raises `NoRoomError`."""
+        """Write a message to the journal. Raises `NoRoomError`, also if the channel has changed since the offer."""
         try:
             self._core.take(message)
         except KeyError as error:  # the offer was made in an earlier turn: the position may have changed since
@@ -204,7 +205,7 @@
         self.wake()
 
     def wake(self) -> None:
-        """Check for messages to release in the next turn of the event loop."""
+        """Release what is due in the next turn of the event loop."""
         self._set_timer(0.0)
 
     def _set_timer(self, in_s: float) -> None:
--- a/wheelstep/channels/parts.py
+++ b/wheelstep/channels/parts.py
@@ -1,5 +1,5 @@
-"""Channels that move between couriers with their part: handed over, or taken over from a courier that is gone. No
-I/O."""
+"""Channels that move between couriers with their part: handed over by the owner, or taken over from one that is gone.
+No I/O."""
 
 from __future__ import annotations
 
--- a/wheelstep/channels/shelf.py
+++ b/wheelstep/channels/shelf.py
@@ -1,5 +1,5 @@
-"""State of a courier's channels: by name, part and message, with their timers and the journal marks to be written. No
-I/O. The mark of a channel is named ":c" and its name; its value is that of `Position.to_data`."""
+"""State of a courier's channels, by name, part and message, with their timers and the journal marks to be written. The
+mark of a channel is named ":c" and its name; its value is that of `Position.to_data`. No I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 
 
 class ChannelStore:
-    """The channels of this courier."""
+    """The channels of this courier: at most `max_channels`, divided into `parts` parts. Times are milliseconds of a
+    clock of this process."""
 
     def __init__(self, contracts: Contracts, parts: int, max_channels: int, now_ms: int) -> None:
         self.contracts = contracts  # replaced by a reload; channels that hold messages keep their terms
@@ -111,8 +112,8 @@
 
     def changed_marks(self) -> list[tuple[str, Any | None]]:
         """Return the marks that changed since the last call; None as the value removes a mark."""
-        dirty, self._changed_names = self._changed_names, {}
-        return [(MARK_PREFIX + name, self._mark_value(name)) for name in dirty]
+        names, self._changed_names = self._changed_names, {}
+        return [(MARK_PREFIX + name, self._mark_value(name)) for name in names]
 
     def _mark_value(self, name: str) -> Any | None:
         """Return the value of a mark, or None if it is to be removed."""
