--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -122,8 +122,8 @@
             assert await b.heard.get() == ("c", Ping(2))
             assert await b.heard.get() == ("a", Ping(3))
             assert b.heard.empty()
-            assert b.peers.datagrams.refused == {"version": 1, "seal": 2, "replay": 1}
-            assert b.peers.streams.refused == {"seal": 1, "receiver": 1}
+            assert b.peers.datagram_seal.refused == {"version": 1, "seal": 2, "replay": 1}
+            assert b.peers.stream_seal.refused == {"seal": 1, "receiver": 1}
             for side in sides:
                 await side.peers.close()
     asyncio.run(scene())
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -132,11 +132,11 @@
     receiver, again = seal("b"), seal("a", boot=1)
     receiver.open(seal("a", boot=9).pack("b", Ping(1)), DATAGRAM)
     assert refusal(receiver, again.pack("b", Ping(1))) is Reason.OLD_BOOT
-    told = receiver.stale_boot("a", 0)
-    assert told is not None and receiver.stale_boot("a", 999_999) is None
-    assert receiver.stale_boot("a", 1_000_000) is not None
-    elder = again.open(told, DATAGRAM).payload
-    assert isinstance(elder, HigherBoot) and again.raise_boot(elder, 0) and again.boot == 10
+    told = receiver.higher_boot_packet("a", 0)
+    assert told is not None and receiver.higher_boot_packet("a", 999_999) is None
+    assert receiver.higher_boot_packet("a", 1_000_000) is not None
+    higher_boot = again.open(told, DATAGRAM).payload
+    assert isinstance(higher_boot, HigherBoot) and again.raise_boot(higher_boot, 0) and again.boot == 10
     assert receiver.open(again.pack("b", Ping(1)), DATAGRAM).boot == 10
     # A known boot number, or a second one within ten seconds, does not raise it.
     assert not again.raise_boot(HigherBoot(10), 20_000_000)
--- a/wheelstep/fleet/datagrams.py
+++ b/wheelstep/fleet/datagrams.py
@@ -13,11 +13,12 @@
 
 class Datagrams:
     """`sendto` sends bytes to an address and may raise `OSError`. `heard` gets valid packets (sender, address, packet).
-    `elder` is called if the fleet knows a higher boot number of this courier."""
+    `on_higher_boot` is called if the fleet knows a higher boot number of this courier."""
 
     def __init__(self, seal: Seal, now_us: Callable[[], int], sendto: Callable[[bytes, str], None],
-                 heard: Callable[[str, str, Packet], None], elder: Callable[[HigherBoot], None]) -> None:
-        self._seal, self._now_us, self._sendto, self._heard, self._elder = seal, now_us, sendto, heard, elder
+                 heard: Callable[[str, str, Packet], None], on_higher_boot: Callable[[HigherBoot], None]) -> None:
+        self._seal, self._now_us, self._sendto, self._heard, self._on_higher_boot = (
+            seal, now_us, sendto, heard, on_higher_boot)
         self.dropped = 0  # datagrams that could not be sent
 
     def send(self, address: str, name: str, packet: Packet) -> None:
@@ -34,12 +35,12 @@
             opened = self._seal.open(data, DATAGRAM)
         except PacketError as error:
             if error.reason is Reason.OLD_BOOT:
-                elder = self._seal.stale_boot(error.sender, self._now_us())
-                if elder is not None:
-                    self._sendto(elder, address)
+                packet = self._seal.higher_boot_packet(error.sender, self._now_us())
+                if packet is not None:
+                    self._sendto(packet, address)
             return
         if isinstance(opened.payload, HigherBoot):
-            self._elder(opened.payload)
+            self._on_higher_boot(opened.payload)
             return
         try:
             self._heard(opened.sender, address, opened.payload)
--- a/wheelstep/fleet/membership.py
+++ b/wheelstep/fleet/membership.py
@@ -20,7 +20,7 @@
 __all__ = ["Limits", "Membership"]
 
 QUIET_ROLLS = 3  # rolls without a new member after which a starting courier stops sending a hello each period
-FANOUT = 3  # suspects pinged at a time, and members pinged on leaving
+FANOUT = 3  # suspects pinged at a time, and members pinged on LEAVING; twice as many on GONE
 
 
 class Membership:
@@ -99,12 +99,12 @@
         return min(due)
 
     def leave(self, now_us: int, also: Iterable[str] = ()) -> list[Action]:
-        """Announce LEAVING: the courier hands over its parts. The members in `also` are pinged at once too."""
+        """Announce LEAVING to some members at once, and to those in `also`: the courier hands over its parts."""
         actions = self._announce_state(State.LEAVING, FANOUT)
         return [*actions, *(action for name in sorted(also) for action in self._ping(name))]
 
     def announce_gone(self, now_us: int) -> list[Action]:
-        """Announce GONE: the courier owns nothing and ends. Nothing is sent or handled after this."""
+        """Announce GONE: the courier owns nothing and ends. Nothing is sent or handled after the returned actions."""
         return self._announce_state(State.GONE, 2 * FANOUT)
 
     def _announce_state(self, state: State, count: int) -> list[Action]:
--- a/wheelstep/fleet/packets.py
+++ b/wheelstep/fleet/packets.py
@@ -23,15 +23,15 @@
 
 from wheelstep.fleet.types import VERSION, Answer, Ask, Hello, Packet
 
-DATAGRAM_BYTES = 1_200
-STREAM_BYTES = 4 << 20
+DATAGRAM_BYTES = 1_200  # maximum of a sealed datagram
+STREAM_BYTES = 4 << 20  # maximum of a sealed request or answer
 WINDOW_SIZE = 1_024  # counters
-MAX_SENDERS = 2_048
+MAX_SENDERS = 2_048  # whose replay windows are kept
 NAME_BYTES = 64  # maximum, of a fleet or courier
 KEY_BYTES = 16  # minimum
 BOOT_LIMIT = 1 << 62  # exclusive upper bound of boot numbers
-NOTE_EVERY_US = 10_000_000
-ELDER_EVERY_US = 1_000_000
+NOTE_EVERY_US = 10_000_000  # minimum interval of log lines per reason, and between two raises of the boot number
+HIGHER_BOOT_EVERY_US = 1_000_000  # minimum interval of `HigherBoot` packets to one sender
 MAC_BYTES = 32
 
 T = TypeVar("T")
@@ -51,7 +51,7 @@
     SIZE = "size"
 
 
-EXPECTED = {
+EXPECTED = {  # what a packet refused for this reason should have had, for error messages
     Reason.VERSION: f"version {VERSION} or older", Reason.FLEET: "this fleet and lane",
     Reason.RECEIVER: "this courier's name", Reason.SEAL: "a seal with one of our keys",
     Reason.REPLAY: f"a new counter within {WINDOW_SIZE} of the highest",
@@ -140,7 +140,7 @@
         self.boot = boot
         self._counter = 0
         self._windows: OrderedDict[str, _Window] = OrderedDict()  # least recently heard first
-        self._elder_sent_us: OrderedDict[str, int] = OrderedDict()  # by receiver, when a `HigherBoot` was last sent
+        self._higher_boot_sent_us: OrderedDict[str, int] = OrderedDict()  # by receiver, when one was last sent
         self._raised_us: int | None = None
         self.refused: Counter[str] = Counter()
         self._logged: dict[Reason, tuple[int, int]] = {}  # time of the last log line, and the count then
@@ -208,26 +208,27 @@
             self._windows.popitem(last=False)
         return Opened(sender, sealed.boot, payload)
 
-    def stale_boot(self, sender: str, now_us: int) -> bytes | None:
-        """Return the `HigherBoot` packet for a sender refused with `old-boot`; None if one was sent within a second."""
-        window, sent_us = self._windows.get(sender), self._elder_sent_us.get(sender)
-        if window is None or (sent_us is not None and now_us - sent_us < ELDER_EVERY_US):
+    def higher_boot_packet(self, sender: str, now_us: int) -> bytes | None:
+        """Return a sealed `HigherBoot` packet for a sender refused with `old-boot`; None if it has got one within the
+        last second."""
+        window, sent_us = self._windows.get(sender), self._higher_boot_sent_us.get(sender)
+        if window is None or (sent_us is not None and now_us - sent_us < HIGHER_BOOT_EVERY_US):
             return None
-        self._elder_sent_us[sender] = now_us
-        self._elder_sent_us.move_to_end(sender)
-        if len(self._elder_sent_us) > MAX_SENDERS:
-            self._elder_sent_us.popitem(last=False)
+        self._higher_boot_sent_us[sender] = now_us
+        self._higher_boot_sent_us.move_to_end(sender)
+        if len(self._higher_boot_sent_us) > MAX_SENDERS:
+            self._higher_boot_sent_us.popitem(last=False)
         return self.pack(sender, HigherBoot(window.boot))
 
-    def raise_boot(self, elder: HigherBoot, now_us: int) -> bool:
-        """Raise the boot number above the one known to others, after a loss of the disk; the caller saves it. At most
-        once in 10 seconds. Return False if nothing changed."""
+    def raise_boot(self, higher_boot: HigherBoot, now_us: int) -> bool:
+        """Raise the boot number above the highest one known to others: this courier has lost its disk. At most once in
+        10 seconds. The new number is kept in memory only. Return False if nothing changed."""
         raised_us = self._raised_us
-        if (not self.boot < elder.boot < BOOT_LIMIT - 1
+        if (not self.boot < higher_boot.boot < BOOT_LIMIT - 1
                 or (raised_us is not None and now_us - raised_us < NOTE_EVERY_US)):
             return False
         self._raised_us = now_us
-        self.boot, self._counter = elder.boot + 1, 0
+        self.boot, self._counter = higher_boot.boot + 1, 0
         return True
 
     def notes(self, now_us: int) -> list[str]:
--- a/wheelstep/fleet/peers.py
+++ b/wheelstep/fleet/peers.py
@@ -23,19 +23,20 @@
 
 log = logging.getLogger(__name__)
 
-Heard = Callable[[str, str, Packet], None]
-Asked = Callable[[str, Ask], Awaitable[Answer | None]]
+Heard = Callable[[str, str, Packet], None]  # sender, its address, packet
+Asked = Callable[[str, Ask], Awaitable[Answer | None]]  # sender, request; None if there is no answer
 
 
 class Peers(asyncio.DatagramProtocol):
-    """`heard` gets datagrams (sender, address, packet); `asked` answers requests (sender, ask)."""
+    """The sockets of courier `me` of a fleet. `keys` seal as in `Seal`, under boot number `boot`. `heard` gets
+    datagrams; `asked` answers requests, and a request without an answer gets status 503."""
 
     def __init__(self, keys: Sequence[bytes], fleet: str, me: str, boot: int, now_us: Callable[[], int], heard: Heard,
                  asked: Asked) -> None:
         self._now_us, self._asked = now_us, asked
-        self.datagrams = Seal(keys, fleet, me, boot)
-        self.streams = Seal(keys, fleet, me, boot, lane="stream", most_bytes=STREAM_BYTES)
-        self._packets = Datagrams(self.datagrams, now_us, self._sendto, heard, self._elder)
+        self.datagram_seal = Seal(keys, fleet, me, boot)
+        self.stream_seal = Seal(keys, fleet, me, boot, lane="stream", most_bytes=STREAM_BYTES)
+        self._datagrams = Datagrams(self.datagram_seal, now_us, self._sendto, heard, self._on_higher_boot)
         self._transport: asyncio.DatagramTransport | None = None
         self._runner: web.AppRunner | None = None
         self._session: aiohttp.ClientSession | None = None
@@ -45,7 +46,7 @@
     @property
     def dropped(self) -> int:
         """Number of datagrams that could not be sent and of requests beyond the limit."""
-        return self._dropped + self._packets.dropped
+        return self._dropped + self._datagrams.dropped
 
     async def start(self, listen: Address) -> None:
         """Listen on UDP and TCP. Raises `OSError`."""
@@ -75,7 +76,7 @@
 
     def send(self, address: str, name: str, packet: Packet) -> None:
         """Send to the member `name` ("" if unknown) at an address. The datagram may be lost."""
-        self._packets.send(address, name, packet)
+        self._datagrams.send(address, name, packet)
 
     def _sendto(self, data: bytes, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -84,15 +85,15 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Handle a datagram from the socket."""
-        self._packets.received(data, f"{addr[0]}:{addr[1]}")
+        self._datagrams.received(data, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
         """Count a send error that the system reported."""
         self._dropped += 1
 
-    def _elder(self, elder: HigherBoot) -> None:
-        for seal in (self.datagrams, self.streams):
-            if seal.raise_boot(elder, self._now_us()):
+    def _on_higher_boot(self, higher_boot: HigherBoot) -> None:
+        for seal in (self.datagram_seal, self.stream_seal):
+            if seal.raise_boot(higher_boot, self._now_us()):
                 log.warning("the fleet knows a higher boot number of this courier: now using boot %d", seal.boot)
 
     # --- streams ---
@@ -102,17 +103,17 @@
         if self._session is None:
             return None
         try:
-            data = self.streams.pack(name, ask)
+            data = self.stream_seal.pack(name, ask)
             async with self._session.post(f"http://{address}{_PATH}", data=data,
                                           timeout=aiohttp.ClientTimeout(total=timeout_s)) as response:
                 body = await response.read()
-                opened = self.streams.open(body, STREAM) if response.status in (200, 409) else None
+                opened = self.stream_seal.open(body, STREAM) if response.status in (200, 409) else None
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, PacketError):
             return None
         if opened is None or opened.sender != name:
             return None
         if isinstance(opened.payload, HigherBoot):
-            self._elder(opened.payload)
+            self._on_higher_boot(opened.payload)
             return None
         return opened.payload if isinstance(opened.payload, Voted | Stood | Moved) else None
 
@@ -122,22 +123,22 @@
             return web.Response(status=503)
         self._active_requests += 1
         try:
-            opened = self.streams.open(await request.read(), STREAM)
+            opened = self.stream_seal.open(await request.read(), STREAM)
             if isinstance(opened.payload, HigherBoot | Voted | Stood | Moved):
                 return web.Response(status=400)
             answer = await self._asked(opened.sender, opened.payload)
         except PacketError as error:
-            elder = None
+            packet = None
             if error.reason is Reason.OLD_BOOT:
-                elder = self.streams.stale_boot(error.sender, self._now_us())
-            return web.Response(status=409, body=elder) if elder is not None else web.Response(status=400)
+                packet = self.stream_seal.higher_boot_packet(error.sender, self._now_us())
+            return web.Response(status=409, body=packet) if packet is not None else web.Response(status=400)
         finally:
             self._active_requests -= 1
         if answer is None:
             return web.Response(status=503)
-        return web.Response(body=self.streams.pack(opened.sender, answer))
+        return web.Response(body=self.stream_seal.pack(opened.sender, answer))
 
     def notes(self) -> list[str]:
-        """Return log lines about refused packets."""
+        """Return log lines about refused packets, at most one per lane and reason in 10 seconds."""
         now_us = self._now_us()
-        return [*self.datagrams.notes(now_us), *self.streams.notes(now_us)]
+        return [*self.datagram_seal.notes(now_us), *self.stream_seal.notes(now_us)]
--- a/wheelstep/fleet/roster.py
+++ b/wheelstep/fleet/roster.py
@@ -32,15 +32,15 @@
     max_health: int = 8  # maximum of the health multiplier
     stall_us: int = 300_000  # a tick later than this is a stall of this courier
     news_most: int = 512  # updates queued for gossip
-    news_times: float = 3.0  # sends of each update, multiplied by log2 of members + 1
+    news_times: float = 3.0  # sends of each update, multiplied by log2(members + 1)
     news_bytes: int = 850  # of updates per packet; with names of 64 bytes the sealed packet is below 1,200
     heal_periods: int = 10  # between attempts to reach a gone member or an unknown seed
     hello_periods: int = 60  # between requests for the whole table of a member
-    rolls_most: int = 512  # queued packets
-    rolls_every_us: int = 10_000  # between two packets
+    rolls_most: int = 512  # queued packets, for all receivers
+    rolls_every_us: int = 10_000  # between two packets to any receiver
     max_indirect_probes: int = 64  # indirect probes in progress for others
-    gone_kept_us: int = 600_000_000
-    members_most: int = 2_048
+    gone_kept_us: int = 600_000_000  # until a gone member is dropped; also between two log lines about a duplicate name
+    members_most: int = 2_048  # in the table, gone ones and this courier included
 
 
 def is_valid(member: Member) -> bool:
@@ -63,9 +63,9 @@
         self._gone_us: dict[str, int] = {}  # name -> since when it is gone, oldest first
         self._seed_names = {address: name for name, address in self.seeds.items()}
         self._names_by_address: dict[str, str] = {}  # address -> the last name announced with it
-        self.refused: Counter[str] = Counter()
+        self.refused: Counter[str] = Counter()  # ignored updates by reason
         self.duplicates: dict[str, str] = {}  # name -> second address announced for it
-        self.changed: dict[str, Member] = {}
+        self.changed: dict[str, Member] = {}  # by name, since the caller last cleared it
 
     def get(self, name: str) -> Member | None:
         """Return the member, gone or not; None if it is unknown."""
@@ -90,7 +90,8 @@
         return self._seed_names.get(address) or self._names_by_address.get(address, "")
 
     def is_duplicate(self, update: Member) -> bool:
-        """Return whether this is a second courier with the name of a present, unsuspected member. Counts it if so."""
+        """Return whether this is a second courier, at another address, with the name of a present member that is not a
+        suspect. If so, count it and record its address in `duplicates`."""
         known = self._present.get(update.name)
         if known is None or known.state is State.SUSPECT or known.address == update.address:
             return False
--- a/wheelstep/fleet/types.py
+++ b/wheelstep/fleet/types.py
@@ -26,7 +26,8 @@
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
     """A courier of the fleet. Only the courier itself raises its `incarnation`. Peers reach it at `address` (UDP and
-    TCP), clients at `serves`. `weight` is its relative share of the work; `zone` is free text."""
+    TCP), clients at `serves`. `weight` is its relative share of the work; `zone` is free text. `version` is its wire
+    format; a part moves only to a courier of the same or a newer one."""
 
     name: str
     incarnation: int
@@ -76,7 +77,7 @@
 
 
 class Roll(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """One packet of the answer to a `Hello`: some of the members; `left` more follow in further rolls."""
+    """One packet of the answer to a `Hello`: some of the members. `left` is the number of members in further rolls."""
 
     left: int
     news: tuple[Member, ...] = ()
@@ -109,8 +110,8 @@
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """Phase 2 of a round: asks the voter to accept the holding and grant its owner a lease. Repeated with the same
-    ballot and holding, it renews the lease."""
+    """Phase 2 of a round: asks the voter to accept the holding (the new value of the register) and grant its owner a
+    lease. Repeated with the same ballot and holding, it renews the lease."""
 
     part: int
     ballot: Ballot
@@ -136,7 +137,8 @@
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag=14):
     """Negative answer to a `Prepare` or `Accept`. `promised` is the voter's highest ballot, `left_us` the time left of
     another courier's lease by the voter's clock, `holding` what it has accepted. `why` is "ballot", "lease", "blank"
-    (the voter has lost its state and must recover it) or "behind" (its log is shorter than this courier has seen)."""
+    (the voter has no state: it must recover it, or agree with the others that the fleet is new) or "behind" (its log
+    is shorter than this courier has seen)."""
 
     part: int
     why: str
@@ -153,19 +155,22 @@
 
 
 class Voted(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """The answers of the voter in the order of `asks`. `place` is its log position: the records written in all."""
+    """The answers of the voter in the order of `asks`. `place` is the log position up to which its records are on disk
+    when this is sent; 0 if it has no state."""
 
     answers: tuple[Promise | Accepted | Refused, ...]
     place: int = 0
 
 
 class Stand(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """Request of a voter that has lost its state for the registers of another voter."""
+    """Request for the registers of a voter: from another voter that has lost its state or has just started, and from
+    couriers that need the known owners."""
 
 
 class Stood(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """Answer to `Stand`. `blank` if this voter has lost its state too; else rows of part, promised ballot, accepted
-    ballot and holding."""
+    """Answer to `Stand`. `blank` if this courier has no registers: as a voter without state, or as no voter. `rows`
+    hold part, promised ballot, accepted ballot and holding; a voter that is not blank and has none has agreed that the
+    fleet is new."""
 
     blank: bool
     rows: tuple[tuple[int, Ballot, Ballot | None, Ownership | None], ...] = ()
@@ -210,7 +215,7 @@
 
 
 class Note(msgspec.Struct, frozen=True):
-    """Write a line to the operator's log."""
+    """Write a line to the operator's log, at level info."""
 
     text: str
 
