--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -59,16 +59,16 @@
 # --- decisions that are broken on purpose ---
 
 def _ignores_its_lease(patch: pytest.MonkeyPatch) -> None:
-    heed = PartCoordinator.heed
+    handle_events = PartCoordinator.handle_events
     patch.setattr(Owner, "epoch", lambda self, part, now_us: self._parts[part].epoch or None)
-    patch.setattr(PartCoordinator, "heed", lambda self, now_us, events: heed(
+    patch.setattr(PartCoordinator, "handle_events", lambda self, now_us, events: handle_events(
         self, now_us, [event for event in events if not isinstance(event, Lost)]))
 
 
 def _answers_before_saving(patch: pytest.MonkeyPatch) -> None:
-    voted = Node._voted
-    patch.setattr(Node, "_voted", lambda self, now_us, answer, records, then: [
-        *then(now_us), *voted(self, now_us, answer, records, lambda _: [])])
+    reply_once_saved = Node._reply_once_saved
+    patch.setattr(Node, "_reply_once_saved", lambda self, now_us, answer, records, then: [
+        *then(now_us), *reply_once_saved(self, now_us, answer, records, lambda _: [])])
     patch.setattr(Disk, "delay", lambda self: 60_000)
 
 
@@ -80,7 +80,7 @@
         self._rows.setdefault(FLEET, Row(BEGUN))
         self._blank = False
     patch.setattr(Voter, "__init__", begun)
-    patch.setattr(Voter, "_forget", lambda self: None)
+    patch.setattr(Voter, "_discard_state", lambda self: None)
 
 
 def _reopens_after_seal(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -200,7 +200,7 @@
     assert owner.answered(1, voter, votes, Voted((), 9)) == []
     assert owner.answered(1, other, more, Voted((Accepted(0, Ballot(1, "me")),), 9)) == []
     assert owner.answered(1, "nobody", votes, yes(votes)) == []
-    assert (owner.bad, owner.seen("a"), owner.seen("nobody")) == (2, 0, 0)
+    assert (owner.invalid_answers, owner.known_place("a"), owner.known_place("nobody")) == (2, 0, 0)
     with pytest.raises(ValueError, match="part 3 was never owned by me"):
         owner.give(1, 3, "x")
     with pytest.raises(ValueError, match="too short"):
--- a/tests/test_owner_fleets.py
+++ b/tests/test_owner_fleets.py
@@ -89,7 +89,7 @@
 class GrantsDuringALease(Voter):
     """A voter that ignores running leases."""
 
-    def _left_us(self, *_: object) -> int:
+    def _refused_for_us(self, *_: object) -> int:
         return 0
 
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -135,14 +135,14 @@
 def test_invalid_requests_are_refused_and_counted(ask: Prepare | Accept) -> None:
     voter = begun()
     assert say(voter, BEGAN_US, "x", ask) == ([Refused(ask.part, "ballot")], [])
-    assert (voter.bad, voter.place) == (1, 1)
+    assert (voter.invalid_requests, voter.place) == (1, 1)
 
 
 def test_out_of_range_place_is_counted_and_ignored() -> None:
     """A faulty courier must not make voters forget their state."""
     voter = begun()
     answers, _ = say(voter, BEGAN_US, "x", Prepare(0, Ballot(1, "x")), seen=1 << 60)
-    assert isinstance(answers[0], Promise) and voter.bad == 1 and not voter.blank
+    assert isinstance(answers[0], Promise) and voter.invalid_requests == 1 and not voter.blank
 
 
 # --- recovery after state loss ---
@@ -151,9 +151,9 @@
     """Exchange the `Stand` requests due among these voters."""
     known = {voter.name: voter for voter in voters}
     for voter in voters:
-        for name, _ in voter.recover(now_us):
+        for name, _ in voter.due_requests(now_us):
             if name in known:
-                voter.stood(now_us, name, known[name].stand(voter.name))
+                voter.on_registers(now_us, name, known[name].registers_for(voter.name))
                 voter.saved(voter.place)
 
 
@@ -165,11 +165,11 @@
     a = begun("a", "bc")
     assert say(a, BEGAN_US, "x", held, seen=40)[0] == [Refused(0, "behind")]
     assert say(a, BEGAN_US, "x", held, seen=0)[0] == [Refused(0, "blank")]
-    assert a.behind == 1 and a.stand("b").blank
-    assert [name for name, _ in a.recover(BEGAN_US)] == ["b", "c"]
-    assert a.stood(BEGAN_US, "b", b.stand("a")) == [] and a.blank  # one other voter is not enough
-    assert a.stood(BEGAN_US, "c", Stood(True)) == [] and a.blank  # a blank one does not count
-    state = replay(a.stood(BEGAN_US, "c", c.stand("a", 50)))
+    assert a.times_behind == 1 and a.registers_for("b").blank
+    assert [name for name, _ in a.due_requests(BEGAN_US)] == ["b", "c"]
+    assert a.on_registers(BEGAN_US, "b", b.registers_for("a")) == [] and a.blank  # one other voter is not enough
+    assert a.on_registers(BEGAN_US, "c", Stood(True)) == [] and a.blank  # a blank one does not count
+    state = replay(a.on_registers(BEGAN_US, "c", c.registers_for("a", 50)))
     assert not a.blank and a.place > 50 and state.place == a.place
     assert say(a, BEGAN_US, "x", held, seen=90)[0] == [Accepted(0, held.ballot)]  # 90 is from before the state loss
     assert (state.rows[0].promised, state.rows[0].holding) == (Ballot(3, "x"), held.holding)
@@ -187,7 +187,7 @@
     holding(told["c"], "y", epoch=5, number=9)
     a = blank("a", "bc")
     for name in order:
-        records = a.stood(0, name, told[name].stand("a"))
+        records = a.on_registers(0, name, told[name].registers_for("a"))
     row = replay(records).rows[0]
     assert (row.promised, row.accepted, row.holding) == (Ballot(9, "y"), held.ballot, held.holding)
 
@@ -196,25 +196,27 @@
     """Fewer might all lack a holding that a majority accepted."""
     a = blank("a", "bcde")
     for name in "bc":
-        assert a.stood(0, name, begun(name, "acde").stand("a")) == []
-    assert a.stood(0, "d", Stood(True)) == [] and a.stood(0, "stranger", begun("d", "abce").stand("a")) == []
-    assert a.stood(0, "e", None) == []
-    assert a.stood(0, "e", begun("e", "abcd").stand("a")) != []
+        assert a.on_registers(0, name, begun(name, "acde").registers_for("a")) == []
+    assert a.on_registers(0, "d", Stood(True)) == [] \
+        and a.on_registers(0, "stranger", begun("d", "abce").registers_for("a")) == []
+    assert a.on_registers(0, "e", None) == []
+    assert a.on_registers(0, "e", begun("e", "abcd").registers_for("a")) != []
 
 
 def test_start_with_an_older_disk_is_detected_by_the_place_another_voter_knows() -> None:
     """An outdated disk lacks promises that the voter has made."""
     a, b = begun("a", "bc"), begun("b", "ac")
     held = holding(b)
-    assert [name for name, _ in a.recover(0)] == ["b", "c"]
-    assert replay(a.stood(5, "b", b.stand("a", 1))).rows[0].holding == held.holding  # returned as the disk may lack it
-    assert a.stood(5, "c", Stood(False, (), 30)) == [] and a.blank
+    assert [name for name, _ in a.due_requests(0)] == ["b", "c"]
+    # Returned as the disk may lack it.
+    assert replay(a.on_registers(5, "b", b.registers_for("a", 1))).rows[0].holding == held.holding
+    assert a.on_registers(5, "c", Stood(False, (), 30)) == [] and a.blank
 
 
 def test_courier_that_is_no_voter_gets_the_holdings() -> None:
     voter = begun()
     held = holding(voter)
-    stood = voter.stand("courier", 9)
+    stood = voter.registers_for("courier", 9)
     assert not stood.blank and stood.seen == 0
     assert [row[3] for row in stood.rows if row[0] == 0] == [held.holding]
 
@@ -236,12 +238,12 @@
 
 def test_voter_that_agreed_the_fleet_is_new_votes_after_a_restart() -> None:
     a = blank("a", "bc")
-    a.stood(0, "b", Stood(True))
-    state = replay(a.stood(0, "c", Stood(True)))
+    a.on_registers(0, "b", Stood(True))
+    state = replay(a.on_registers(0, "c", Stood(True)))
     assert state.rows[FLEET].promised == NEW and a.blank
     again = Voter("a", ["b", "c"], 4, LEASE_US, DRIFT, state, state.place, 0)
     assert again.blank
-    again.stood(0, "b", Stood(False))
-    assert again.stood(0, "c", Stood(True)) == [] and again.blank
-    again.stood(0, "c", begun("c", "ab").stand("a"))
+    again.on_registers(0, "b", Stood(False))
+    assert again.on_registers(0, "c", Stood(True)) == [] and again.blank
+    again.on_registers(0, "c", begun("c", "ab").registers_for("a"))
     assert isinstance(say(again, 0, "x", Prepare(0, Ballot(1, "x")))[0][0], Promise)
--- a/tests/voting.py
+++ b/tests/voting.py
@@ -87,7 +87,7 @@
     def _poll_voter(self, host: Host, generation: int) -> None:
         if host.generation != generation or host.voter is None:
             return
-        for name, _ in host.voter.recover(host.clock.at(self.now)):
+        for name, _ in host.voter.due_requests(host.clock.at(self.now)):
             self._send(host, self.voters[name], lambda other=self.voters[name]: self._stand(host, other))
         self.after(STEP_US, lambda: self._poll_voter(host, generation))
 
@@ -95,12 +95,12 @@
         if told.voter is None:
             return
         owner = next((host.owner for host in self.couriers.values() if host.name[1:] == told.name[1:]), None)
-        stood = told.voter.stand(asker.name, owner.seen(asker.name) if owner else 0)
+        stood = told.voter.registers_for(asker.name, owner.known_place(asker.name) if owner else 0)
         generation = asker.generation
 
         def hear() -> None:
             if asker.generation == generation and asker.voter is not None:
-                self._save(asker, asker.voter.stood(asker.clock.at(self.now), told.name, stood), lambda: None)
+                self._save(asker, asker.voter.on_registers(asker.clock.at(self.now), told.name, stood), lambda: None)
 
         self._send(told, asker, hear)
 
--- a/wheelstep/fleet/batches.py
+++ b/wheelstep/fleet/batches.py
@@ -18,7 +18,7 @@
         self._rounds: dict[str, dict[int, None]] = {voter: {} for voter in voters}
         self._renewals: dict[str, dict[int, None]] = {voter: {} for voter in voters}
         self._in_flight: dict[str, tuple[Votes, int]] = {}
-        self.seen = dict.fromkeys(voters, 0)
+        self.known_places = dict.fromkeys(voters, 0)
 
     def queue_round(self, part: int, voters: Iterable[str]) -> None:
         """Queue the part for a round at these voters, ahead of renewals."""
@@ -36,7 +36,7 @@
         for voter in self._rounds:
             asks = [] if voter in self._in_flight else self._fill(voter, ask)
             if asks:
-                votes = Votes(tuple(asks), self.seen[voter])
+                votes = Votes(tuple(asks), self.known_places[voter])
                 self._in_flight[voter] = (votes, now_us)
                 batches.append((voter, votes))
         return batches
@@ -70,7 +70,7 @@
 
     def record_place(self, voter: str, voted: Voted) -> None:
         """Record the log position of a voter."""
-        self.seen[voter] = max(self.seen[voter], voted.place)
+        self.known_places[voter] = max(self.known_places[voter], voted.place)
 
     def next_us(self) -> int:
         """Return when action is due; 0 if at once."""
@@ -80,7 +80,7 @@
         return min((sent_us + self._timeout_us for _, sent_us in self._in_flight.values()), default=NEVER_US)
 
 
-def matching(votes: Votes, voted: Voted) -> bool:
+def answers_match(votes: Votes, voted: Voted) -> bool:
     """Return whether the answers match the requests one by one."""
     return len(votes.asks) == len(voted.answers) and all(
         ask.part == answer.part and (isinstance(answer, Refused) or (
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -59,12 +59,12 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def _open_log(self) -> tuple[Log, Sequence[bytes]]:
-        least = int(time.time())
+        least_boot = int(time.time())
         try:
-            return Log.open(self._disk, least)
+            return Log.open(self._disk, least_boot)
         except LogDamagedError as error:
             log.error("%s: renamed; this courier's voter starts blank", error)
-            return Log.create_after_damage(self._disk, max(least, error.boot + 1)), ()
+            return Log.create_after_damage(self._disk, max(least_boot, error.boot + 1)), ()
         except OSError as error:
             raise ConfigError(f"{self.config.state / 'fleet'}: {error}") from error
 
@@ -221,11 +221,11 @@
         while self._saves:
             saves, self._saves = self._saves, []
             records = [record for save in saves for record in save.records]
-            whole = self.node.snapshot() if self._log.needs_compaction or self._broken else None
+            snapshot = self.node.snapshot() if self._log.needs_compaction or self._broken else None
             try:
                 if self.kept.waits:
                     await self.kept.durable()
-                await asyncio.get_running_loop().run_in_executor(self._thread, self._write, records, whole)
+                await asyncio.get_running_loop().run_in_executor(self._thread, self._write, records, snapshot)
                 self._broken = False
             except (OSError, LogBrokenError, LogDamagedError, NoRoomError) as error:
                 log.error("the fleet's log: %s; answers that depend on it are withheld", error)
@@ -234,14 +234,14 @@
                 self._execute(self.node.saved(now_us(), save.token, not self._broken))
         self._saving = None
 
-    def _write(self, records: Sequence[bytes], whole: Sequence[bytes] | None) -> None:
+    def _write(self, records: Sequence[bytes], snapshot: Sequence[bytes] | None) -> None:
         """Write to the log, in its own thread: a hanging disk blocks only what must be saved."""
         if self._broken:
             boot = self._log.boot
             self._log.close()
             self._log, _ = Log.open(self._disk, boot)
-        if whole is not None:
-            self._log.compact(whole)
+        if snapshot is not None:
+            self._log.compact(snapshot)
         else:
             self._log.append(records)
             self._log.sync()
--- a/wheelstep/fleet/doubt.py
+++ b/wheelstep/fleet/doubt.py
@@ -25,7 +25,7 @@
     confirmations_needed: int  # confirmations at which the timeout is `min_us`
     confirmers: set[str] = field(default_factory=set)
     confirmed_here: bool = False  # this courier's own probe failed too, so it informs the suspect
-    last_told_us: int = 0  # when the suspect was last informed
+    last_pinged_us: int = 0  # when the suspect was last informed
 
     def confirm(self, name: str) -> None:
         """Record that this courier's own probe got no answer. Names beyond the number needed are ignored."""
@@ -96,10 +96,10 @@
         """Start a probe for `requester` and return its ping's `seq`; None if `max_indirect_probes` are in progress."""
         if len(self.indirect_probes) >= self._limits.max_indirect_probes:
             return None
-        mine = self.next_seq()
-        self.indirect_probes[mine] = IndirectProbe(requester, seq, target, now_us + self._limits.timeout_us * 4 // 5,
+        own_seq = self.next_seq()
+        self.indirect_probes[own_seq] = IndirectProbe(requester, seq, target, now_us + self._limits.timeout_us * 4 // 5,
                                     now_us + self._limits.period_us)
-        return mine
+        return own_seq
 
     def record_ack(self, sender: str, seq: int) -> IndirectProbe | None:
         """Record an ack. Return the indirect probe that it completes, None if it completes none."""
@@ -121,11 +121,11 @@
         """Return the indirect probes whose requester is due a nack, each once. Expired ones are dropped."""
         for seq in [seq for seq, indirect in self.indirect_probes.items() if indirect.deadline_us <= now_us]:
             del self.indirect_probes[seq]
-        late = [indirect for indirect in self.indirect_probes.values()
+        due = [indirect for indirect in self.indirect_probes.values()
                 if not indirect.nack_sent and indirect.nack_us <= now_us]
-        for indirect in late:
+        for indirect in due:
             indirect.nack_sent = True
-        return late
+        return due
 
     def reset(self) -> None:
         """Drop all probes after a stall of this courier: an answer missed during it says nothing about the target."""
--- a/wheelstep/fleet/log.py
+++ b/wheelstep/fleet/log.py
@@ -17,8 +17,8 @@
 from wheelstep.journal.disk import Disk
 
 NAME, NEW_NAME, DAMAGED_NAME = "fleet.log", "fleet.new", "fleet.damaged"
-HEAD = struct.Struct("<IIIQ")  # body size, frame number, frames synced before, boot number
-SUM = struct.Struct("<I")
+HEADER = struct.Struct("<IIIQ")  # body size, frame number, frames synced before, boot number
+CHECKSUM = struct.Struct("<I")
 COMPACT_SLACK_BYTES = 64 * 1024
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
@@ -50,43 +50,43 @@
     chain: int = 0
 
 
-def _head(data: bytes, at: int) -> tuple[int, int, int, int] | None:
+def _header_at(data: bytes, at: int) -> tuple[int, int, int, int] | None:
     """Return the header at this offset; None if it is invalid."""
-    if len(data) < at + HEAD.size + SUM.size:
+    if len(data) < at + HEADER.size + CHECKSUM.size:
         return None
-    if SUM.unpack_from(data, at + HEAD.size)[0] != crc32(data[at:at + HEAD.size]):
+    if CHECKSUM.unpack_from(data, at + HEADER.size)[0] != crc32(data[at:at + HEADER.size]):
         return None
-    size, number, synced, boot = HEAD.unpack_from(data, at)
+    size, number, synced, boot = HEADER.unpack_from(data, at)
     return (size, number, synced, boot) if size <= MAX_BODY_BYTES else None
 
 
 def _parse(data: bytes) -> _Parsed:
     """Read the valid frames from the start. Raises `LogDamagedError` if a synced one is damaged."""
-    read = _Parsed([])
-    while (head := _head(data, read.size)) is not None:
-        size, number, _, boot = head
-        body = read.size + HEAD.size + SUM.size
-        end = body + size + SUM.size
-        if number != read.number or end > len(data):
+    parsed = _Parsed([])
+    while (header := _header_at(data, parsed.size)) is not None:
+        size, number, _, boot = header
+        body = parsed.size + HEADER.size + CHECKSUM.size
+        end = body + size + CHECKSUM.size
+        if number != parsed.number or end > len(data):
             break
-        chain = crc32(data[read.size:body + size], read.chain)
-        if SUM.unpack_from(data, body + size)[0] != chain:
+        chain = crc32(data[parsed.size:body + size], parsed.chain)
+        if CHECKSUM.unpack_from(data, body + size)[0] != chain:
             break
         try:
             records = _DECODER.decode(data[body:body + size])
         except msgspec.DecodeError:
             break
-        read.records += records
-        read.compacted_size = read.compacted_size or end
-        read.size, read.number, read.boot, read.chain = end, number + 1, boot, chain
-    if read.size < len(data):
-        heads = [head for at in range(read.size, len(data)) if (head := _head(data, at)) is not None]
-        if read.number == 0 or any(synced > read.number for _, _, synced, _ in heads):
-            boot = max([read.boot, *(head[3] for head in heads)])
-            raise LogDamagedError(f"{NAME}: damaged at byte {read.size} of {len(data)}, frame {read.number}", boot)
-    elif read.number == 0:
+        parsed.records += records
+        parsed.compacted_size = parsed.compacted_size or end
+        parsed.size, parsed.number, parsed.boot, parsed.chain = end, number + 1, boot, chain
+    if parsed.size < len(data):
+        headers = [header for at in range(parsed.size, len(data)) if (header := _header_at(data, at)) is not None]
+        if parsed.number == 0 or any(synced > parsed.number for _, _, synced, _ in headers):
+            boot = max([parsed.boot, *(header[3] for header in headers)])
+            raise LogDamagedError(f"{NAME}: damaged at byte {parsed.size} of {len(data)}, frame {parsed.number}", boot)
+    elif parsed.number == 0:
         raise LogDamagedError(f"{NAME}: empty", 0)
-    return read
+    return parsed
 
 
 class Log:
@@ -109,20 +109,20 @@
             disk.unlink(NEW_NAME)
         if NAME not in names:
             return cls._create(disk, least_boot), []
-        read = _parse(disk.read(NAME))
-        log = cls(disk, max(read.boot + 1, least_boot))
+        parsed = _parse(disk.read(NAME))
+        log = cls(disk, max(parsed.boot + 1, least_boot))
         log._handle = disk.append_to(NAME)
         try:
-            disk.truncate(log._handle, read.size)
+            disk.truncate(log._handle, parsed.size)
             disk.sync(log._handle)
-            log._number, log._synced, log._chain = read.number, read.number, read.chain
-            log._size, log._compacted_size = read.size, read.compacted_size
+            log._number, log._synced, log._chain = parsed.number, parsed.number, parsed.chain
+            log._size, log._compacted_size = parsed.size, parsed.compacted_size
             log._append([])
             log.sync()
         except BaseException:
             log.close()
             raise
-        return log, read.records
+        return log, parsed.records
 
     @classmethod
     def create_after_damage(cls, disk: Disk, least_boot: int) -> Log:
@@ -193,10 +193,10 @@
 
     def _frame(self, records: Iterable[bytes], number: int, synced: int, chain: int) -> tuple[bytes, int]:
         body = _ENCODER.encode(list(records))
-        head = HEAD.pack(len(body), number, synced, self.boot)
-        data = head + SUM.pack(crc32(head)) + body
+        header = HEADER.pack(len(body), number, synced, self.boot)
+        data = header + CHECKSUM.pack(crc32(header)) + body
         chain = crc32(data, chain)
-        return data + SUM.pack(chain), chain
+        return data + CHECKSUM.pack(chain), chain
 
     def _checked_handle(self) -> int:
         if self._broken or self._handle is None:
--- a/wheelstep/fleet/membership.py
+++ b/wheelstep/fleet/membership.py
@@ -144,8 +144,8 @@
         confirmed = [name for name, suspicion in view.suspicions.items() if suspicion.confirmed_here]
         if confirmed and now_us >= self._next_suspect_ping_us:
             self._next_suspect_ping_us = now_us + self._limits.period_us // 2
-            for name in sorted(confirmed, key=lambda name: view.suspicions[name].last_told_us)[:FANOUT]:
-                view.suspicions[name].last_told_us = now_us
+            for name in sorted(confirmed, key=lambda name: view.suspicions[name].last_pinged_us)[:FANOUT]:
+                view.suspicions[name].last_pinged_us = now_us
                 actions += self._ping(name)
         actions += self._rolls.pop_due(now_us)
         self._expected_tick_us = max(now_us, self.next_us())
@@ -204,16 +204,16 @@
         known = self._roster.get(sender)
         if known is None:
             return []
-        back, before = known.state is not State.GONE, view.member_count()
+        is_present, count_before = known.state is not State.GONE, view.member_count()
         actions: list[Action] = []
         for update in packet.news:
             if update.name == view.me.name:
                 actions += view.refute(update, now_us)
-            elif back and update is not first:
+            elif is_present and update is not first:
                 view.merge(update, now_us, isinstance(packet, Roll))
         actions += view.report_duplicates(now_us)
-        self._roll_had_news = self._roll_had_news or (isinstance(packet, Roll) and view.member_count() > before)
-        if not back and not isinstance(packet, Hello | Ping):
+        self._roll_had_news = self._roll_had_news or (isinstance(packet, Roll) and view.member_count() > count_before)
+        if not is_present and not isinstance(packet, Hello | Ping):
             return [*actions, *view.send_hello_to(view.roster.address_of(sender), view.leading_members(sender), now_us)]
         return [*actions, *self._handle(now_us, sender, packet)]
 
--- a/wheelstep/fleet/news.py
+++ b/wheelstep/fleet/news.py
@@ -39,21 +39,21 @@
         fit, except those of the receiver."""
         if not self._updates:
             return tuple(first)
-        picked, room = list(first), self._limits.news_bytes - sum(len(_encode(member)) for member in first)
-        named = {to, *(member.name for member in first)}
+        selected, free_bytes = list(first), self._limits.news_bytes - sum(len(_encode(member)) for member in first)
+        excluded = {to, *(member.name for member in first)}
         max_times = math.ceil(self._limits.news_times * math.log2(members + 1))
-        for name, (member, times_told, size) in sorted(self._updates.items(), key=lambda item: item[1][1]):
-            if name in named or size > room:
+        for name, (member, times_sent, size) in sorted(self._updates.items(), key=lambda item: item[1][1]):
+            if name in excluded or size > free_bytes:
                 continue
-            picked.append(member)
-            room -= size
-            if times_told + 1 < max_times:
-                self._updates[name] = (member, times_told + 1, size)
+            selected.append(member)
+            free_bytes -= size
+            if times_sent + 1 < max_times:
+                self._updates[name] = (member, times_sent + 1, size)
             else:
                 del self._updates[name]
-            if room < 16:
+            if free_bytes < 16:
                 break
-        return tuple(picked)
+        return tuple(selected)
 
 
 class Rolls:
@@ -71,18 +71,18 @@
         or packets for this address are queued."""
         if address in self._queued_count:
             return False
-        head = self._limits.news_bytes - sum(len(_encode(member)) for member in first)
+        initial_free_bytes = self._limits.news_bytes - sum(len(_encode(member)) for member in first)
         packets: list[list[Member]] = [list(first)]
-        room, named = head, {member.name for member in first}
-        rest = [member for member in members if member.name not in named]
+        free_bytes, excluded = initial_free_bytes, {member.name for member in first}
+        rest = [member for member in members if member.name not in excluded]
         rng.shuffle(rest)  # so that packet loss does not hit the same members each time
         for member in rest:
             size = len(_encode(member))
-            if size > room:
+            if size > free_bytes:
                 packets.append(list(first))
-                room = head
+                free_bytes = initial_free_bytes
             packets[-1].append(member)
-            room -= size
+            free_bytes -= size
         if len(self._queue) + len(packets) > self._limits.rolls_most:
             return False
         remaining = len(rest)
--- a/wheelstep/fleet/node.py
+++ b/wheelstep/fleet/node.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from wheelstep.fleet.content import Content
-from wheelstep.fleet.errands import PendingOperations, Saved
+from wheelstep.fleet.errands import OnSaved, PendingOperations
 from wheelstep.fleet.membership import Membership
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.placing import NodeSettings, PlacementRunner
@@ -32,7 +32,7 @@
 )
 from wheelstep.moves.taker import Taker
 
-VOTE = b"vote:"  # prefix of voter records in the fleet's log; records of moves have their own
+VOTE_PREFIX = b"vote:"  # prefix of voter records in the fleet's log; records of moves have their own
 
 
 class Node:
@@ -42,19 +42,19 @@
                  stored: Sequence[bytes], rng: random.Random, now_us: int) -> None:
         self.settings, self._content, self._rng = settings, content, rng
         self.membership = Membership(me, seeds, settings.members, rng, now_us)
-        self._errands = PendingOperations()
+        self._operations = PendingOperations()
         others = [name for name in settings.voters if name != me.name]
         self.voter: Voter | None = None
         if me.name in settings.voters:
-            rows = replay(data.removeprefix(VOTE) for data in stored if data.startswith(VOTE))
+            rows = replay(data.removeprefix(VOTE_PREFIX) for data in stored if data.startswith(VOTE_PREFIX))
             self.voter = Voter(me.name, others, settings.parts, settings.lease_us, settings.drift,
                                rows if FLEET in rows.rows else None, rows.place, now_us)
         self.owner = Owner(me.name, settings.voters, settings.parts, settings.lease_us, settings.drift,
                            settings.margin_us, rng, now_us)
         self.taker = Taker(me.name, content.version, settings.room, stored)
-        self.tenure = PartCoordinator(me.name, self.owner, self.taker, content, self._errands, settings.moves,
+        self.tenure = PartCoordinator(me.name, self.owner, self.taker, content, self._operations, settings.moves,
                                       settings.parts, now_us)
-        self.placing = PlacementRunner(me, settings, self.membership, self.owner, self.tenure, self._errands, rng,
+        self.placing = PlacementRunner(me, settings, self.membership, self.owner, self.tenure, self._operations, rng,
                                        now_us)
         self._me = me.name
         for part in range(settings.parts):
@@ -89,12 +89,12 @@
 
     @property
     def left(self) -> bool:
-        """Whether, after `leave`, no part is owned or moving, or the time for it is over."""
+        """Whether, after `leave`, no part is owned or moving here, or the time limit for giving them away is over."""
         return self.placing.left
 
     def snapshot(self) -> list[bytes]:
         """Return all records that the fleet's log must contain."""
-        votes = [VOTE + record for record in self.voter.snapshot()] if self.voter is not None else []
+        votes = [VOTE_PREFIX + record for record in self.voter.snapshot()] if self.voter is not None else []
         return votes + self.taker.snapshot()
 
     def leave(self, now_us: int) -> list[Action]:
@@ -117,7 +117,7 @@
     def tick(self, now_us: int) -> list[Action]:
         """Do what is due."""
         actions = self.membership.tick(now_us)
-        self.placing.saw(now_us, self.membership.changed())
+        self.placing.record_members(now_us, self.membership.changed())
         if self.membership.name_in_use:
             for part in self.owned(now_us):
                 self.owner.release(part)
@@ -125,9 +125,9 @@
         actions += self._run_owner(now_us)
         actions += self.tenure.tick(now_us, self.membership.members(), self.placing.holding)
         if self.voter is not None:
-            for name, stand in self.voter.recover(now_us):
-                actions.append(self._errands.call(
-                    name, stand, self.owner.timeout_us, partial(self._on_stood, name)))
+            for name, request in self.voter.due_requests(now_us):
+                actions.append(self._operations.call(
+                    name, request, self.owner.timeout_us, partial(self._on_stood, name)))
         actions += self.placing.tick(now_us, self._registers)
         return [*actions, *self._run_owner(now_us)]
 
@@ -136,7 +136,7 @@
     def packet(self, now_us: int, sender: str, address: str, packet: Packet) -> list[Action]:
         """Handle a datagram that `sender` sealed for this courier."""
         actions = self.membership.heard(now_us, sender, address, packet)
-        self.placing.saw(now_us, self.membership.changed())
+        self.placing.record_members(now_us, self.membership.changed())
         return actions
 
     def asked(self, now_us: int, token: int, sender: str, ask: Ask) -> list[Action]:
@@ -145,18 +145,18 @@
             if self.voter is None:
                 return []
             voted, records = self.voter.heard(now_us, sender, ask)
-            return self._voted(now_us, voted, records, lambda _: [Reply(token, voted)])
+            return self._reply_once_saved(now_us, voted, records, lambda _: [Reply(token, voted)])
         if isinstance(ask, Stand):
             return [Reply(token, self._registers(sender))]
         return [*self.tenure.asked(now_us, token, sender, ask), *self._run_owner(now_us)]
 
     def answered(self, now_us: int, token: int, answer: Answer | None) -> list[Action]:
         """Handle the answer to a `Call`, None after a timeout."""
-        return [*self._errands.answered(now_us, token, answer), *self._run_owner(now_us)]
+        return [*self._operations.answered(now_us, token, answer), *self._run_owner(now_us)]
 
     def saved(self, now_us: int, token: int, ok: bool) -> list[Action]:
         """Handle the completion of a `Save`; `ok` is whether it is on disk."""
-        return [*self._errands.saved(now_us, token, ok), *self._run_owner(now_us)]
+        return [*self._operations.saved(now_us, token, ok), *self._run_owner(now_us)]
 
     # --- votes ---
 
@@ -166,34 +166,35 @@
         for voter, votes in self.owner.tick(now_us):
             if voter == self._me and self.voter is not None:
                 voted, records = self.voter.heard(now_us, self._me, votes)
-                actions += self._voted(now_us, voted, records, partial(self._on_votes, voter, votes, answer=voted))
+                actions += self._reply_once_saved(
+                    now_us, voted, records, partial(self._on_votes, voter, votes, answer=voted))
             else:
-                actions.append(self._errands.call(
+                actions.append(self._operations.call(
                     voter, votes, self.owner.timeout_us, partial(self._on_votes, voter, votes)))
-        return [*actions, *self.tenure.heed(now_us, self.owner.events(now_us))]
+        return [*actions, *self.tenure.handle_events(now_us, self.owner.events(now_us))]
 
     def _on_votes(self, voter: str, votes: Votes, now_us: int, answer: Answer | None) -> list[Action]:
         voted = answer if isinstance(answer, Voted) else None
-        return self.tenure.heed(now_us, self.owner.answered(now_us, voter, votes, voted))
+        return self.tenure.handle_events(now_us, self.owner.answered(now_us, voter, votes, voted))
 
-    def _voted(self, now_us: int, voted: Voted, records: Sequence[bytes], then: Saved) -> list[Action]:
-        """Call `then` with the voter's answer once the records it depends on are on disk."""
+    def _reply_once_saved(self, now_us: int, voted: Voted, records: Sequence[bytes], then: OnSaved) -> list[Action]:
+        """Save the records that the voter's answer depends on, and call `then`, which sends the answer, after that."""
         def saved(at_us: int) -> list[Action]:
             assert self.voter is not None
             self.voter.saved(voted.place)
             return then(at_us)
-        return self._errands.save(now_us, [VOTE + record for record in records], saved)
+        return self._operations.save(now_us, [VOTE_PREFIX + record for record in records], saved)
 
     def _registers(self, sender: str) -> Stood:
         """Return the registers of this voter, for another voter or a courier that needs the owners."""
         if self.voter is None:
             return Stood(True)
-        return self.voter.stand(sender, self.owner.seen(sender))
+        return self.voter.registers_for(sender, self.owner.known_place(sender))
 
     def _on_stood(self, name: str, now_us: int, answer: Answer | None) -> list[Action]:
         """Handle another voter's registers; None after a timeout."""
         assert self.voter is not None
-        records = self.voter.stood(now_us, name, answer if isinstance(answer, Stood) else None)
+        records = self.voter.on_registers(now_us, name, answer if isinstance(answer, Stood) else None)
         place = self.voter.place
         if not records:
             return []
@@ -202,4 +203,4 @@
             assert self.voter is not None
             self.voter.saved(place)
             return [Note(f"voter: {'still recovering' if self.voter.blank else 'knows'} the registers")]
-        return self._errands.save(now_us, [VOTE + record for record in records], saved)
+        return self._operations.save(now_us, [VOTE_PREFIX + record for record in records], saved)
--- a/wheelstep/fleet/owner.py
+++ b/wheelstep/fleet/owner.py
@@ -81,9 +81,9 @@
         decided = self._parts[part].decided
         return decided if decided.epoch else None
 
-    def seen(self, voter: str) -> int:
+    def known_place(self, voter: str) -> int:
         """Return the highest log position known of a voter; 0 if none."""
-        return self._batches.seen.get(voter, 0)
+        return self._batches.known_places.get(voter, 0)
 
     def next_us(self) -> int:
         """Return when to call `tick` next."""
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -39,9 +39,9 @@
     """Plans every tenth of a lease, and at once after a change of a member."""
 
     def __init__(self, me: Member, settings: NodeSettings, membership: Membership, owner: Owner,
-                 tenure: PartCoordinator, errands: PendingOperations, rng: random.Random, now_us: int) -> None:
+                 tenure: PartCoordinator, operations: PendingOperations, rng: random.Random, now_us: int) -> None:
         self._settings, self._membership, self._owner = settings, membership, owner
-        self._tenure, self._errands, self._rng, self._me = tenure, errands, rng, me.name
+        self._tenure, self._operations, self._rng, self._me = tenure, operations, rng, me.name
         self._placement = Placement(me.name, settings.parts, settings.at_once, settings.pace_us, settings.probation_us)
         self._placement.record_member(now_us, me)
         self._swap: Swap | None = None
@@ -80,7 +80,7 @@
         self._tenure.taker.leaving = True
         self._next_plan_us = now_us
 
-    def saw(self, now_us: int, members: Iterable[Member]) -> None:
+    def record_members(self, now_us: int, members: Iterable[Member]) -> None:
         """Record changed members and plan at once."""
         for member in members:
             self._placement.record_member(now_us, member)
@@ -90,23 +90,23 @@
         """Return when to call `tick` next."""
         return min(self._next_plan_us, self._next_query_us)
 
-    def tick(self, now_us: int, stand: Callable[[str], Stood]) -> list[Action]:
-        """Do what is due. `stand` returns the registers of this courier's own voter."""
+    def tick(self, now_us: int, own_registers: Callable[[str], Stood]) -> list[Action]:
+        """Do what is due. `own_registers` returns the registers of this courier's own voter."""
         actions: list[Action] = []
         if now_us >= self._next_query_us:
             self._next_query_us = now_us + self._settings.lease_us // (1 if self._has_report else 10)
-            actions += self._query_voter(stand)
+            actions += self._query_voter(own_registers)
         if now_us >= self._next_plan_us:
             self._next_plan_us = now_us + self._settings.lease_us // 10
             actions += self._apply_plan(now_us)
         return actions
 
-    def _query_voter(self, stand: Callable[[str], Stood]) -> list[Action]:
+    def _query_voter(self, own_registers: Callable[[str], Stood]) -> list[Action]:
         """Query a random voter for its registers: a hint of the owners, not a decision."""
         voter = self._rng.choice(self._settings.voters)
         if voter == self._me:
-            return self._on_stood(0, stand(""))
-        return [self._errands.call(voter, Stand(), self._owner.timeout_us, self._on_stood)]
+            return self._on_stood(0, own_registers(""))
+        return [self._operations.call(voter, Stand(), self._owner.timeout_us, self._on_stood)]
 
     def _on_stood(self, _: int, answer: Answer | None) -> list[Action]:
         if isinstance(answer, Stood) and not answer.blank:
@@ -119,10 +119,10 @@
 
     def _apply_plan(self, now_us: int) -> list[Action]:
         """Acquire the parts that this courier should own, and start moving the others."""
-        for part, done, why in self._tenure.ended:
+        for part, done, why in self._tenure.ended_moves:
             if self._swap is not None:
                 self._swap.ended(now_us, part, done, why)
-        self._tenure.ended.clear()
+        self._tenure.ended_moves.clear()
         parts = range(self._settings.parts)
         for part in parts:
             self._placement.owned(part, self.owner_of(part))
--- a/wheelstep/fleet/proposer.py
+++ b/wheelstep/fleet/proposer.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 
 from wheelstep.fleet.ballots import NEVER_US, Decided, Event, Gained, Lost, PartState, Phase
-from wheelstep.fleet.batches import Batches, matching
+from wheelstep.fleet.batches import Batches, answers_match
 from wheelstep.fleet.types import Accept, Accepted, Ballot, Prepare, Promise, Refused, Voted, Votes
 
 MAX_ACQUISITIONS = 64  # parts acquired concurrently
@@ -43,7 +43,7 @@
         self._first_expiry_us = NEVER_US  # earliest expiry of a lease
         self._batches = Batches(voters, self.timeout_us)
         self._events: list[Event] = []
-        self.bad = 0  # invalid answers
+        self.invalid_answers = 0  # answers that do not fit their requests
 
     # --- time ---
 
@@ -123,11 +123,11 @@
 
     def _fail_round(self, state: PartState, now_us: int) -> None:
         """End a failed round; retry after other couriers' leases, else after a random, exponential backoff."""
-        short = self._majority - (len(self._voters) - len(state.lease_left_us))
-        lefts = sorted(state.lease_left_us.values())
+        leases_to_await = self._majority - (len(self._voters) - len(state.lease_left_us))
+        lease_times_us = sorted(state.lease_left_us.values())
         wait_us = 0
-        if short > 0:
-            wait_us = int(lefts[short - 1] * (1 + 2 * self._drift))
+        if leases_to_await > 0:
+            wait_us = int(lease_times_us[leases_to_await - 1] * (1 + 2 * self._drift))
         else:
             state.failures = min(state.failures + 1, 5)
         pause_us = int(self._backoff_us * 2 ** state.failures * self._rng.uniform(0.5, 1.5))
@@ -141,8 +141,8 @@
         self._expire(now_us)
         sent_us = self._batches.complete(voter, votes)
         if sent_us is not None:
-            if voted is None or not matching(votes, voted):
-                self.bad += voted is not None
+            if voted is None or not answers_match(votes, voted):
+                self.invalid_answers += voted is not None
                 self._on_no_answer(now_us, voter, votes)
             else:
                 self._batches.record_place(voter, voted)
@@ -216,10 +216,10 @@
             return
         until_us = state.majority_us(self._majority) + self._term_us  # in the future: a round is shorter than the term
         part = state.number
-        held = self._epoch[part]
-        if held and held != state.target.epoch:
-            self._events.append(Lost(part, held))
-        if held != state.target.epoch:
+        held_epoch = self._epoch[part]
+        if held_epoch and held_epoch != state.target.epoch:
+            self._events.append(Lost(part, held_epoch))
+        if held_epoch != state.target.epoch:
             self._events.append(Gained(part, state.target.epoch, until_us, state.target_first))
         self._end_acquisition(part)
         state.phase, state.transfer_to, state.keep_lease, state.failures = Phase.HELD, "", True, 0
--- a/wheelstep/fleet/register.py
+++ b/wheelstep/fleet/register.py
@@ -20,7 +20,7 @@
 import math
 from collections.abc import Sequence
 
-from wheelstep.fleet.rows import BEGUN, FLEET, NEW, Row, Rows, higher, record, replay
+from wheelstep.fleet.rows import BEGUN, FLEET, NEW, Row, Rows, encode_record, merge_rows, replay
 from wheelstep.fleet.types import (
     Accept,
     Accepted,
@@ -48,8 +48,8 @@
         self.name = name
         self.parts = parts
         self.place = place
-        self.bad = 0  # invalid requests
-        self.behind = 0  # times that a requester knew a later place than this log has
+        self.invalid_requests = 0  # requests with an impossible part, ballot, epoch or log position
+        self.times_behind = 0  # times that a requester knew a later place than this log has
         self._others = tuple(others)
         self._grant_us = math.ceil(lease_us * (1 + drift))
         self._retry_us = max(lease_us // 20, 1)
@@ -57,10 +57,10 @@
         self._saved = place  # all records up to this place are on disk
         self._blank = FLEET not in self._rows
         self._granted_until_us: dict[int, int] = {}  # part -> when its grant ends
-        self._quiet_until_us = now_us + self._grant_us  # only known holdings are renewed before
+        self._no_new_grants_until_us = now_us + self._grant_us  # only known holdings are renewed before
         self._expected_place = place  # highest place of this log reported by others
-        self._stood: dict[str, Stood] = {}
-        self._next_stand_us: dict[str, int] = {}
+        self._answers: dict[str, Stood] = {}  # by voter, since the start or the loss of state
+        self._next_request_us: dict[str, int] = {}
 
     @property
     def blank(self) -> bool:
@@ -68,23 +68,23 @@
         return self._blank or self._rows[FLEET].promised == NEW
 
     def saved(self, place: int) -> None:
-        """Report all records up to `place` (`Voted.place`, or `self.place` right after `stood`) as on disk."""
+        """Report all records up to `place` (`Voted.place`, or `self.place` right after `on_registers`) as on disk."""
         self._saved = max(self._saved, place)
 
     def snapshot(self) -> list[bytes]:
         """Return the whole state as records for a new log; none if blank."""
-        return [] if self._blank else [record(row.place, part, row) for part, row in sorted(self._rows.items())]
+        return [] if self._blank else [encode_record(row.place, part, row) for part, row in sorted(self._rows.items())]
 
     # --- requests of couriers ---
 
     def heard(self, now_us: int, sender: str, votes: Votes) -> tuple[Voted, list[bytes]]:
         """Return the answers in request order, and the records to save before sending them (none for a renewal)."""
         if not 0 <= votes.seen < NUMBER_LIMIT:
-            self.bad += 1
+            self.invalid_requests += 1
         elif votes.seen > self.place:
             self._expected_place = max(self._expected_place, votes.seen)
             if not self._blank:
-                self._forget()
+                self._discard_state()
                 return Voted(tuple(Refused(ask.part, "behind") for ask in votes.asks), 0), []
         if self.blank:
             return Voted(tuple(Refused(ask.part, "blank") for ask in votes.asks), 0), []
@@ -93,14 +93,14 @@
         touched: dict[int, None] = {}
         for ask in votes.asks:
             if not self._is_valid(sender, ask):
-                self.bad += 1
+                self.invalid_requests += 1
                 answers.append(Refused(ask.part, "ballot"))
                 continue
             answers.append(self._prepare(now_us, sender, ask) if isinstance(ask, Prepare)
                            else self._accept(now_us, sender, ask))
             touched[ask.part] = None
         # Records that an answer depends on are returned (again) unless known to be on disk.
-        records = [record(row.place, part, row) for part in touched
+        records = [encode_record(row.place, part, row) for part in touched
                    if (row := self._rows.get(part)) is not None and row.place > self._saved]
         return Voted(tuple(answers), self.place if self.place > before or records else self._saved), records
 
@@ -109,9 +109,10 @@
             return False
         return isinstance(ask, Prepare) or (0 < ask.holding.epoch < NUMBER_LIMIT and bool(ask.holding.owner))
 
-    def _left_us(self, now_us: int, sender: str, row: Row | None, part: int) -> int:
-        """Return how long `sender` is still refused: by another courier's lease, or by the quiet time after a start."""
-        left = max(self._quiet_until_us - now_us, 0)
+    def _refused_for_us(self, now_us: int, sender: str, row: Row | None, part: int) -> int:
+        """Return for how many microseconds `sender` is still refused: while another courier's lease runs, or while this
+        voter grants no new leases after a start."""
+        left = max(self._no_new_grants_until_us - now_us, 0)
         if row is not None and row.holding is not None and row.holding.owner != sender:
             left = max(left, self._granted_until_us.get(part, 0) - now_us)
         return left
@@ -123,8 +124,8 @@
         row = self._rows.get(ask.part)
         # Equal is refused too: an earlier run of this courier may have received a promise for the same ballot.
         if row is not None and ask.ballot <= row.promised:
-            return self._refusal(ask.part, "ballot", row, self._left_us(now_us, sender, row, ask.part))
-        if left := self._left_us(now_us, sender, row, ask.part):
+            return self._refusal(ask.part, "ballot", row, self._refused_for_us(now_us, sender, row, ask.part))
+        if left := self._refused_for_us(now_us, sender, row, ask.part):
             return self._refusal(ask.part, "lease", row, left)
         row = Row(ask.ballot, row.accepted if row else None, row.holding if row else None)
         self._store(ask.part, row)
@@ -133,13 +134,13 @@
     def _accept(self, now_us: int, sender: str, ask: Accept) -> Accepted | Refused:
         row = self._rows.get(ask.part)
         if row is not None and ask.ballot < row.promised:
-            return self._refusal(ask.part, "ballot", row, self._left_us(now_us, sender, row, ask.part))
+            return self._refusal(ask.part, "ballot", row, self._refused_for_us(now_us, sender, row, ask.part))
         if row is not None and row.accepted == ask.ballot and row.holding is not None:
             if row.holding != ask.holding:  # a ballot may propose only one holding
-                self.bad += 1
+                self.invalid_requests += 1
                 return self._refusal(ask.part, "ballot", row)
         else:
-            if left := self._left_us(now_us, sender, row, ask.part):
+            if left := self._refused_for_us(now_us, sender, row, ask.part):
                 return self._refusal(ask.part, "lease", row, left)
             if row is not None and row.holding is not None and ask.holding != row.holding \
                     and ask.holding.epoch <= row.holding.epoch:
@@ -152,19 +153,19 @@
         self.place += 1
         row.place = self.place
         self._rows[part] = row
-        return record(self.place, part, row)
+        return encode_record(self.place, part, row)
 
     # --- recovery after state loss or a start ---
 
-    def _forget(self) -> None:
-        self.behind += 1
+    def _discard_state(self) -> None:
+        self.times_behind += 1
         self._blank = True
-        self._stood.clear()
-        self._next_stand_us.clear()
+        self._answers.clear()
+        self._next_request_us.clear()
 
-    def stand(self, sender: str, seen: int = 0) -> Stood:
+    def registers_for(self, sender: str, seen: int = 0) -> Stood:
         """Return the answer to a `Stand` of another voter, or of a courier that needs the owners. `seen` is the highest
-        place of the requester's log known to this courier (`Owner.seen`)."""
+        place of the requester's log known to this courier (`Owner.known_place`)."""
         known_place = seen if sender in self._others else 0
         if self._blank:
             return Stood(True, (), known_place)
@@ -172,63 +173,64 @@
         rows = ((part, row.promised, row.accepted, row.holding) for part, row in sorted(self._rows.items()))
         return Stood(False, tuple(rows) if begun else (), known_place)
 
-    def recover(self, now_us: int) -> list[tuple[str, Stand]]:
-        """Return the voters to ask now: all while blank; after a start each once, as the disk may be outdated."""
-        if not self.blank and now_us >= self._quiet_until_us:
+    def due_requests(self, now_us: int) -> list[tuple[str, Stand]]:
+        """Return the requests for registers to send now, by voter: to all others while blank; after a start to each
+        once, as the disk may be outdated."""
+        if not self.blank and now_us >= self._no_new_grants_until_us:
             return []
-        due = [name for name in self._others if self._next_stand_us.get(name, now_us) <= now_us
-               and (self.blank or name not in self._stood)]
+        due = [name for name in self._others if self._next_request_us.get(name, now_us) <= now_us
+               and (self.blank or name not in self._answers)]
         for name in due:
-            self._next_stand_us[name] = now_us + self._retry_us
+            self._next_request_us[name] = now_us + self._retry_us
         return [(name, Stand()) for name in due]
 
-    def stood(self, now_us: int, voter: str, told: Stood | None) -> list[bytes]:
+    def on_registers(self, now_us: int, voter: str, stood: Stood | None) -> list[bytes]:
         """Handle another voter's answer, None after a timeout. Return the records to save; call `saved(place)` then."""
-        if told is None or voter not in self._others:
+        if stood is None or voter not in self._others:
             return []
-        self._expected_place = max(self._expected_place, told.seen)
-        self._stood[voter] = told
-        if not self._blank and told.seen > self.place:
-            self._forget()
-            self._stood[voter] = told
+        self._expected_place = max(self._expected_place, stood.seen)
+        self._answers[voter] = stood
+        if not self._blank and stood.seen > self.place:
+            self._discard_state()
+            self._answers[voter] = stood
         if not self.blank:
-            return self._merge([told])
-        informed = [answer for answer in self._stood.values() if not answer.blank]
+            return self._merge([stood])
+        informed = [answer for answer in self._answers.values() if not answer.blank]
         begun = [answer for answer in informed if answer.rows]
         voters = len(self._others) + 1
         if begun and len(informed) >= voters - voters // 2:
             return self._start_voting(now_us, begun)
-        if begun or len(self._stood) < len(self._others):
+        if begun or len(self._answers) < len(self._others):
             return []
         # All others are blank too. Each voter first records its agreement, and votes once all the others have.
         if self._blank and self._rows.keys() <= {FLEET}:
             self._blank = False
-            self._stood.clear()
-            self._next_stand_us.clear()
+            self._answers.clear()
+            self._next_request_us.clear()
             return [self._store(FLEET, Row(NEW))]
         return self._start_voting(now_us, []) if not self._blank and len(informed) == len(self._others) else []
 
     def _start_voting(self, now_us: int, begun: Sequence[Stood]) -> list[bytes]:
         """Start voting. After state loss, grant nothing for a whole lease."""
-        self._quiet_until_us = now_us
+        self._no_new_grants_until_us = now_us
         if self._blank:
             self.place = max(self.place, self._expected_place) + RECOVERY_STRIDE
-            self._quiet_until_us += self._grant_us
+            self._no_new_grants_until_us += self._grant_us
         self._blank = False
         self._granted_until_us.clear()
         self._rows[FLEET] = Row(BEGUN)
         self._merge(begun)
         return [self._store(part, row) for part, row in sorted(self._rows.items())]
 
-    def _merge(self, told: Sequence[Stood]) -> list[bytes]:
+    def _merge(self, answers: Sequence[Stood]) -> list[bytes]:
         """Merge the higher promises and epochs, as if the proposers' own messages had arrived by this way."""
         records = []
-        for stood in told:
+        for stood in answers:
             for part, promised, accepted, holding in stood.rows:
                 if not 0 <= part < self.parts:
                     continue
                 row = self._rows.get(part)
-                best = higher(row, Row(promised, accepted, holding))
+                best = merge_rows(row, Row(promised, accepted, holding))
                 if best is not None:
                     records.append(self._store(part, best))
         return records
--- a/wheelstep/fleet/rows.py
+++ b/wheelstep/fleet/rows.py
@@ -44,7 +44,7 @@
 _DECODER = msgspec.msgpack.Decoder(_Record)
 
 
-def record(place: int, part: int, row: Row) -> bytes:
+def encode_record(place: int, part: int, row: Row) -> bytes:
     """Return the log record of a row."""
     return _ENCODER.encode(_Record(place, part, row.promised, row.accepted, row.holding))
 
@@ -53,20 +53,21 @@
     """Return the state after the records; the last record of a part wins. Raises `msgspec.DecodeError` for bad data."""
     state = Rows()
     for data in records:
-        read = _DECODER.decode(data)
-        state.rows[read.part] = Row(read.promised, read.accepted, read.holding, read.place)
-        state.place = max(state.place, read.place)
+        decoded = _DECODER.decode(data)
+        state.rows[decoded.part] = Row(decoded.promised, decoded.accepted, decoded.holding, decoded.place)
+        state.place = max(state.place, decoded.place)
     return state
 
 
-def higher(row: Row | None, other: Row) -> Row | None:
+def merge_rows(row: Row | None, other: Row) -> Row | None:
     """Merge two rows: the higher promise and the holding of the higher epoch; None if `other` adds nothing."""
     if row is None:
         return other
     promised = max(row.promised, other.promised)
-    mine, its = ((each.holding.epoch, each.accepted) if each.holding and each.accepted else (0, Ballot(0, ""))
-                 for each in (row, other))
-    if promised == row.promised and mine >= its:
+    own_key, other_key = (
+        (each.holding.epoch, each.accepted) if each.holding and each.accepted else (0, Ballot(0, ""))
+        for each in (row, other))
+    if promised == row.promised and own_key >= other_key:
         return None
-    best = row if mine >= its else other
+    best = row if own_key >= other_key else other
     return Row(max(promised, best.promised), best.accepted, best.holding)
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -18,21 +18,22 @@
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Late, Move, Moved, Offer, Piece, Seal
 
-CALL_US = 1_000_000  # timeout of a request of a move
+REQUEST_TIMEOUT_US = 1_000_000  # timeout of a request of a move
 ORPHAN_CHECK_US = 500_000  # between checks for content of parts owned by others
 MAX_ORPHANS = 32  # reported to the owner of a part per check
 SYNC_RECORD = b"sync"  # empty record: once it is saved, what the content wrote before is on disk too
 
 
 class PartCoordinator:
-    """Moves of parts to and from this courier. `ended` lists finished moves: part, whether it was given, reason."""
+    """Moves of parts to and from this courier. `ended_moves` lists finished moves away: part, whether it was given,
+    reason."""
 
-    def __init__(self, me: str, owner: Owner, taker: Taker, content: Content, errands: PendingOperations,
+    def __init__(self, me: str, owner: Owner, taker: Taker, content: Content, operations: PendingOperations,
                  limits: GiverLimits, parts: int, now_us: int) -> None:
         self.me, self.owner, self.taker = me, owner, taker
-        self._content, self._errands, self._limits, self._parts = content, errands, limits, parts
+        self._content, self._operations, self._limits, self._parts = content, operations, limits, parts
         self.givers: dict[int, Giver] = {}
-        self.ended: list[tuple[int, bool, str]] = []
+        self.ended_moves: list[tuple[int, bool, str]] = []
         self._decided: dict[int, Ownership] = {}  # newest holding known to be decided, by part
         self._sealed_check_us: dict[int, int] = {}  # by part with a complete copy here: when to check the owner
         self._next_orphan_check_us = now_us + ORPHAN_CHECK_US
@@ -52,8 +53,10 @@
         times = [giver.next_us() for giver in self.givers.values()]
         return min([self._next_orphan_check_us, *times, *self._sealed_check_us.values()], default=NEVER_US)
 
-    def tick(self, now_us: int, here: Mapping[str, object], holding: Callable[[int], Ownership | None]) -> list[Action]:
-        """Do what is due. `here` are the reachable members; `holding` returns the known holding of a part."""
+    def tick(self, now_us: int, reachable: Mapping[str, object],
+             holding_of: Callable[[int], Ownership | None]) -> list[Action]:
+        """Do what is due. `reachable` are the members that are not gone, by name; `holding_of` returns the newest known
+        holding of a part, None if there is none."""
         actions: list[Action] = []
         for giver in list(self.givers.values()):
             actions += self._execute(now_us, giver, giver.tick(now_us))
@@ -65,12 +68,12 @@
                 self.owner.want(part, at_once=True)
         if now_us >= self._next_orphan_check_us:
             self._next_orphan_check_us = now_us + ORPHAN_CHECK_US
-            actions += self._start_orphan_reports(here, holding)
+            actions += self._start_orphan_reports(reachable, holding_of)
         return actions
 
     # --- ownership events ---
 
-    def heed(self, now_us: int, events: Iterable[Event]) -> list[Action]:
+    def handle_events(self, now_us: int, events: Iterable[Event]) -> list[Action]:
         """Handle ownership events."""
         actions: list[Action] = []
         for event in events:
@@ -86,7 +89,7 @@
             first = event.first if isinstance(event, Gained) else 0
             records = self.taker.observe_holding(event.part, holding.epoch, holding.owner, first)
             if (giver := self.givers.get(event.part)) is not None:
-                actions += self._errands.save(now_us, records)
+                actions += self._operations.save(now_us, records)
                 actions += self._execute(now_us, giver, giver.decided(now_us, holding.epoch, holding.owner))
                 if not giver.over or giver.epoch + 1 == holding.epoch:
                     continue
@@ -96,9 +99,9 @@
             elif holding.owner == self.me:
                 # The copy handed over is valid only if these records are on disk before the next epoch is requested.
                 part = event.part
-                actions += self._errands.save(now_us, records, partial(self._want, part))
+                actions += self._operations.save(now_us, records, partial(self._want, part))
             else:
-                actions += self._errands.save(now_us, records)
+                actions += self._operations.save(now_us, records)
                 self.owner.unwant(event.part)
         return actions
 
@@ -109,12 +112,12 @@
     def _gained(self, now_us: int, event: Gained, records: list[bytes]) -> list[Action]:
         part, epoch = event.part, event.epoch
         if self.taker.sealed_epoch(part) is None:
-            return [*self._errands.save(now_us, records), *self._open(event, now_us)]
+            return [*self._operations.save(now_us, records), *self._open(event, now_us)]
         self.opening.add(part)
         self._content.adopt(part, epoch, self.taker.pieces(part))
         records = [*records, *self.taker.adopted(part, epoch)]
         self._sealed_check_us.pop(part, None)
-        return self._errands.save(now_us, records, partial(self._open, event))
+        return self._operations.save(now_us, records, partial(self._open, event))
 
     def _open(self, event: Gained, now_us: int) -> list[Action]:
         self.opening.discard(event.part)
@@ -137,7 +140,8 @@
         for act in acts:
             match act:
                 case SendRequest(ask):
-                    actions.append(self._errands.call(giver.to, ask, CALL_US, partial(self._on_answer, giver, ask)))
+                    actions.append(self._operations.call(
+                        giver.to, ask, REQUEST_TIMEOUT_US, partial(self._on_answer, giver, ask)))
                 case Commit(part, to):
                     self.owner.give(now_us, part, to)
                 case TakeBack(part):
@@ -145,7 +149,7 @@
                 case Ended(done, why):
                     if self.givers.get(giver.part) is giver:
                         del self.givers[giver.part]
-                    self.ended.append((giver.part, done, why))
+                    self.ended_moves.append((giver.part, done, why))
                     how = "given to" if done else "not given to"
                     text = "" if done else f": {why}"
                     actions.append(Note(f"part {giver.part} {how} {giver.to}{text}"))
@@ -160,16 +164,16 @@
     def asked(self, now_us: int, token: int, sender: str, ask: Ask) -> list[Action]:
         """Handle a request about a move to this courier, or about a part that it owns."""
         if isinstance(ask, Late):
-            return self._late(now_us, token, ask)
+            return self._on_late(now_us, token, ask)
         assert isinstance(ask, Offer | Chunk | Seal | Cancel | Given)
         moved, records = self.taker.heard(now_us, sender, ask, self._decided.get(ask.part))
         if isinstance(ask, Seal) and moved.ok:
             self._sealed_check_us[ask.part] = now_us + self.owner.timeout_us * 3
         if isinstance(ask, Given) and moved.ok:
             self._sealed_check_us[ask.part] = now_us  # the register names this courier as owner: request the lease
-        return self._errands.save(now_us, records, lambda _: [Reply(token, moved)], behind=True)
+        return self._operations.save(now_us, records, lambda _: [Reply(token, moved)], after_pending=True)
 
-    def _late(self, now_us: int, token: int, ask: Late) -> list[Action]:
+    def _on_late(self, now_us: int, token: int, ask: Late) -> list[Action]:
         if not 0 <= ask.part < self._parts:
             moved = Moved(ask.part, ask.epoch, False, why=f"part {ask.part}, expected 0 to {self._parts - 1}")
             return [Reply(token, moved)]
@@ -179,15 +183,15 @@
             return [Reply(token, Moved(ask.part, ask.epoch, False, why="not the owner just now", again_us=again_us))]
         taken = self._content.late(ask.part, ask.message, ask.outcome, ask.piece)
         moved = Moved(ask.part, mine, taken, why="" if taken else "no room for it under its contract")
-        return self._errands.save(now_us, [SYNC_RECORD], lambda _: [Reply(token, moved)])  # syncs the content too
+        return self._operations.save(now_us, [SYNC_RECORD], lambda _: [Reply(token, moved)])  # syncs the content too
 
-    def _start_orphan_reports(self, here: Mapping[str, object],
-                              known: Callable[[int], Ownership | None]) -> list[Action]:
+    def _start_orphan_reports(self, reachable: Mapping[str, object],
+                              holding_of: Callable[[int], Ownership | None]) -> list[Action]:
         """Start reporting orphans to the owners of their parts, also to owners known only from a voter's report."""
         actions: list[Action] = []
         for part in range(self._parts):
-            holding = known(part)
-            if holding is None or holding.owner == self.me or holding.owner not in here or part in self.givers \
+            holding = holding_of(part)
+            if holding is None or holding.owner == self.me or holding.owner not in reachable or part in self.givers \
                     or part in self._reporting or self.taker.sealed_epoch(part) is not None:
                 continue
             pieces = self._content.orphans(part)[:MAX_ORPHANS]
@@ -211,4 +215,4 @@
                 return [self._report_orphans(part, holding, pieces[1:])]
             self._reporting.discard(part)
             return []
-        return self._errands.call(holding.owner, ask, CALL_US, heard)
+        return self._operations.call(holding.owner, ask, REQUEST_TIMEOUT_US, heard)
--- a/wheelstep/fleet/view.py
+++ b/wheelstep/fleet/view.py
@@ -50,16 +50,16 @@
         """Raise the health multiplier, on a sign that this courier is slow or badly connected."""
         self.health = min(self.limits.max_health, self.health + by)
 
-    def merge(self, update: Member, now_us: int, rolled: bool = False) -> None:
-        """Apply an update of another member and queue it for gossip if it is new. From a roll (`rolled`), members that
-        were unknown are not gossiped: they are new only to this courier."""
+    def merge(self, update: Member, now_us: int, from_roll: bool = False) -> None:
+        """Apply an update of another member and queue it for gossip if it is new. Unknown members `from_roll` are not
+        gossiped: they are new only to this courier."""
         name = update.name
         before = self.roster.get(name)
         if not self.roster.merge(update, now_us):
             return
         after = self.roster.get(name)
         assert after is not None
-        if before is not None or not rolled:
+        if before is not None or not from_roll:
             self.news.add(after)
         if after.state is State.SUSPECT:
             if name not in self.suspicions or self.suspicions[name].incarnation < after.incarnation:
