--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -16,32 +16,32 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from fleet import Fleet, S, halved, hot, restarted, small  # noqa: E402
+from fleet import Fleet, S, limit_below_senders, limit_halved, mass_restart, near_limit  # noqa: E402
 
 
 def together(seed: int, senders: int) -> Fleet:
-    return hot(seed, senders).run(15 * S)
+    return near_limit(seed, senders).run(15 * S)
 
 
 def silent(seed: int, senders: int) -> Fleet:
-    return hot(seed, senders, reports=False).run(15 * S)
+    return near_limit(seed, senders, reports=False).run(15 * S)
 
 
 Figure = tuple[str, Callable[[Fleet], float]]
 SCENES: Sequence[tuple[str, Callable[[int, int], Fleet], Sequence[Figure]]] = (
     ("start together, 130/s in calls of up to 5, limit 48", together, (
-        ("calls in the first second", lambda f: f.rate(0, 1)), ("refused, 0 to 2 s", lambda f: f.refused(0, 2)),
-        ("refused, 3 to 15 s", lambda f: f.refused(3, 15)), ("served a second", lambda f: f.rate(3, 15, True)),
-        ("largest share over median", Fleet.unfair))),
-    ("limit halved from 8 to 17 s, 190/s", halved, (
-        ("refused meanwhile", lambda f: f.refused(8, 17)), ("served meanwhile", lambda f: f.rate(8, 17, True)),
-        ("seconds to 85% of the limit restored", lambda f: f.reaches(0.85, 48, 17)))),
-    ("three of four restart at 8 s", restarted, (
-        ("refused, 8 to 11 s", lambda f: f.refused(8, 11)), ("served a second", lambda f: f.rate(9, 16, True)))),
-    ("limit 20, smaller than the senders", small, (
-        ("refused", lambda f: f.refused(3, 15)), ("served a second", lambda f: f.rate(3, 15, True)))),
+        ("calls in the first second", lambda f: f.rate(0, 1)), ("refused, 0 to 2 s", lambda f: f.refused_share(0, 2)),
+        ("refused, 3 to 15 s", lambda f: f.refused_share(3, 15)), ("served a second", lambda f: f.rate(3, 15, True)),
+        ("largest share over median", Fleet.unfairness))),
+    ("limit halved from 8 to 17 s, 190/s", limit_halved, (
+        ("refused meanwhile", lambda f: f.refused_share(8, 17)), ("served meanwhile", lambda f: f.rate(8, 17, True)),
+        ("seconds to 85% of the limit restored", lambda f: f.seconds_until(0.85, 48, 17)))),
+    ("three of four restart at 8 s", mass_restart, (
+        ("refused, 8 to 11 s", lambda f: f.refused_share(8, 11)), ("served a second", lambda f: f.rate(9, 16, True)))),
+    ("limit 20, smaller than the senders", limit_below_senders, (
+        ("refused", lambda f: f.refused_share(3, 15)), ("served a second", lambda f: f.rate(3, 15, True)))),
     ("no reports, limit 48", silent, (
-        ("refused, 0 to 3 s", lambda f: f.refused(0, 3)), ("served a second", lambda f: f.rate(3, 15, True)))),
+        ("refused, 0 to 3 s", lambda f: f.refused_share(0, 3)), ("served a second", lambda f: f.rate(3, 15, True)))),
 )
 
 
