--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -1,4 +1,4 @@
-"""Histories of a fleet built step by step, for tests of its judge."""
+"""Synthetic histories of a fleet, for tests of its judge."""
 
 from __future__ import annotations
 
@@ -17,13 +17,15 @@
 
 
 class Scene:
-    """Builds a history step by step. Numbers of a channel are named by it: `k#3` is message 3 of channel k."""
+    """Builds a history step by step; each step returns the scene. By default a message is named by its channel and
+    number: `k#3` is message 3 of channel k."""
 
     def __init__(self, end_us: int = 30 * S) -> None:
         self.history = FleetHistory(History(FIGURES, end_us=end_us), 16, CONTRACTS)
 
     def take(self, number: int, at_us: int, channel: str = CHANNEL, courier: str = "c0", status: int = 202,
              message: str = "", following: int | None = None) -> Scene:
+        """Submit a message, answered after 1 ms with `status`; `following` is the next number in the answer."""
         name = message or f"{channel}#{number}"
         self.history.add(Asked(at_us, courier, channel, number, 1, name, "item-status", 1, channel, number,
                                at_us + 10 * S))
@@ -33,25 +35,31 @@
 
     def call(self, number: int, at_us: int, epoch: int = 1, courier: str = "c0", channel: str = CHANNEL,
              fate: Fate = Fate.DELIVERED, took_us: int = 20 * MS, how: How = How.ANSWERED, message: str = "") -> Scene:
+        """Call endpoint "e0" with a message under an epoch."""
         name = message or f"{channel}#{number}"
         self.history.add(Touch(courier, "e0", channel, number, epoch, name, at_us, at_us + took_us, how, fate))
         self.history.base.add(Call(courier, "e0", 1, at_us, at_us, (name,), how, at_us + took_us, (fate,), (True,)))
         return self
 
     def notice(self, number: int, at_us: int, channel: str = CHANNEL, outcome: str = "given_up") -> Scene:
+        """Notify of a message's terminal outcome."""
         self.history.base.add(Notice(at_us, "c0", f"{channel}#{number}", outcome))
         return self
 
     def gone(self, courier: str, begin_us: int, end_us: int, disk: bool = True) -> Scene:
+        """Stop a courier for a while; without `disk` it loses its disk."""
         self.history.add(Gone(courier, begin_us, end_us, disk))
         return self
 
     def look(self, at_us: int, status: int, next_number: int = 0, courier: str = "c0", last: bool = False) -> Scene:
+        """Ask a courier for the channel's next number; `last` marks the check at the end of the run."""
         self.history.add(Looked(at_us, at_us - MS, courier, CHANNEL, status, next_number, last))
         return self
 
     def breaches(self) -> tuple[Breach, ...]:
+        """Return the breaches that the judge finds."""
         return judge_fleet(self.history).breaches
 
     def broken(self) -> set[FleetRule]:
+        """Return the rules that the judge finds broken."""
         return {breach.rule for breach in self.breaches()}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
     return Member(name, incarnation, state, address or f"@{name}", f"http://{name}")
 
 
-def alone(limits: Limits | None = None, **seeds: str) -> Membership:
+def with_a_and_b(limits: Limits | None = None, **seeds: str) -> Membership:
     """Return courier "me", which knows "a" and "b"."""
     courier = Membership(member("me", 3), seeds, limits or Limits(), random.Random(1), 0)
     courier.heard(0, "a", "@a", Roll(0, (member("a", 1), member("b", 1))))
@@ -147,7 +147,7 @@
 
 def test_gone_member_returns_only_with_a_higher_incarnation() -> None:
     """Delayed updates of the same incarnation must not revive a gone member."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     for told in (member("a", 1), member("a", 0), member("a", 1, State.SUSPECT), member("a", 1, State.LEAVING)):
         courier.heard(2, "b", "@b", Ping(2, (member("b", 1), told)))
@@ -158,7 +158,7 @@
 
 def test_gone_member_is_informed_and_its_updates_of_others_are_ignored() -> None:
     """A member that returns from a partition has outdated views of others."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     actions = courier.heard(2, "a", "@a", Ping(9, (member("a", 1), member("b", 1, State.GONE))))
     assert courier.members()["b"].state is State.ALIVE
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("state", [State.SUSPECT, State.GONE])
 def test_suspected_courier_refutes_with_a_higher_incarnation(state: State) -> None:
     """A live member that does not refute is declared gone."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("me", 3, state))))
     assert (courier.me.incarnation, courier.me.state, courier.health) == (4, State.ALIVE, 1)
     courier.heard(2, "a", "@a", Ping(2, (member("a", 1), member("me", 3, state))))
@@ -181,7 +181,7 @@
 
 def test_unknown_sender_gets_a_hello_and_its_updates_are_ignored() -> None:
     """A forged name must not bring members into the table."""
-    courier = alone()
+    courier = with_a_and_b()
     told = (member("x"), member("y"))
     assert courier.heard(1, "x", "@x", Ping(1, told)) == [SendPacket("@x", Hello((courier.me,)))]
     assert courier.heard(2, "x", "@x", PingReq(1, "a", told)) == []  # at most one per 200 ms
@@ -192,7 +192,7 @@
 
 
 def test_malformed_members_and_members_beyond_the_limit_are_refused() -> None:
-    courier = alone(Limits(members_most=4))
+    courier = with_a_and_b(Limits(members_most=4))
     bad = [member("z" * 65), member("z", -1), member("z", 1 << 62), member(""), member("z", address="z" * 65)]
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), *bad)))
     assert set(courier.members()) == {"me", "a", "b"} and courier.refused["malformed"] == 5
@@ -201,7 +201,7 @@
 
 
 def test_seed_addresses_override_announced_ones() -> None:
-    courier = alone(a="@relay")
+    courier = with_a_and_b(a="@relay")
     assert courier.address_of("a") == "@relay" and courier.name_at("@relay") == "a" and courier.address_of("b") == "@b"
     assert courier.heard(1, "a", "@elsewhere", Ping(4, (member("a", 1),))) == [
         SendPacket("@relay", Ack(4, (courier.me,)))]
@@ -243,7 +243,7 @@
 
 def test_late_tick_worsens_own_health_and_suspects_nobody() -> None:
     """A tick 10 s late is a stall of this courier, not a failure of its probe target."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.tick(courier.next_us())  # sends a probe
     actions = courier.tick(10_000_000)
     assert [one.text for one in actions if isinstance(one, Note)][0].startswith("fleet: this courier was stalled")
--- a/tests/test_membership_news.py
+++ b/tests/test_membership_news.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from tests.test_membership import alone, member
+from tests.test_membership import member, with_a_and_b
 from wheelstep.fleet.membership import Limits
 from wheelstep.fleet.news import News, Rolls
 from wheelstep.fleet.roster import INCARNATION_LIMIT, Roster
@@ -68,7 +68,7 @@
 
 def test_sender_of_a_roll_with_gone_members_gets_them_as_suspects() -> None:
     """Views that differ after a partition must converge: the members refute if alive."""
-    courier = alone()
+    courier = with_a_and_b()
     gone = [member(f"g{number}", 1, GONE) for number in range(40)]
     for one in gone:
         courier.heard(1, "b", "@b", Ping(1, (member("b", 1), msgspec.structs.replace(one, state=State.ALIVE))))
@@ -85,7 +85,7 @@
 
 def test_roll_update_of_a_known_member_is_gossiped() -> None:
     """Such an update may be new to other members too."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "b", "@b", Roll(0, (member("b", 1), member("a", 2), member("new"))))
     (action,) = courier.heard(2, "b", "@b", Ping(1, (member("b", 1),)))
     assert isinstance(action, SendPacket) and action.packet == Ack(1, (courier.me, member("a", 2)))
@@ -93,7 +93,7 @@
 
 def test_leaving_and_gone_are_announced_and_a_gone_courier_is_silent() -> None:
     """After GONE the courier must neither send nor answer."""
-    courier = alone()
+    courier = with_a_and_b()
     assert {(one.address, one.packet.news[0].state) for one in courier.leave(1)} == {  # type: ignore[union-attr]
         ("@a", State.LEAVING), ("@b", State.LEAVING)}
     assert courier.leave(2) == []
@@ -104,7 +104,7 @@
 
 def test_leaving_member_is_informed_of_its_suspicion() -> None:
     """LEAVING overrules SUSPECT in its state, but it must still learn of it to refute it."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1, State.LEAVING),)))
     courier._view.suspect(courier.members()["a"], 1)
     (action,) = courier.heard(2, "a", "@a", Ping(2, (member("a", 1, State.LEAVING),)))
@@ -113,7 +113,7 @@
 
 def test_ack_from_a_gone_member_is_answered_by_a_hello() -> None:
     """The hello tells the member that it is considered gone."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, GONE))))
     assert courier.heard(2, "a", "@a", Ack(1, (member("a", 1),))) == [
         SendPacket("@a", Hello((courier.me, member("a", 1, GONE))))]
@@ -121,7 +121,7 @@
 
 def test_refutation_exceeds_the_update_and_stays_below_the_incarnation_limit() -> None:
     """A forged update at the limit must not use up the incarnations."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("me", 7, SUSPECT))))
     assert courier.me.incarnation == 8
     courier.heard(2, "a", "@a", Ping(1, (member("a", 1), member("me", INCARNATION_LIMIT - 1, SUSPECT))))
@@ -130,7 +130,7 @@
 
 def test_duplicate_gets_a_hello_and_its_updates_are_ignored() -> None:
     """The hello tells the duplicate which courier holds the name."""
-    courier = alone()
+    courier = with_a_and_b()
     actions = courier.heard(1, "a", "@z", Ping(1, (member("a", 9, address="@z"), member("b", 1, GONE))))
     assert [one for one in actions if not isinstance(one, Note)] == [
         SendPacket("@z", Hello((courier.me, member("a", 1))))]
