--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -145,11 +145,11 @@
     def give() -> None:
         giver = run.fleet[run.owners()[part][0]]
         to = next(name for name in run.fleet if name != giver.name)
-        giver.enter(giver.life, lambda: giver.do(giver.node.tenure.give(giver.own_us(), part, to)))
+        giver.enter(giver.life, lambda: giver.do(giver.node.coordinator.give(giver.own_us(), part, to)))
         look(giver)
 
     def look(giver: Machine) -> None:
-        sealed = [one.to for one in giver.node.tenure.givers.values() if one.step is Step.HANDING]
+        sealed = [one.to for one in giver.node.coordinator.givers.values() if one.step is Step.HANDING]
         if not sealed:
             return world.after(MS // 2, look, giver) if world.now_us < 5 * S and giver.alive else None
         pairs.extend((to, giver.name) for to in sealed)
--- a/wheelstep/fleet/ballots.py
+++ b/wheelstep/fleet/ballots.py
@@ -57,7 +57,7 @@
     voter agreed to, `refused_by` are voters that refused or did not answer, `unanswered` those to ask again,
     `lease_left_us` the time left of other couriers' leases. `reported` is the newest holding reported by each voter."""
 
-    number: int
+    number: int  # of the part
     phase: Phase = Phase.IDLE
     wanted: bool = False
     keep_lease: bool = False  # a lease is held, and is kept in the next round
@@ -75,8 +75,8 @@
     epoch: int = 0  # the last epoch in which this courier held a lease
     highest_number: int = 0  # highest ballot number seen
     round_start_us: int = 0
-    due_us: int = 0
-    failures: int = 0
+    due_us: int = 0  # when the next round, resend or renewal is due
+    failures: int = 0  # consecutive failed rounds that no other courier's lease explains, up to 5
 
     def newest(self) -> Ownership:
         """Return the holding with the highest epoch seen; it may not be decided."""
--- a/wheelstep/fleet/content.py
+++ b/wheelstep/fleet/content.py
@@ -10,7 +10,7 @@
 
 class Content(Protocol):
     """Channels and messages of a courier by part. The name of a piece starts with "m:" for a message, "c:" for a
-    position."""
+    channel's position; among orphans also "o:" for the outcome of a call."""
 
     version: int  # of the format of the pieces
 
@@ -27,7 +27,7 @@
         """Return the number of calls of the part without an outcome yet."""
 
     def shut(self, part: int) -> None:
-        """Accept no message and begin no attempt for the part until `open`."""
+        """Accept no message and start no attempt for the part until `open`."""
 
     def open(self, part: int, epoch: int, first: int = 0) -> None:
         """Serve the part under this epoch, including what is stored of it. No other courier can have owned it since
@@ -41,10 +41,13 @@
         """Drop the part without reporting outcomes: another courier owes them now."""
 
     def orphans(self, part: int) -> list[Piece]:
-        """Return messages of a part owned by another courier that are stored here or were kept when the lease ended."""
+        """Return what must be reported to the owner of a part owned by another courier: positions, then messages stored
+        here, then outcomes of calls that ended while the part was shut."""
 
     def settle(self, part: int, verdicts: Mapping[str, bool]) -> None:
-        """Apply the owner's answers by message: True, the owner owes it now; False, it ends here with a notice."""
+        """Apply the owner's answers by name of the piece: for a message, True means that the owner owes it now, False
+        that it ends here with a notification."""
 
     def late(self, part: int, message: str, outcome: str, piece: bytes) -> bool:
-        """Handle a call's outcome or a message from a former owner. Return whether it is accepted."""
+        """Handle a piece named `message` that a former owner reports: a position or a message (`piece`), or a call's
+        `outcome`. Return whether it is accepted."""
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -38,7 +38,8 @@
 
 
 class FleetDaemon:
-    """The fleet daemon. The core uses `kept` in place of the journal. Raises `ConfigError`."""
+    """Runs the node of a fleet beside a courier's core. The core uses `kept` in place of the journal. Raises
+    `ConfigError`."""
 
     lists = False  # endpoints come from discovery
 
@@ -96,10 +97,10 @@
 
     def _owner(self, part: int) -> tuple[str, float]:
         """Return the client address for a part not served here ("" if unknown), and the retry delay in seconds."""
-        serves = self.node.serves(part)
+        serves = self.node.client_address(part)
         if serves != self.node.membership.me.serves and serves:
             return serves, _MOVE_RETRY_S
-        return "", _MOVE_RETRY_S if self.node.moving(part) else self._part.lease / 4e6
+        return "", _MOVE_RETRY_S if self.node.is_moving(part) else self._part.lease / 4e6
 
     async def start(self) -> None:
         """Listen for peers and start the node. Raises `ConfigError`."""
--- a/wheelstep/fleet/node.py
+++ b/wheelstep/fleet/node.py
@@ -36,7 +36,8 @@
 
 
 class Node:
-    """The node. `stored` are the records of the fleet's log, `seeds` the addresses of peers by name."""
+    """Decides for one courier of a fleet. `me` is the courier as announced to others, `seeds` are the addresses of
+    peers by name, `content` holds the channels, and `stored` are the records of the fleet's log."""
 
     def __init__(self, me: Member, settings: NodeSettings, seeds: Mapping[str, str], content: Content,
                  stored: Sequence[bytes], rng: random.Random, now_us: int) -> None:
@@ -52,10 +53,10 @@
         self.owner = Owner(me.name, settings.voters, settings.parts, settings.lease_us, settings.drift,
                            settings.margin_us, rng, now_us)
         self.taker = Taker(me.name, content.version, settings.room, stored)
-        self.tenure = PartCoordinator(me.name, self.owner, self.taker, content, self._operations, settings.moves,
+        self.coordinator = PartCoordinator(me.name, self.owner, self.taker, content, self._operations, settings.moves,
                                       settings.parts, now_us)
-        self.placing = PlacementRunner(me, settings, self.membership, self.owner, self.tenure, self._operations, rng,
-                                       now_us)
+        self.placement = PlacementRunner(me, settings, self.membership, self.owner, self.coordinator,
+                                         self._operations, rng, now_us)
         self._me = me.name
         for part in range(settings.parts):
             content.shut(part)
@@ -65,7 +66,8 @@
     # --- queries and commands ---
 
     def epoch(self, part: int, now_us: int) -> int | None:
-        """Return the epoch under which the part may be served now; None if it may not. Call before each first byte."""
+        """Return the epoch under which the part may be served now; None if it may not. Call right before the first byte
+        of each attempt."""
         return None if self.membership.name_in_use else self.owner.epoch(part, now_us)
 
     def owned(self, now_us: int) -> list[int]:
@@ -74,23 +76,24 @@
 
     def owner_of(self, part: int) -> str | None:
         """Return the known owner of the part; None if there is none."""
-        return self.placing.owner_of(part)
+        return self.placement.owner_of(part)
 
-    def moving(self, part: int) -> bool:
-        """Return whether the part is moving from or to this courier."""
-        return part in self.tenure.givers or part in self.tenure.opening or self.taker.sealed_epoch(part) is not None
+    def is_moving(self, part: int) -> bool:
+        """Return whether the part is moving from or to this courier, or received and not opened yet."""
+        return (part in self.coordinator.givers or part in self.coordinator.opening
+                or self.taker.sealed_epoch(part) is not None)
 
-    def serves(self, part: int) -> str:
+    def client_address(self, part: int) -> str:
         """Return the client address of the present or next owner of the part; "" if it is unknown or gone."""
-        giver = self.tenure.givers.get(part)
-        name = giver.to if giver is not None else self.placing.owner_of(part)
+        giver = self.coordinator.givers.get(part)
+        name = giver.to if giver is not None else self.placement.owner_of(part)
         member = self.membership.member(name) if name else None
         return member.serves if member is not None and member.state is not State.GONE else ""
 
     @property
     def left(self) -> bool:
         """Whether, after `leave`, no part is owned or moving here, or the time limit for giving them away is over."""
-        return self.placing.left
+        return self.placement.left
 
     def snapshot(self) -> list[bytes]:
         """Return all records that the fleet's log must contain."""
@@ -98,37 +101,38 @@
         return votes + self.taker.snapshot()
 
     def leave(self, now_us: int) -> list[Action]:
-        """Start giving all parts away."""
-        if self.placing.leaving:
+        """Announce that this courier leaves, and start giving all parts away. Further calls have no effect."""
+        if self.placement.leaving:
             return []
-        self.placing.leave(now_us)
+        self.placement.leave(now_us)
         return [*self.membership.leave(now_us), *self.tick(now_us)]
 
     def end(self, now_us: int) -> list[Action]:
-        """Announce the end of the process."""
+        """Announce the end of the process: this courier is gone for the others."""
         return self.membership.announce_gone(now_us)
 
     # --- timers ---
 
     def next_us(self) -> int:
         """Return when to call `tick` next."""
-        return min(self.membership.next_us(), self.owner.next_us(), self.tenure.next_us(), self.placing.next_us())
+        return min(self.membership.next_us(), self.owner.next_us(), self.coordinator.next_us(),
+                   self.placement.next_us())
 
     def tick(self, now_us: int) -> list[Action]:
         """Do what is due."""
         actions = self.membership.tick(now_us)
-        self.placing.record_members(now_us, self.membership.changed())
+        self.placement.record_members(now_us, self.membership.changed())
         if self.membership.name_in_use:
             for part in self.owned(now_us):
                 self.owner.release(part)
                 self._content.shut(part)
         actions += self._run_owner(now_us)
-        actions += self.tenure.tick(now_us, self.membership.members(), self.placing.holding)
+        actions += self.coordinator.tick(now_us, self.membership.members(), self.placement.holding)
         if self.voter is not None:
             for name, request in self.voter.due_requests(now_us):
                 actions.append(self._operations.call(
                     name, request, self.owner.timeout_us, partial(self._on_stood, name)))
-        actions += self.placing.tick(now_us, self._registers)
+        actions += self.placement.tick(now_us, self._registers)
         return [*actions, *self._run_owner(now_us)]
 
     # --- members ---
@@ -136,7 +140,7 @@
     def packet(self, now_us: int, sender: str, address: str, packet: Packet) -> list[Action]:
         """Handle a datagram that `sender` sealed for this courier."""
         actions = self.membership.heard(now_us, sender, address, packet)
-        self.placing.record_members(now_us, self.membership.changed())
+        self.placement.record_members(now_us, self.membership.changed())
         return actions
 
     def asked(self, now_us: int, token: int, sender: str, ask: Ask) -> list[Action]:
@@ -148,7 +152,7 @@
             return self._reply_once_saved(now_us, voted, records, lambda _: [Reply(token, voted)])
         if isinstance(ask, Stand):
             return [Reply(token, self._registers(sender))]
-        return [*self.tenure.asked(now_us, token, sender, ask), *self._run_owner(now_us)]
+        return [*self.coordinator.asked(now_us, token, sender, ask), *self._run_owner(now_us)]
 
     def answered(self, now_us: int, token: int, answer: Answer | None) -> list[Action]:
         """Handle the answer to a `Call`, None after a timeout."""
@@ -171,11 +175,11 @@
             else:
                 actions.append(self._operations.call(
                     voter, votes, self.owner.timeout_us, partial(self._on_votes, voter, votes)))
-        return [*actions, *self.tenure.handle_events(now_us, self.owner.events(now_us))]
+        return [*actions, *self.coordinator.handle_events(now_us, self.owner.events(now_us))]
 
     def _on_votes(self, voter: str, votes: Votes, now_us: int, answer: Answer | None) -> list[Action]:
         voted = answer if isinstance(answer, Voted) else None
-        return self.tenure.handle_events(now_us, self.owner.answered(now_us, voter, votes, voted))
+        return self.coordinator.handle_events(now_us, self.owner.answered(now_us, voter, votes, voted))
 
     def _reply_once_saved(self, now_us: int, voted: Voted, records: Sequence[bytes], then: OnSaved) -> list[Action]:
         """Save the records that the voter's answer depends on, and call `then`, which sends the answer, after that."""
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -19,16 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Settings of a node. Voters, parts, lease and drift must be equal at all couriers. Durations in microseconds."""
+    """Settings of a node. Voters, parts, lease and drift must be equal at all couriers. Durations in microseconds.
+    `moves` and `room` limit the giver and the taker of a move, `leaving` the moves of a courier that leaves."""
 
     voters: tuple[str, ...]
     parts: int = 64
     lease_us: int = 3_000_000
-    drift: float = 0.02
-    margin_us: int = 100_000
-    at_once: int = 2
-    pace_us: int = 50_000
-    probation_us: int = 10_000_000
+    drift: float = 0.02  # maximum relative difference between the rates of two couriers' clocks
+    margin_us: int = 100_000  # by which an owner's term ends early, in addition to the drift
+    at_once: int = 2  # moves away in progress
+    pace_us: int = 50_000  # between the starts of two moves away
+    probation_us: int = 10_000_000  # for a courier that has appeared, before it is given parts
     members: MemberLimits = field(default_factory=MemberLimits)
     moves: GiverLimits = field(default_factory=GiverLimits)
     room: TakerLimits = field(default_factory=TakerLimits)
@@ -36,12 +37,13 @@
 
 
 class PlacementRunner:
-    """Plans every tenth of a lease, and at once after a change of a member."""
+    """Acquires the parts that this courier should own, and starts moves of those that others should. It plans every
+    tenth of a lease, and at once after a change of a member."""
 
     def __init__(self, me: Member, settings: NodeSettings, membership: Membership, owner: Owner,
-                 tenure: PartCoordinator, operations: PendingOperations, rng: random.Random, now_us: int) -> None:
+                 coordinator: PartCoordinator, operations: PendingOperations, rng: random.Random, now_us: int) -> None:
         self._settings, self._membership, self._owner = settings, membership, owner
-        self._tenure, self._operations, self._rng, self._me = tenure, operations, rng, me.name
+        self._coordinator, self._operations, self._rng, self._me = coordinator, operations, rng, me.name
         self._placement = Placement(me.name, settings.parts, settings.at_once, settings.pace_us, settings.probation_us)
         self._placement.record_member(now_us, me)
         self._swap: Swap | None = None
@@ -51,8 +53,8 @@
         self._has_report = False  # whether any voter has reported its registers
 
     def holding(self, part: int) -> Ownership | None:
-        """Return the newest known holding of the part; None if there is none."""
-        decided, reported = self._tenure.decided(part), self._reported.get(part)
+        """Return the newest known holding of the part, perhaps undecided; None if there is none."""
+        decided, reported = self._coordinator.decided(part), self._reported.get(part)
         return reported if decided is None or (reported is not None and reported.epoch > decided.epoch) else decided
 
     def owner_of(self, part: int) -> str | None:
@@ -67,17 +69,17 @@
 
     @property
     def left(self) -> bool:
-        """Whether all parts are given away or the time for it is over. Parts received but not opened yet must be given
-        away first."""
-        if self._swap is None or self._tenure.givers or not self._swap.over(self._next_plan_us):
+        """Whether, after `leave`, all parts are given away or the time limit for it is over. Parts received but not
+        opened yet must be given away first."""
+        if self._swap is None or self._coordinator.givers or not self._swap.over(self._next_plan_us):
             return False
         late = self._swap.progress(self._next_plan_us).state == "late"
-        return late or not (self._owner.leased() or self._tenure.opening or self._tenure.taker.sealed_parts())
+        return late or not (self._owner.leased() or self._coordinator.opening or self._coordinator.taker.sealed_parts())
 
     def leave(self, now_us: int) -> None:
         """Start giving all parts away."""
         self._swap = Swap(self._settings.leaving, now_us)
-        self._tenure.taker.leaving = True
+        self._coordinator.taker.leaving = True
         self._next_plan_us = now_us
 
     def record_members(self, now_us: int, members: Iterable[Member]) -> None:
@@ -119,10 +121,10 @@
 
     def _apply_plan(self, now_us: int) -> list[Action]:
         """Acquire the parts that this courier should own, and start moving the others."""
-        for part, done, why in self._tenure.ended_moves:
+        for part, done, why in self._coordinator.ended_moves:
             if self._swap is not None:
                 self._swap.ended(now_us, part, done, why)
-        self._tenure.ended_moves.clear()
+        self._coordinator.ended_moves.clear()
         parts = range(self._settings.parts)
         for part in parts:
             self._placement.owned(part, self.owner_of(part))
@@ -130,15 +132,15 @@
             return self._give_away_all(now_us, self._swap)
         if not self._has_report or self._membership.name_in_use:
             return []
-        plan = self._placement.plan(now_us, self._tenure.givers)
+        plan = self._placement.plan(now_us, self._coordinator.givers)
         for part in parts:
-            mine = self.owner_of(part) == self._me or self._tenure.taker.sealed_epoch(part) is not None
+            mine = self.owner_of(part) == self._me or self._coordinator.taker.sealed_epoch(part) is not None
             (self._owner.want if part in plan.free or mine else self._owner.unwant)(part)
         actions: list[Action] = []
         for part, to in plan.away.items():
             if self._alive(to) and self._owner.epoch(part, now_us) is not None:
                 self._placement.began(now_us)
-                actions += self._tenure.give(now_us, part, to)
+                actions += self._coordinator.give(now_us, part, to)
         return actions
 
     def _alive(self, name: str) -> bool:
@@ -146,11 +148,11 @@
         return member is not None and member.state is State.ALIVE
 
     def _give_away_all(self, now_us: int, swap: Swap) -> list[Action]:
-        mine = {part: self._tenure.weight(part) for part in range(self._settings.parts)
+        mine = {part: self._coordinator.weight(part) for part in range(self._settings.parts)
                 if self._owner.epoch(part, now_us) is not None}
         target = self._placement.target(now_us)
         staying = [name for name in self._membership.members() if self._alive(name) and name != self._me]
         ranked = {part: sorted(staying, key=lambda name, part=part: (name != target.get(part), name))  # type: ignore[misc]
                   for part in mine}
         return [action for start in swap.tick(now_us, mine, ranked)
-                for action in self._tenure.give(now_us, start.part, start.to)]
+                for action in self._coordinator.give(now_us, start.part, start.to)]
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -26,21 +26,22 @@
 
 
 class ShardsPart(Table):
-    """Sharding of destinations among the couriers (wheelstep.shards)."""
+    """Sharding of destinations among the couriers (wheelstep.shards). Durations in microseconds."""
 
     on: bool = False
     count: Annotated[int, Field(ge=1, le=1 << 20)] = 16_384  # equal at all couriers, and fixed
     regions: Annotated[int, Field(ge=1, le=16)] = 1  # each has its own home for every destination
     control: Annotated[dict[Name, Address], Field(max_length=256)] = {}  # control machines, which send lists by shard
     load: Annotated[float, Field(ge=1.05, le=4)] = 1.25  # maximum ratio of a courier's shards to its share by weight
-    guests: Annotated[int, Field(ge=1, le=4_096)] = 64
+    guests: Annotated[int, Field(ge=1, le=4_096)] = 64  # maximum number of shards served as a guest
     guest_idle: Annotated[Duration, Field(ge=100_000, le=3_600_000_000)] = 30_000_000
-    opens_within: Annotated[Duration, Field(ge=0, le=5_000_000)] = 300_000
-    push_every: Annotated[Duration, Field(ge=250_000, le=3_600_000_000)] = 5_000_000
+    opens_within: Annotated[Duration, Field(ge=0, le=5_000_000)] = 300_000  # wait of a new home for learned state
+    push_every: Annotated[Duration, Field(ge=250_000, le=3_600_000_000)] = 5_000_000  # of changed learned state
 
 
 class FleetPart(Table):
-    """Settings of the fleet that this courier belongs to."""
+    """Settings of the fleet that this courier belongs to. Durations in microseconds. `voters`, `parts`, `lease` and
+    `clock_drift` must be equal at all couriers."""
 
     on: bool = False
     name: Name = "fleet"
@@ -57,12 +58,12 @@
     weight: Annotated[float, Field(ge=0, le=1_000)] = 1.0
     zone: Annotated[str, Field(max_length=40)] = ""
     probe_every: Annotated[Duration, Field(ge=50_000, le=10_000_000)] = 500_000
-    give_away: bool = False  # at SIGTERM
+    give_away: bool = False  # the parts, at SIGTERM
     give_away_within: Duration = 1_800_000
     moves_at_once: Annotated[int, Field(ge=1, le=64)] = 2
-    move_pace: Duration = 50_000
-    call_bound: Duration = 2_000_000
-    probation: Duration = 10_000_000
+    move_pace: Duration = 50_000  # between the starts of two moves
+    call_bound: Duration = 2_000_000  # how long a move waits for calls in progress
+    probation: Duration = 10_000_000  # for a courier that has appeared, before it is given parts
     most_channels: Annotated[int, Field(ge=1, le=1_000_000)] = 20_000
     shards: ShardsPart = ShardsPart()
 
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -25,8 +25,8 @@
 
 
 class PartCoordinator:
-    """Moves of parts to and from this courier. `ended_moves` lists finished moves away: part, whether it was given,
-    reason."""
+    """Applies ownership events to the content of parts, and moves parts to and from this courier. `ended_moves` lists
+    finished moves away: part, whether it was given, reason."""
 
     def __init__(self, me: str, owner: Owner, taker: Taker, content: Content, operations: PendingOperations,
                  limits: GiverLimits, parts: int, now_us: int) -> None:
