--- a/benchmarks/page/membership.py
+++ b/benchmarks/page/membership.py
@@ -36,8 +36,8 @@
         "It is the start: a courier that starts asks another one for its whole table (`Hello`, answered by a `Roll` of "
         "all members) each period until three of these have told of nobody new, and a `Roll` goes out in packets of "
         "one in 10 ms. At 300 all that is over within 2 s; at 1,100 it goes on through the window. With couriers that "
-        f"hold from the start that they know everybody (`QUIET` reached), the same window has {without}. Short names "
-        "(`c17`), as in the measurement that was to be explained:",
+        f"hold from the start that they know everybody (`QUIET_ROLLS` reached), the same window has {without}. Short "
+        "names (`c17`), as in the measurement that was to be explained:",
         table(("couriers", "seconds after the start", "bytes a second a courier", "of it `Roll`", "all else", "packets",
                "of a core"), rows),
         "What stays is one look into another's whole table in 60 periods (30 s): "
