--- a/benchmarks/measure/members.py
+++ b/benchmarks/measure/members.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from benchmarks.measure.result import Row, measure, resident
-from wheelstep.fleet.membership import Limits, Membership
-from wheelstep.fleet.packets import DATAGRAM, Seal
+from wheelstep.fleet.membership import MemberLimits, Membership
+from wheelstep.fleet.packets import DATAGRAM, PacketSeal
 from wheelstep.fleet.types import Member, Ping, Roll, State
 
 SIZES = (100, 300, 600, 1_100)
@@ -38,13 +38,14 @@
     base = resident()
     for number in range(COURIERS):
         me = member(5_000 + number)
-        courier, seal = Membership(me, {}, Limits(), random.Random(number), 0), Seal(b"k" * 16, "fleet", me.name, 1)
+        courier, seal = (Membership(me, {}, MemberLimits(), random.Random(number), 0),
+                         PacketSeal(b"k" * 16, "fleet", me.name, 1))
         for data in rolls:
             roll = DATAGRAM.decode(data)
             assert isinstance(roll, Roll)
             courier.heard(0, roll.news[0].name, roll.news[0].address, roll)
         for other in everybody:
-            seal.open(Seal(b"k" * 16, "fleet", other.name, 1).pack(me.name, Ping(1, ())), DATAGRAM)
+            seal.open(PacketSeal(b"k" * 16, "fleet", other.name, 1).pack(me.name, Ping(1, ())), DATAGRAM)
         assert len(courier.members()) == couriers + 1
         kept.append((courier, seal))
     gc.collect()
--- a/benchmarks/measure/membership.py
+++ b/benchmarks/measure/membership.py
@@ -12,7 +12,7 @@
 
 from benchmarks.measure.result import Row, measure, resident
 from wheelstep.fleet.membership import QUIET_ROLLS, Membership
-from wheelstep.fleet.packets import Seal
+from wheelstep.fleet.packets import PacketSeal
 from wheelstep.fleet.types import Member, State
 from wheelstep.rehearsal.simulation.membership_world import World
 
@@ -22,7 +22,7 @@
 SEED = 1
 
 
-class Weighed(Seal):
+class Weighed(PacketSeal):
     """A seal that counts what it packs, by kind."""
 
     counts: Counter[str]
--- a/benchmarks/measure/placement.py
+++ b/benchmarks/measure/placement.py
@@ -33,7 +33,7 @@
     for name in weights:
         view.record_member(0, Member(name, 1, State.ALIVE, "", ""))
     for part, owner in owners.items():
-        view.owned(part, owner)
+        view.record_owner(part, owner)
     view.plan(10 * PROBATION_US, ())
     began = time.process_time()
     for one in range(AGAIN):
--- a/benchmarks/measure/voters.py
+++ b/benchmarks/measure/voters.py
@@ -11,7 +11,7 @@
 
 from benchmarks.measure.result import Row, measure
 from wheelstep.fleet.register import Voter
-from wheelstep.fleet.rows import BEGUN, FLEET, Rows
+from wheelstep.fleet.rows import BEGUN, FLEET_ROW, Rows
 from wheelstep.fleet.rows import Row as Register
 from wheelstep.fleet.types import Accept, Accepted, Ballot, Ownership, Votes
 
@@ -24,7 +24,7 @@
 def renewal(parts: int) -> Row:
     """Milliseconds of processor time for all, bytes of a courier's ask to one voter, and of the whole stand."""
     rows = Rows.__new__(Rows)
-    rows.rows = {FLEET: Register(BEGUN)}
+    rows.rows = {FLEET_ROW: Register(BEGUN)}
     for part in range(parts):
         ballot = Ballot(1, f"c{part % COURIERS}")
         rows.rows[part] = Register(ballot, ballot, Ownership(1, ballot.courier))
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -31,7 +31,7 @@
         for name in couriers:
             self.see(name, State.ALIVE)
         for part, owner in self.owners.items():
-            self.view.owned(part, owner)
+            self.view.record_owner(part, owner)
         self.now_us += 2 * PROBATION_US
 
     def see(self, name: str, state: State) -> None:
@@ -47,7 +47,7 @@
                 self.view.me = name
                 for part, to in self.view.plan(self.now_us, ()).away.items():
                     self.owners[part] = to
-                    self.view.owned(part, to)
+                    self.view.record_owner(part, to)
                     self.moves += 1
                     moved = True
 
--- a/tests/shard_nodes.py
+++ b/tests/shard_nodes.py
@@ -11,7 +11,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import Address
 from wheelstep.courier.rows import Row
-from wheelstep.fleet.membership import Limits
+from wheelstep.fleet.membership import MemberLimits
 from wheelstep.fleet.types import Member, State
 from wheelstep.journal import NoRoomError, StoredMessage
 from wheelstep.shards.list_server import ListServer
@@ -24,8 +24,8 @@
 SHARDS = 32
 KEYS = [b"k" * 32]
 QUICK = NodeSettings(SHARDS, guests=4, guest_idle_us=200_000, push_us=500_000, forms_quiet_us=200_000,
-                     forms_alone_us=4_000_000, members=Limits(
-                         period_us=100_000, timeout_us=30_000, suspicion=3.0, suspicion_most=1.0))
+                     forms_alone_us=4_000_000, members=MemberLimits(
+                         period_us=100_000, timeout_us=30_000, suspicion=3.0, max_suspicion=1.0))
 
 
 def row(destination: int, health: str = "SERVING") -> ListRow:
--- a/tests/shard_streams.py
+++ b/tests/shard_streams.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from wheelstep.fleet.packets import STREAM_BYTES, HigherBoot, Seal
+from wheelstep.fleet.packets import STREAM_BYTES, HigherBoot, PacketSeal
 from wheelstep.shards.ports import Accept, Lost, Pipe, Received
 from wheelstep.shards.streams import StreamLink, Streams
 from wheelstep.shards.types import Batch, Frame
@@ -114,10 +114,11 @@
                 await self.news.wait()
 
 
-def seal_for(both: bytes, me: str = "a", boot: int = 5, key: bytes = KEY, fleet: str = "f", lane: str = "") -> Seal:
+def seal_for(both: bytes, me: str = "a", boot: int = 5, key: bytes = KEY, fleet: str = "f",
+             lane: str = "") -> PacketSeal:
     """The seal of a link with these nonces."""
     name = base64.b64encode(hashlib.blake2b(both, digest_size=15).digest()).decode()
-    return Seal(key, fleet, me, boot, lane=lane or f"shards {name}", most_bytes=STREAM_BYTES + 4096)
+    return PacketSeal(key, fleet, me, boot, lane=lane or f"shards {name}", max_bytes=STREAM_BYTES + 4096)
 
 
 class Dialler:
--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -107,7 +107,7 @@
         for me in "abc":
             place = placement(me)
             for part in range(12):
-                place.owned(part, NAMES[part % 4])
+                place.record_owner(part, NAMES[part % 4])
             place.record_member(NOW_US, member("d", state))
             plans.append(place.plan(NOW_US, ()))
         assert sum(len(plan.free) for plan in plans) == free
@@ -118,17 +118,17 @@
     """Moves that start all at once would overload couriers."""
     place = placement(at_once=2, pace_us=SECOND_US)
     for part in range(12):
-        place.owned(part, NAMES[part % 4])
+        place.record_owner(part, NAMES[part % 4])
     place.record_member(NOW_US, member("a", State.LEAVING))
     place.record_member(NOW_US, member("b", State.LEAVING))
     now_us, moving, gone = NOW_US, [], []
     while away := place.plan(now_us, moving).away:
         (part, to), = away.items()
         assert to in ("c", "d")
-        place.began(now_us)
+        place.record_move_start(now_us)
         assert place.plan(now_us, [*moving, part]).away == {}
         assert place.plan(now_us + SECOND_US, [part, 99]).away == {}  # two moves are in progress
-        place.owned(part, to)
+        place.record_owner(part, to)
         gone.append(to)
         now_us = place.next_us(now_us)
     assert len(gone) == 3 and now_us == NOW_US + 3 * SECOND_US
@@ -139,9 +139,9 @@
     """A courier that restarts repeatedly must not attract parts."""
     place = placement()
     for part in range(12):
-        place.owned(part, "abc"[part % 3])
+        place.record_owner(part, "abc"[part % 3])
     place.record_member(NOW_US, member("e"))
-    place.owned(11, "e")
+    place.record_owner(11, "e")
     assert set(place.plan(NOW_US, ()).away.values()) == {"d"}
     place.record_member(NOW_US, member("d", State.GONE))
     place.record_member(NOW_US, member("d"))
@@ -179,7 +179,7 @@
     place.record_member(0, member("b"))
     assert 0 < len(place.plan(1, ()).free) < 12
     for part in range(12):
-        place.owned(part, "a")
+        place.record_owner(part, "a")
     assert place.plan(1, ()) == placement_none()
     place.record_member(2, member("a", State.LEAVING))
     assert set(place.plan(2, ()).away.values()) == {"b"}
@@ -196,13 +196,13 @@
     place.record_member(NOW_US, member("a", State.LEAVING, version=2))
     place.record_member(NOW_US, member("c", version=2))
     for part in range(12):
-        place.owned(part, NAMES[part % 4])
+        place.record_owner(part, NAMES[part % 4])
     assert set(place.plan(NOW_US, ()).away.values()) == {"c"}
     place.record_member(NOW_US, member("c", State.GONE, version=2))
     assert place.plan(NOW_US, ()).away == {}
     other = placement("b")
     other.record_member(NOW_US, member("a", State.GONE, version=2))
-    other.owned(0, "a")
+    other.record_owner(0, "a")
     assert 0 not in other.plan(NOW_US, ()).free
 
 
--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from wheelstep.courier.config import Address
-from wheelstep.fleet.packets import Seal
+from wheelstep.fleet.packets import PacketSeal
 from wheelstep.fleet.peers import Peers
 from wheelstep.fleet.types import Answer, Ask, Packet, Ping, Stand, Stood
 from wheelstep.operator import OperatorError, load
@@ -42,7 +42,7 @@
 def test_valid_table_is_read_and_a_disabled_one_gives_none(tmp_path: Path) -> None:
     """`on = false` must have no effect on the courier."""
     fleet = load(str(written(tmp_path, GOOD, '[[contract]]\nname = "updates"\norder = "strict"\n'))).fleet
-    assert fleet.keys == [KEY] and fleet.contracts.names() == ["updates"] and fleet.part.parts == 64
+    assert fleet.keys == [KEY] and fleet.contracts.names() == ["updates"] and fleet.table.parts == 64
     assert load(str(written(tmp_path, "on = false"))).fleet is None
 
 
@@ -114,7 +114,7 @@
             host, port = at_b.rsplit(":", 1)
             assert a.peers._transport is not None
             a.peers._transport.sendto(b"garbage", (host, int(port)))
-            sealed = Seal(KEY, "fleet", "c", 1).pack("b", Ping(2))
+            sealed = PacketSeal(KEY, "fleet", "c", 1).pack("b", Ping(2))
             a.peers._transport.sendto(sealed[:-1], (host, int(port)))
             a.peers._transport.sendto(sealed, (host, int(port)))
             a.peers._transport.sendto(sealed, (host, int(port)))  # replayed
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -17,7 +17,7 @@
 from wheelstep.fleet.node import Node
 from wheelstep.fleet.owner import Lost, Owner
 from wheelstep.fleet.register import Row, Voter
-from wheelstep.fleet.rows import BEGUN, FLEET
+from wheelstep.fleet.rows import BEGUN, FLEET_ROW
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Step
@@ -77,7 +77,7 @@
 
     def begun(self: Voter, *given: Any) -> None:
         init(self, *given)
-        self._rows.setdefault(FLEET, Row(BEGUN))
+        self._rows.setdefault(FLEET_ROW, Row(BEGUN))
         self._blank = False
     patch.setattr(Voter, "__init__", begun)
     patch.setattr(Voter, "_discard_state", lambda self: None)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wheelstep.fleet.doubt import new_suspicion
-from wheelstep.fleet.membership import Limits, Membership
+from wheelstep.fleet.membership import MemberLimits, Membership
 from wheelstep.fleet.news import News
 from wheelstep.fleet.roster import Roster
 from wheelstep.fleet.types import Ack, Hello, Member, Note, Ping, PingReq, Roll, SendPacket, State
@@ -21,9 +21,9 @@
     return Member(name, incarnation, state, address or f"@{name}", f"http://{name}")
 
 
-def with_a_and_b(limits: Limits | None = None, **seeds: str) -> Membership:
+def with_a_and_b(limits: MemberLimits | None = None, **seeds: str) -> Membership:
     """Return courier "me", which knows "a" and "b"."""
-    courier = Membership(member("me", 3), seeds, limits or Limits(), random.Random(1), 0)
+    courier = Membership(member("me", 3), seeds, limits or MemberLimits(), random.Random(1), 0)
     courier.heard(0, "a", "@a", Roll(0, (member("a", 1), member("b", 1))))
     courier.changed()
     return courier
@@ -192,7 +192,7 @@
 
 
 def test_malformed_members_and_members_beyond_the_limit_are_refused() -> None:
-    courier = with_a_and_b(Limits(members_most=4))
+    courier = with_a_and_b(MemberLimits(max_members=4))
     bad = [member("z" * 65), member("z", -1), member("z", 1 << 62), member(""), member("z", address="z" * 65)]
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), *bad)))
     assert set(courier.members()) == {"me", "a", "b"} and courier.refused["malformed"] == 5
@@ -208,7 +208,7 @@
 
 
 def test_suspicion_shortens_with_confirmations_and_lengthens_with_bad_health() -> None:
-    limits = Limits()
+    limits = MemberLimits()
     seconds = []
     for name in ("a", "b", "c", "d", "e"):
         one = new_suspicion(1, 0, 10, 0, limits)
@@ -221,7 +221,7 @@
 
 
 def test_updates_are_sent_a_bounded_number_of_times_and_fit_a_packet() -> None:
-    limits = Limits(news_most=50)
+    limits = MemberLimits(max_updates=50)
     news, told = News(limits), 0
     for number in range(80):
         news.add(member(f"m{number}"))
@@ -233,7 +233,7 @@
 
 
 def test_gone_members_are_dropped_after_gone_kept_us() -> None:
-    roster = Roster("me", {}, Limits(gone_kept_us=100))
+    roster = Roster("me", {}, MemberLimits(gone_kept_us=100))
     roster.merge(member("a", 1, State.GONE), 0)
     roster.forget(99)
     assert roster.get("a") is not None and roster.absent() == ["a"]
--- a/tests/test_membership_news.py
+++ b/tests/test_membership_news.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.test_membership import member, with_a_and_b
-from wheelstep.fleet.membership import Limits
+from wheelstep.fleet.membership import MemberLimits
 from wheelstep.fleet.news import News, Rolls
 from wheelstep.fleet.roster import INCARNATION_LIMIT, Roster
 from wheelstep.fleet.types import Ack, Hello, Member, Note, Ping, Roll, SendPacket, State
@@ -24,7 +24,7 @@
 def test_least_sent_update_goes_first_and_most_sent_is_dropped_when_full() -> None:
     """Else a new update could wait behind ones that are widely known."""
     each = size(member("m0"))
-    news = News(Limits(news_bytes=2 * each, news_most=4))
+    news = News(MemberLimits(max_update_bytes=2 * each, max_updates=4))
     for number in range(4):
         news.add(member(f"m{number}"))
     told = [[one.name for one in news.select("", (), 100)] for _ in range(4)]
@@ -34,7 +34,7 @@
     assert "m0" not in news._updates and len(news) == 4
     news.add(member("m1", 1))  # a newer update is counted from 0
     assert {one.name for one in news.select("", (), 100)} == {"m4", "m1"}
-    news = News(Limits(news_bytes=2 * each))
+    news = News(MemberLimits(max_update_bytes=2 * each))
     news.add(member("m0"))
     news.add(member("m" * 60))
     assert news.select("m0", (), 9) == () and news.select("", (member("m0", 5),), 9) == (member("m0", 5),)
@@ -44,7 +44,7 @@
 def test_rolls_list_each_member_once_at_a_bounded_rate_and_size() -> None:
     """The answer to a hello must not be one unlimited burst, nor omit a member."""
     head, everybody = [member("me")], [member(f"m{number:03}") for number in range(60)]
-    limits = Limits(rolls_most=8)
+    limits = MemberLimits(max_rolls=8)
     rolls, rng = Rolls(limits), random.Random(1)
     assert rolls.enqueue("@a", head, everybody, rng, 0) and not rolls.enqueue("@a", head, everybody, rng, 0)
     sent: list[SendPacket] = []
@@ -143,7 +143,7 @@
 
 def test_roster_keeps_the_overruling_update() -> None:
     """Precedence is by incarnation, then state; updates of a duplicate are refused."""
-    roster = Roster("me", {}, Limits())
+    roster = Roster("me", {}, MemberLimits())
     assert roster.merge(member("a", 1), 0) and not roster.merge(member("a", 1), 0)
     assert roster.merge(msgspec.structs.replace(member("a", 1, SUSPECT), weight=9.0, serves="x"), 0)
     assert roster.get("a") == member("a", 1, SUSPECT)  # other fields need a new incarnation
@@ -159,13 +159,13 @@
 @pytest.mark.parametrize("weight", [-1.0, float("inf"), float("nan")])
 def test_negative_or_infinite_weight_is_malformed(weight: float) -> None:
     """Such a weight would break the assignment of parts."""
-    roster = Roster("me", {}, Limits())
+    roster = Roster("me", {}, MemberLimits())
     assert not roster.merge(msgspec.structs.replace(member("a"), weight=weight), 0) and roster.refused["malformed"] == 1
 
 
 def test_gone_members_are_evicted_when_full_and_release_their_address() -> None:
     """Gone members must not block new ones or shadow a reused address."""
-    roster = Roster("me", {"s": "@s"}, Limits(members_most=3, gone_kept_us=100))
+    roster = Roster("me", {"s": "@s"}, MemberLimits(max_members=3, gone_kept_us=100))
     roster.merge(member("a", 1), 0)
     roster.merge(member("b", 1, address="@a"), 0)  # another name at the same address
     roster.merge(member("a", 1, GONE), 1)
--- a/tests/test_membership_rules.py
+++ b/tests/test_membership_rules.py
@@ -9,16 +9,16 @@
 
 from tests.test_membership import member, with_a_and_b
 from wheelstep.fleet.doubt import Probes, new_suspicion
-from wheelstep.fleet.membership import Limits, Membership
+from wheelstep.fleet.membership import MemberLimits, Membership
 from wheelstep.fleet.types import Ack, Action, Hello, Nack, Packet, Ping, PingReq, Roll, SendPacket, State
 
 Sent = list[tuple[int, str, Packet]]
 S = 1_000_000
 
 
-def with_members(count: int, limits: Limits | None = None, seed: int = 1) -> Membership:
+def with_members(count: int, limits: MemberLimits | None = None, seed: int = 1) -> Membership:
     """Return courier "me", which knows "c0" to "c<count-1>"."""
-    courier = Membership(member("me", 3), {}, limits or Limits(), random.Random(seed), 0)
+    courier = Membership(member("me", 3), {}, limits or MemberLimits(), random.Random(seed), 0)
     courier.heard(0, "c0", "@c0", Roll(0, tuple(member(f"c{number}", 1) for number in range(count))))
     return courier
 
@@ -97,7 +97,7 @@
 
 
 def run_failed_probe(helpers: Callable[[str, Packet], Packet | None],
-                     limits: Limits | None = None) -> tuple[Membership, str]:
+                     limits: MemberLimits | None = None) -> tuple[Membership, str]:
     """Run one probe without a direct answer at health 2; return the courier and the target."""
     courier = with_members(4, limits)
     courier.tick(10 * S)
@@ -116,7 +116,8 @@
 
     courier, target = run_failed_probe(no_answer)
     assert courier.health == 5 and courier.members()[target].state is State.SUSPECT
-    assert run_failed_probe(nacks)[0].health == 2 and run_failed_probe(no_answer, Limits(max_health=3))[0].health == 3
+    assert run_failed_probe(nacks)[0].health == 2 \
+        and run_failed_probe(no_answer, MemberLimits(max_health=3))[0].health == 3
     courier, target = run_failed_probe(reached)  # alive, but the direct link to it failed
     assert courier.health == 2 and courier.members()[target].state is State.ALIVE
     run(courier, 40 * S, ack_pings)
@@ -135,7 +136,7 @@
 
 def test_tick_drops_members_gone_for_gone_kept_us() -> None:
     """Gone members must not fill the table."""
-    courier = with_a_and_b(Limits(gone_kept_us=2 * S))
+    courier = with_a_and_b(MemberLimits(gone_kept_us=2 * S))
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     run(courier, 3 * S, ack_pings)
     assert courier.member("a") is None and courier.member("b") is not None
@@ -143,7 +144,7 @@
 
 def test_stall_extends_suspicions_and_starts_a_new_period() -> None:
     """A suspect could not refute during the stall."""
-    courier = with_a_and_b(Limits(hello_periods=1_000))
+    courier = with_a_and_b(MemberLimits(hello_periods=1_000))
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("b", 1, State.SUSPECT))))
     courier.tick(courier.next_us())
     courier.tick(30 * S)
@@ -157,7 +158,7 @@
 
 def test_suspects_are_pinged_three_at_a_time_longest_waiting_first() -> None:
     """Every suspect must hear of its suspicion in time to refute it."""
-    courier = with_members(8, Limits(max_health=0))
+    courier = with_members(8, MemberLimits(max_health=0))
     run(courier, 5 * S, no_answer)
     sent = of_type(Ping, run(courier, 6 * S, no_answer))
     assert {to for _, to, _ in sent} == {f"c{number}" for number in range(8)}
@@ -170,7 +171,7 @@
     def rolls(to: str, packet: Packet) -> Packet | None:
         return Roll(0, (member(to, 1),)) if isinstance(packet, Hello) else ack_pings(to, packet)
 
-    courier = with_members(3, Limits(hello_periods=60))
+    courier = with_members(3, MemberLimits(hello_periods=60))
     assert len(of_type(Hello, run(courier, 200 * S // 2, rolls))) == 3 + 3
     courier = with_members(3)
     assert len(of_type(Hello, run(courier, 10 * S, ack_pings))) == 20
@@ -178,7 +179,7 @@
 
 def test_indirect_probes_for_others_are_bounded_answered_and_expire() -> None:
     """Requests of others must not use unbounded memory."""
-    courier = with_a_and_b(Limits(max_indirect_probes=1))
+    courier = with_a_and_b(MemberLimits(max_indirect_probes=1))
     ping = courier.heard(0, "a", "@a", PingReq(7, "b", (member("a", 1),)))
     (_, to, sent), = sent_packets(0, ping)
     assert to == "b" and isinstance(sent, Ping)
@@ -195,7 +196,7 @@
 
 def test_probe_ignores_answers_of_members_not_asked() -> None:
     """Else any member could answer for a dead one."""
-    probes = Probes(Limits())
+    probes = Probes(MemberLimits())
     seq = probes.begin("a", 0, 0)
     assert probes.probe is not None
     probes.probe.helpers.add("h")
@@ -215,9 +216,9 @@
             courier.heard(now_us, name, f"@{name}", PingReq(2, "c1", (member(name, 1),)))
         return courier
 
-    limits = Limits(period_us=500_000, max_health=0)
+    limits = MemberLimits(period_us=500_000, max_health=0)
     for asking, around_s in (((), 15.0), (("c0", "c2", "c3"), 5.0)):
-        courier = with_members(4, Limits(max_confirmations=2, max_health=0))
+        courier = with_members(4, MemberLimits(max_confirmations=2, max_health=0))
         suspect(0, 1, *asking)
         courier._probes.indirect_probes.clear()
         assert declared_gone_us(courier, "c1", 40 * S) <= around_s * S
@@ -235,7 +236,7 @@
 
 def test_ack_that_postpones_the_next_tick_is_no_stall() -> None:
     """The stall check must use the postponed time, else health worsens on each ack."""
-    courier = with_members(3, Limits(stall_us=300_000))
+    courier = with_members(3, MemberLimits(stall_us=300_000))
     for _ in range(40):  # ticks on time; an ack moves `next_us` from 150 to 500 ms
         now_us = courier.next_us()
         for _, to, packet in of_type(Ping, sent_packets(now_us, courier.tick(now_us))):
--- a/tests/test_owner_fleets.py
+++ b/tests/test_owner_fleets.py
@@ -9,7 +9,7 @@
 from wheelstep.fleet.ballots import PartState, Phase
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.register import Voter
-from wheelstep.fleet.rows import BEGUN, FLEET, Row, Rows
+from wheelstep.fleet.rows import BEGUN, FLEET_ROW, Row, Rows
 from wheelstep.fleet.types import Accept, Accepted, Ownership, Prepare, Promise, Refused
 
 # --- whole fleets ---
@@ -106,7 +106,7 @@
 
     def __init__(self, name: str, others: list[str], parts: int, lease_us: int, drift: float, rows: Rows | None,
                  place: int, now_us: int) -> None:
-        super().__init__(name, others, parts, lease_us, drift, rows or Rows({FLEET: Row(BEGUN)}), place, now_us)
+        super().__init__(name, others, parts, lease_us, drift, rows or Rows({FLEET_ROW: Row(BEGUN)}), place, now_us)
 
 
 class IgnoringPart(PartState):
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -20,20 +20,21 @@
     WINDOW_SIZE,
     HigherBoot,
     PacketError,
+    PacketSeal,
     Reason,
-    Seal,
 )
 from wheelstep.fleet.types import Hello, Member, Ping, Stand, State, Votes
 
 KEY, OTHER = b"k" * 32, b"o" * 32
 
 
-def seal(me: str, boot: int = 5, key: bytes | list[bytes] = KEY, fleet: str = "fleet", lane: str = "datagram") -> Seal:
+def seal(me: str, boot: int = 5, key: bytes | list[bytes] = KEY, fleet: str = "fleet",
+         lane: str = "datagram") -> PacketSeal:
     """Return a seal for datagrams."""
-    return Seal(key, fleet, me, boot, lane=lane)
+    return PacketSeal(key, fleet, me, boot, lane=lane)
 
 
-def refusal(receiver: Seal, data: bytes) -> Reason:
+def refusal(receiver: PacketSeal, data: bytes) -> Reason:
     """Return why the packet is refused, after checking that it was counted once."""
     before = receiver.refused.total()
     with pytest.raises(PacketError) as refused:
@@ -172,8 +173,8 @@
     """A packet above the limit of its lane must not be sealed."""
     with pytest.raises(ValueError, match="1200 at most"):
         seal("a").pack("b", Hello(tuple(Member(f"m{n}", 1, State.ALIVE, "x" * 60, "y" * 60) for n in range(9))))
-    stream = Seal(KEY, "fleet", "a", 1, lane="stream", most_bytes=STREAM_BYTES)
-    other = Seal(KEY, "fleet", "b", 1, lane="stream", most_bytes=STREAM_BYTES)
+    stream = PacketSeal(KEY, "fleet", "a", 1, lane="stream", max_bytes=STREAM_BYTES)
+    other = PacketSeal(KEY, "fleet", "b", 1, lane="stream", max_bytes=STREAM_BYTES)
     assert other.open(stream.pack("b", Votes((), 3)), STREAM).payload == Votes((), 3)
     for bad in (lambda: seal(""), lambda: seal("n" * 65), lambda: seal("a", key=b"short"), lambda: seal("a", key=[])):
         with pytest.raises(ValueError, match="expected"):
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -8,7 +8,7 @@
 import pytest
 
 from wheelstep.fleet.register import Voter, replay
-from wheelstep.fleet.rows import BEGUN, FLEET, NEW, Row, Rows
+from wheelstep.fleet.rows import AGREED_NEW, BEGUN, FLEET_ROW, Row, Rows
 from wheelstep.fleet.types import Accept, Accepted, Ballot, Ownership, Prepare, Promise, Refused, Stood, Votes
 
 LEASE_US, DRIFT = 1_000_000, 0.02
@@ -18,7 +18,7 @@
 
 def begun(name: str = "a", others: str = "bc", rows: Rows | None = None) -> Voter:
     """Return a voter of a fleet that has begun."""
-    rows = rows or Rows({FLEET: Row(BEGUN, place=1)}, 1)
+    rows = rows or Rows({FLEET_ROW: Row(BEGUN, place=1)}, 1)
     return Voter(name, list(others), 4, LEASE_US, DRIFT, rows, rows.place, 0)
 
 
@@ -123,7 +123,7 @@
     state = replay(records)
     assert state.place == voter.place == 5
     assert state.rows[1] == Row(Ballot(2, "x"), Ballot(2, "x"), Ownership(1, "x"), 5)
-    assert replay(voter.snapshot()).rows == state.rows | {FLEET: Row(BEGUN, place=1)}
+    assert replay(voter.snapshot()).rows == state.rows | {FLEET_ROW: Row(BEGUN, place=1)}
     with pytest.raises(msgspec.DecodeError):
         replay([b"\x93\x01"])
 
@@ -240,7 +240,7 @@
     a = blank("a", "bc")
     a.on_registers(0, "b", Stood(True))
     state = replay(a.on_registers(0, "c", Stood(True)))
-    assert state.rows[FLEET].promised == NEW and a.blank
+    assert state.rows[FLEET_ROW].promised == AGREED_NEW and a.blank
     again = Voter("a", ["b", "c"], 4, LEASE_US, DRIFT, state, state.place, 0)
     assert again.blank
     again.on_registers(0, "b", Stood(False))
--- a/tests/test_shard_settings.py
+++ b/tests/test_shard_settings.py
@@ -38,7 +38,7 @@
 def test_a_good_file_needs_no_voters(tmp_path: Path) -> None:
     """Voters belong to fleets without shards."""
     fleet = load(write(tmp_path, GOOD)).fleet
-    assert fleet.part.shards.on and settings_of(fleet.part).shards == 16_384
+    assert fleet.table.shards.on and settings_of(fleet.table).shards == 16_384
 
 
 @pytest.mark.parametrize(("change", "said"), [
--- a/wheelstep/courier/__main__.py
+++ b/wheelstep/courier/__main__.py
@@ -30,7 +30,7 @@
 
 if TYPE_CHECKING:  # imported at run time only where the feature is on
     from wheelstep.fleet.daemon import FleetDaemon
-    from wheelstep.fleet.settings import Fleet
+    from wheelstep.fleet.settings import FleetConfig
     from wheelstep.operator import Operator
     from wheelstep.shards.daemon import ShardDaemon
     from wheelstep.upgrade.source import HandoverSource
@@ -147,12 +147,12 @@
     ignore_signals()
 
 
-def create_fleet_daemon(config: Config, settings: Fleet, journal: Journal) -> FleetDaemon | ShardDaemon:
+def create_fleet_daemon(config: Config, settings: FleetConfig, journal: Journal) -> FleetDaemon | ShardDaemon:
     """Return the daemon of the fleet that the operator's file describes. Raises `ConfigError`."""
     if config.console is not None:
         raise ConfigError("console: given beside fleet.on = true; expected one of them: a fleet's courier is replaced "
                           "by moving its parts")
-    if settings.part.shards.on:
+    if settings.table.shards.on:
         from wheelstep.shards.daemon import ShardDaemon
         return ShardDaemon(config, settings, journal)
     from wheelstep.fleet.daemon import FleetDaemon
--- a/wheelstep/fleet/assignment.py
+++ b/wheelstep/fleet/assignment.py
@@ -134,11 +134,11 @@
             record.since_us = now_us
         record.member = member
 
-    def forget(self, name: str) -> None:
+    def remove_member(self, name: str) -> None:
         """Drop a member that the membership has dropped."""
         self._members.pop(name, None)
 
-    def owned(self, part: int, owner: str | None) -> None:
+    def record_owner(self, part: int, owner: str | None) -> None:
         """Record the known owner of a part; None if it has none or the lease has expired."""
         if owner is None:
             self._owners.pop(part, None)
@@ -182,7 +182,7 @@
                 away[part] = to
         return Plan(free, away)
 
-    def began(self, now_us: int) -> None:
+    def record_move_start(self, now_us: int) -> None:
         """Record the start of a move; the pace counts from it."""
         self._next_us = now_us + self._pace_us
 
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -25,7 +25,7 @@
 from wheelstep.fleet.log import Log, LogBrokenError, LogDamagedError
 from wheelstep.fleet.node import Node
 from wheelstep.fleet.peers import Peers
-from wheelstep.fleet.settings import Fleet, settings_of
+from wheelstep.fleet.settings import FleetConfig, settings_of
 from wheelstep.fleet.types import Action, Answer, Ask, Call, Member, Note, Packet, Reply, Save, SendPacket, State
 from wheelstep.journal import Journal, NoRoomError
 from wheelstep.journal.disk import Folder
@@ -43,10 +43,10 @@
 
     lists = False  # endpoints come from discovery
 
-    def __init__(self, config: Config, fleet: Fleet, journal: Journal) -> None:
-        self.config, self._fleet, self._part = config, fleet, fleet.part
-        self.book = Book(fleet.contracts, fleet.part.parts, fleet.part.most_channels, now_ms())
-        self.kept = Kept(journal, self.book, fleet.part.parts, now_ms)
+    def __init__(self, config: Config, fleet: FleetConfig, journal: Journal) -> None:
+        self.config, self._fleet, self._table = config, fleet, fleet.table
+        self.book = Book(fleet.contracts, fleet.table.parts, fleet.table.most_channels, now_ms())
+        self.kept = Kept(journal, self.book, fleet.table.parts, now_ms)
         self._disk = Folder(config.state / "fleet")
         (config.state / "fleet").mkdir(parents=True, exist_ok=True)
         self._log, self._records = self._open_log()
@@ -71,7 +71,7 @@
 
     def join(self, core: Core) -> tuple[Admission, ClientApi | None, Callable[[int], Admission] | None]:
         """Create what needs the core, and return the interfaces for the client server."""
-        part, config = self._part, self.config
+        part, config = self._table, self.config
         self._core = core
         self.content = ChannelContent(core, self.kept, self.book, now_ms)
         listen = Address.parse(part.listen or "")
@@ -100,14 +100,14 @@
         serves = self.node.client_address(part)
         if serves != self.node.membership.me.serves and serves:
             return serves, _MOVE_RETRY_S
-        return "", _MOVE_RETRY_S if self.node.is_moving(part) else self._part.lease / 4e6
+        return "", _MOVE_RETRY_S if self.node.is_moving(part) else self._table.lease / 4e6
 
     async def start(self) -> None:
         """Listen for peers and start the node. Raises `ConfigError`."""
         try:
-            await self.peers.start(Address.parse(self._part.listen or ""))
+            await self.peers.start(Address.parse(self._table.listen or ""))
         except OSError as error:
-            raise ConfigError(f"fleet.listen: {self._part.listen}: {error}") from error
+            raise ConfigError(f"fleet.listen: {self._table.listen}: {error}") from error
         self._tick()
         self.desk.wake()
 
@@ -118,7 +118,7 @@
             for line in self.peers.notes():
                 log.warning("%s", line)
 
-    def renew(self, fleet: Fleet) -> None:
+    def renew(self, fleet: FleetConfig) -> None:
         """Apply a reloaded operator's file: only contracts change; all else takes effect at the next start."""
         for line in changes(self.book.contracts, fleet.contracts):
             log.info("%s", line)
@@ -126,12 +126,12 @@
 
     async def leave(self) -> None:
         """Give the parts away within `give_away_within`, if `give_away` is set."""
-        if not self._part.give_away:
+        if not self._table.give_away:
             return
         log.info("leaving: %d parts to give away, %d messages owed", len(self.node.owned(now_us())),
                  self.content.owed())
         self._execute(self.node.leave(now_us()))
-        until = asyncio.get_running_loop().time() + self._part.give_away_within / 1e6
+        until = asyncio.get_running_loop().time() + self._table.give_away_within / 1e6
         while not (self.node.left and not self.content.owed()) and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
         log.info("left: %d parts and %d messages remain here", len({*self.node.owned(now_us()),
@@ -139,9 +139,9 @@
 
     async def close(self) -> None:
         """Stop serving all parts, and close the sockets and the log."""
-        for number in range(self._part.parts):
+        for number in range(self._table.parts):
             self.content.shut(number)
-        if self._part.give_away:
+        if self._table.give_away:
             self._execute(self.node.end(now_us()))
         if self._timer is not None:
             self._timer.cancel()
@@ -210,7 +210,7 @@
             log.error("a background task of the fleet failed", exc_info=error)
 
     async def _call(self, call: Call) -> None:
-        address = self.node.membership.address_of(call.member) or self._part.peers.get(call.member, "")
+        address = self.node.membership.address_of(call.member) or self._table.peers.get(call.member, "")
         answer = None
         if address:
             answer = await self.peers.ask(address, call.member, call.ask, call.timeout_us / 1e6)
--- a/wheelstep/fleet/datagrams.py
+++ b/wheelstep/fleet/datagrams.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from wheelstep.fleet.packets import DATAGRAM, HigherBoot, PacketError, Reason, Seal
+from wheelstep.fleet.packets import DATAGRAM, HigherBoot, PacketError, PacketSeal, Reason
 from wheelstep.fleet.types import Packet
 
 log = logging.getLogger(__name__)
@@ -15,7 +15,7 @@
     """`sendto` sends bytes to an address and may raise `OSError`. `heard` gets valid packets (sender, address, packet).
     `on_higher_boot` is called if the fleet knows a higher boot number of this courier."""
 
-    def __init__(self, seal: Seal, now_us: Callable[[], int], sendto: Callable[[bytes, str], None],
+    def __init__(self, seal: PacketSeal, now_us: Callable[[], int], sendto: Callable[[bytes, str], None],
                  heard: Callable[[str, str, Packet], None], on_higher_boot: Callable[[HigherBoot], None]) -> None:
         self._seal, self._now_us, self._sendto, self._heard, self._on_higher_boot = (
             seal, now_us, sendto, heard, on_higher_boot)
--- a/wheelstep/fleet/doubt.py
+++ b/wheelstep/fleet/doubt.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-from wheelstep.fleet.roster import Limits
+from wheelstep.fleet.roster import MemberLimits
 
 
 @dataclass(slots=True)
@@ -40,10 +40,10 @@
         return self.since_us + max(self.min_us, round(self.max_us - (self.max_us - self.min_us) * share))
 
 
-def new_suspicion(incarnation: int, now_us: int, members: int, health: int, limits: Limits) -> Suspicion:
+def new_suspicion(incarnation: int, now_us: int, members: int, health: int, limits: MemberLimits) -> Suspicion:
     """Return a suspicion that starts now, in a fleet of `members`. Poor local `health` raises its minimum duration."""
     shortest_us = limits.suspicion * max(1.0, math.log10(members)) * limits.period_us
-    longest_us = shortest_us * limits.suspicion_most
+    longest_us = shortest_us * limits.max_suspicion
     return Suspicion(incarnation, now_us, round(min(shortest_us * (health + 1), longest_us)), round(longest_us),
                  max(0, min(limits.max_confirmations, members - 2)))
 
@@ -76,7 +76,7 @@
 class Probes:
     """Probes in progress: the own probe of this period, and a bounded number of indirect probes for others."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: MemberLimits) -> None:
         self._limits = limits
         self._seq = 0
         self.probe: Probe | None = None
--- a/wheelstep/fleet/membership.py
+++ b/wheelstep/fleet/membership.py
@@ -1,8 +1,7 @@
 """Group membership: SWIM (Das, Gupta, Motivala 2002) with suspicion, incarnations and Lifeguard (Dadgar, Phillips,
 Currey 2018). No I/O: takes verified packets and the time, returns packets to send. Imports the fleet's types.
 
-The first update in every packet is the sender itself: so a member that was declared gone is recognised when it returns,
-and a second courier with the same name is detected by its address.
+Each packet starts with its sender's own update: it reveals a gone member's return and, by its address, a duplicate.
 """
 
 from __future__ import annotations
@@ -13,11 +12,11 @@
 
 from wheelstep.fleet.doubt import Probes
 from wheelstep.fleet.news import Rolls
-from wheelstep.fleet.roster import Limits
+from wheelstep.fleet.roster import MemberLimits
 from wheelstep.fleet.types import Ack, Action, Hello, Member, Nack, Packet, Ping, PingReq, Roll, State
 from wheelstep.fleet.view import View
 
-__all__ = ["Limits", "Membership"]
+__all__ = ["MemberLimits", "Membership"]
 
 QUIET_ROLLS = 3  # rolls without a new member after which a starting courier stops sending a hello each period
 FANOUT = 3  # suspects pinged at a time, and members pinged on LEAVING; twice as many on GONE
@@ -27,7 +26,8 @@
     """One courier's membership. `seeds` (address by name) are contacted first and override the addresses that members
     announce. `me.incarnation` should exceed that of the previous run; if not, the fleet's answer raises it."""
 
-    def __init__(self, me: Member, seeds: Mapping[str, str], limits: Limits, rng: random.Random, now_us: int) -> None:
+    def __init__(self, me: Member, seeds: Mapping[str, str], limits: MemberLimits, rng: random.Random,
+                 now_us: int) -> None:
         self._limits = limits
         self._view = View(me, seeds, limits, rng, now_us)
         self._roster = self._view.roster
--- a/wheelstep/fleet/news.py
+++ b/wheelstep/fleet/news.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from wheelstep.fleet.roster import Limits
+from wheelstep.fleet.roster import MemberLimits
 from wheelstep.fleet.types import Member, Roll, SendPacket, State
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -21,7 +21,7 @@
     """Gossip queue with at most one update per member. Each update is sent a bounded number of times, the least sent
     first (Das, Gupta, Motivala 2002, 4.1)."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: MemberLimits) -> None:
         self._limits = limits
         self._updates: dict[str, tuple[Member, int, int]] = {}  # the member, times sent, bytes
 
@@ -30,7 +30,7 @@
 
     def add(self, member: Member) -> None:
         """Queue the update, replacing one of the same member. A full queue drops the most sent update."""
-        if member.name not in self._updates and len(self._updates) >= self._limits.news_most:
+        if member.name not in self._updates and len(self._updates) >= self._limits.max_updates:
             del self._updates[max(self._updates, key=lambda name: self._updates[name][1])]
         self._updates[member.name] = (member, 0, len(_encode(member)))
 
@@ -39,9 +39,10 @@
         fit, except those of the receiver."""
         if not self._updates:
             return tuple(first)
-        selected, free_bytes = list(first), self._limits.news_bytes - sum(len(_encode(member)) for member in first)
+        selected, free_bytes = list(first), self._limits.max_update_bytes - sum(
+            len(_encode(member)) for member in first)
         excluded = {to, *(member.name for member in first)}
-        max_times = math.ceil(self._limits.news_times * math.log2(members + 1))
+        max_times = math.ceil(self._limits.sends_per_update * math.log2(members + 1))
         for name, (member, times_sent, size) in sorted(self._updates.items(), key=lambda item: item[1][1]):
             if name in excluded or size > free_bytes:
                 continue
@@ -59,7 +60,7 @@
 class Rolls:
     """Queue of answers to `Hello`, sent at a bounded rate. A repeated request is refused while its rolls are queued."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: MemberLimits) -> None:
         self._limits = limits
         self._queue: deque[SendPacket] = deque()
         self._queued_count: dict[str, int] = {}  # by address
@@ -71,7 +72,7 @@
         or packets for this address are queued."""
         if address in self._queued_count:
             return False
-        initial_free_bytes = self._limits.news_bytes - sum(len(_encode(member)) for member in first)
+        initial_free_bytes = self._limits.max_update_bytes - sum(len(_encode(member)) for member in first)
         packets: list[list[Member]] = [list(first)]
         free_bytes, excluded = initial_free_bytes, {member.name for member in first}
         rest = [member for member in members if member.name not in excluded]
@@ -83,7 +84,7 @@
                 free_bytes = initial_free_bytes
             packets[-1].append(member)
             free_bytes -= size
-        if len(self._queue) + len(packets) > self._limits.rolls_most:
+        if len(self._queue) + len(packets) > self._limits.max_rolls:
             return False
         remaining = len(rest)
         for news in packets:
--- a/wheelstep/fleet/node.py
+++ b/wheelstep/fleet/node.py
@@ -14,7 +14,7 @@
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.placing import NodeSettings, PlacementRunner
 from wheelstep.fleet.register import Voter, replay
-from wheelstep.fleet.rows import FLEET
+from wheelstep.fleet.rows import FLEET_ROW
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import (
     Action,
@@ -49,7 +49,7 @@
         if me.name in settings.voters:
             rows = replay(data.removeprefix(VOTE_PREFIX) for data in stored if data.startswith(VOTE_PREFIX))
             self.voter = Voter(me.name, others, settings.parts, settings.lease_us, settings.drift,
-                               rows if FLEET in rows.rows else None, rows.place, now_us)
+                               rows if FLEET_ROW in rows.rows else None, rows.place, now_us)
         self.owner = Owner(me.name, settings.voters, settings.parts, settings.lease_us, settings.drift,
                            settings.margin_us, rng, now_us)
         self.taker = Taker(me.name, content.version, settings.room, stored)
--- a/wheelstep/fleet/packets.py
+++ b/wheelstep/fleet/packets.py
@@ -5,8 +5,8 @@
 each run: it is the larger of the stored one plus one and the wall clock's seconds. Under the highest boot number of a
 sender, a sliding window of counters detects replays, as in IPsec (RFC 4303, 3.4.3).
 
-Datagrams and streams are two lanes with a `Seal` each: a packet of one is refused in the other, and a stalled stream
-does not fall out of the window that datagrams advance.
+Datagrams and streams are two lanes with a `PacketSeal` each: a packet of one is refused in the other, and a stalled
+stream does not fall out of the window that datagrams advance.
 """
 
 from __future__ import annotations
@@ -124,19 +124,19 @@
         self.bitmap |= 1 << (self.highest - counter)
 
 
-class Seal:
+class PacketSeal:
     """Seals with the first key and opens with any. To replace a key, append the new one at all couriers, then make it
     the first at all, then remove the old one. Raises `ValueError` for short keys and long or empty names."""
 
     def __init__(self, keys: bytes | Sequence[bytes], fleet: str, me: str, boot: int, *, lane: str = "datagram",
-                 most_bytes: int = DATAGRAM_BYTES) -> None:
+                 max_bytes: int = DATAGRAM_BYTES) -> None:
         self._keys = [keys] if isinstance(keys, bytes) else list(keys)
         if not self._keys or min(map(len, self._keys)) < KEY_BYTES:
             raise ValueError(f"fleet key: expected {KEY_BYTES} bytes or more")
         for name in (fleet, me):
             if not 0 < len(name.encode()) <= NAME_BYTES:
                 raise ValueError(f"name {name!r}: expected 1 to {NAME_BYTES} bytes")
-        self._fleet, self._me, self._lane, self._max_bytes = fleet, me, lane, most_bytes
+        self._fleet, self._me, self._lane, self._max_bytes = fleet, me, lane, max_bytes
         self.boot = boot
         self._counter = 0
         self._windows: OrderedDict[str, _Window] = OrderedDict()  # least recently heard first
--- a/wheelstep/fleet/peers.py
+++ b/wheelstep/fleet/peers.py
@@ -14,7 +14,7 @@
 
 from wheelstep.courier.config import Address
 from wheelstep.fleet.datagrams import Datagrams
-from wheelstep.fleet.packets import STREAM, STREAM_BYTES, HigherBoot, PacketError, Reason, Seal
+from wheelstep.fleet.packets import STREAM, STREAM_BYTES, HigherBoot, PacketError, PacketSeal, Reason
 from wheelstep.fleet.types import Answer, Ask, Packet, Stood, Voted
 from wheelstep.moves.types import Moved
 
@@ -28,14 +28,14 @@
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The sockets of courier `me` of a fleet. `keys` seal as in `Seal`, under boot number `boot`. `heard` gets
+    """The sockets of courier `me` of a fleet. `keys` seal as in `PacketSeal`, under boot number `boot`. `heard` gets
     datagrams; `asked` answers requests, and a request without an answer gets status 503."""
 
     def __init__(self, keys: Sequence[bytes], fleet: str, me: str, boot: int, now_us: Callable[[], int], heard: Heard,
                  asked: Asked) -> None:
         self._now_us, self._asked = now_us, asked
-        self.datagram_seal = Seal(keys, fleet, me, boot)
-        self.stream_seal = Seal(keys, fleet, me, boot, lane="stream", most_bytes=STREAM_BYTES)
+        self.datagram_seal = PacketSeal(keys, fleet, me, boot)
+        self.stream_seal = PacketSeal(keys, fleet, me, boot, lane="stream", max_bytes=STREAM_BYTES)
         self._datagrams = Datagrams(self.datagram_seal, now_us, self._sendto, heard, self._on_higher_boot)
         self._transport: asyncio.DatagramTransport | None = None
         self._runner: web.AppRunner | None = None
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -8,8 +8,7 @@
 
 from wheelstep.fleet.assignment import Placement
 from wheelstep.fleet.errands import PendingOperations
-from wheelstep.fleet.membership import Limits as MemberLimits
-from wheelstep.fleet.membership import Membership
+from wheelstep.fleet.membership import MemberLimits, Membership
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Action, Answer, Member, Ownership, Stand, State, Stood
@@ -127,7 +126,7 @@
         self._coordinator.ended_moves.clear()
         parts = range(self._settings.parts)
         for part in parts:
-            self._placement.owned(part, self.owner_of(part))
+            self._placement.record_owner(part, self.owner_of(part))
         if self._swap is not None:
             return self._give_away_all(now_us, self._swap)
         if not self._has_report or self._membership.name_in_use:
@@ -139,7 +138,7 @@
         actions: list[Action] = []
         for part, to in plan.away.items():
             if self._alive(to) and self._owner.epoch(part, now_us) is not None:
-                self._placement.began(now_us)
+                self._placement.record_move_start(now_us)
                 actions += self._coordinator.give(now_us, part, to)
         return actions
 
--- a/wheelstep/fleet/register.py
+++ b/wheelstep/fleet/register.py
@@ -20,7 +20,7 @@
 import math
 from collections.abc import Sequence
 
-from wheelstep.fleet.rows import BEGUN, FLEET, NEW, Row, Rows, encode_record, merge_rows, replay
+from wheelstep.fleet.rows import AGREED_NEW, BEGUN, FLEET_ROW, Row, Rows, encode_record, merge_rows, replay
 from wheelstep.fleet.types import (
     Accept,
     Accepted,
@@ -55,7 +55,7 @@
         self._retry_us = max(lease_us // 20, 1)
         self._rows: dict[int, Row] = dict(rows.rows) if rows else {}
         self._saved = place  # all records up to this place are on disk
-        self._blank = FLEET not in self._rows
+        self._blank = FLEET_ROW not in self._rows
         self._granted_until_us: dict[int, int] = {}  # part -> when its grant ends
         self._no_new_grants_until_us = now_us + self._grant_us  # only known holdings are renewed before
         self._expected_place = place  # highest place of this log reported by others
@@ -65,7 +65,7 @@
     @property
     def blank(self) -> bool:
         """Whether the voter must first recover the registers, or agree with all others that the fleet is new."""
-        return self._blank or self._rows[FLEET].promised == NEW
+        return self._blank or self._rows[FLEET_ROW].promised == AGREED_NEW
 
     def saved(self, place: int) -> None:
         """Report all records up to `place` (`Voted.place`, or `self.place` right after `on_registers`) as on disk."""
@@ -169,7 +169,7 @@
         known_place = seen if sender in self._others else 0
         if self._blank:
             return Stood(True, (), known_place)
-        begun = self._rows[FLEET].promised == BEGUN
+        begun = self._rows[FLEET_ROW].promised == BEGUN
         rows = ((part, row.promised, row.accepted, row.holding) for part, row in sorted(self._rows.items()))
         return Stood(False, tuple(rows) if begun else (), known_place)
 
@@ -203,11 +203,11 @@
         if begun or len(self._answers) < len(self._others):
             return []
         # All others are blank too. Each voter first records its agreement, and votes once all the others have.
-        if self._blank and self._rows.keys() <= {FLEET}:
+        if self._blank and self._rows.keys() <= {FLEET_ROW}:
             self._blank = False
             self._answers.clear()
             self._next_request_us.clear()
-            return [self._store(FLEET, Row(NEW))]
+            return [self._store(FLEET_ROW, Row(AGREED_NEW))]
         return self._start_voting(now_us, []) if not self._blank and len(informed) == len(self._others) else []
 
     def _start_voting(self, now_us: int, begun: Sequence[Stood]) -> list[bytes]:
@@ -218,7 +218,7 @@
             self._no_new_grants_until_us += self._grant_us
         self._blank = False
         self._granted_until_us.clear()
-        self._rows[FLEET] = Row(BEGUN)
+        self._rows[FLEET_ROW] = Row(BEGUN)
         self._merge(begun)
         return [self._store(part, row) for part, row in sorted(self._rows.items())]
 
--- a/wheelstep/fleet/roster.py
+++ b/wheelstep/fleet/roster.py
@@ -20,27 +20,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MemberLimits:
     """Limits of membership. "Health" is the local health multiplier, 0 if good."""
 
     period_us: int = 500_000  # between probes; multiplied by health + 1
     timeout_us: int = 150_000  # before indirect probes; multiplied by health + 1
     indirect: int = 3  # helpers asked for an indirect probe
     suspicion: float = 5.0  # minimum suspicion in periods, multiplied by log10 of the members
-    suspicion_most: float = 6.0  # maximum suspicion, as a multiple of the minimum; applies without confirmations
+    max_suspicion: float = 6.0  # maximum suspicion, as a multiple of the minimum; applies without confirmations
     max_confirmations: int = 3  # by others that shorten a suspicion to its minimum
     max_health: int = 8  # maximum of the health multiplier
     stall_us: int = 300_000  # a tick later than this is a stall of this courier
-    news_most: int = 512  # updates queued for gossip
-    news_times: float = 3.0  # sends of each update, multiplied by log2(members + 1)
-    news_bytes: int = 850  # of updates per packet; with names of 64 bytes the sealed packet is below 1,200
+    max_updates: int = 512  # updates queued for gossip
+    sends_per_update: float = 3.0  # sends of each update, multiplied by log2(members + 1)
+    max_update_bytes: int = 850  # of updates per packet; with names of 64 bytes the sealed packet is below 1,200
     heal_periods: int = 10  # between attempts to reach a gone member or an unknown seed
     hello_periods: int = 60  # between requests for the whole table of a member
-    rolls_most: int = 512  # queued packets, for all receivers
+    max_rolls: int = 512  # queued packets, for all receivers
     rolls_every_us: int = 10_000  # between two packets to any receiver
     max_indirect_probes: int = 64  # indirect probes in progress for others
     gone_kept_us: int = 600_000_000  # until a gone member is dropped; also between two log lines about a duplicate name
-    members_most: int = 2_048  # in the table, gone ones and this courier included
+    max_members: int = 2_048  # in the table, gone ones and this courier included
 
 
 def is_valid(member: Member) -> bool:
@@ -55,7 +55,7 @@
     """All known members except this courier; gone ones are kept for `gone_kept_us`. The addresses in `seeds` (by name)
     override those that members announce, because each courier may reach another at a different address."""
 
-    def __init__(self, me: str, seeds: Mapping[str, str], limits: Limits) -> None:
+    def __init__(self, me: str, seeds: Mapping[str, str], limits: MemberLimits) -> None:
         self.seeds = {name: address for name, address in seeds.items() if name != me}
         self._limits = limits
         self._members: dict[str, Member] = {}
@@ -98,7 +98,7 @@
         if update.incarnation < known.incarnation:
             return False  # outdated: from before the member moved
         self.refused["twin"] += 1
-        if len(self.duplicates) < self._limits.members_most:
+        if len(self.duplicates) < self._limits.max_members:
             self.duplicates.setdefault(update.name, update.address)
         return True
 
@@ -130,9 +130,9 @@
             self._drop(name)
 
     def _make_room(self) -> bool:
-        if len(self._members) >= self._limits.members_most - 1 and self._gone_us:
+        if len(self._members) >= self._limits.max_members - 1 and self._gone_us:
             self._drop(next(iter(self._gone_us)))
-        return len(self._members) < self._limits.members_most - 1
+        return len(self._members) < self._limits.max_members - 1
 
     def _drop(self, name: str) -> None:
         del self._gone_us[name]
--- a/wheelstep/fleet/rows.py
+++ b/wheelstep/fleet/rows.py
@@ -9,8 +9,8 @@
 
 from wheelstep.fleet.types import Ballot, Ownership
 
-FLEET = -1  # pseudo-part whose row says whether the fleet has begun
-NEW = Ballot(0, "")  # all other voters have reported that they are blank too
+FLEET_ROW = -1  # pseudo-part whose row says whether the fleet has begun
+AGREED_NEW = Ballot(0, "")  # all other voters have reported that they are blank too
 BEGUN = Ballot(1, "")  # this voter votes
 
 
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -10,7 +10,7 @@
 from wheelstep.channels.contracts import ContractError, Contracts
 from wheelstep.channels.contracts import read as read_contracts
 from wheelstep.fields import Duration, Table, describe_error
-from wheelstep.fleet.membership import Limits as MemberLimits
+from wheelstep.fleet.membership import MemberLimits
 from wheelstep.fleet.placing import NodeSettings
 from wheelstep.moves.steps import GiverLimits
 from wheelstep.moves.swap import SwapLimits
@@ -25,7 +25,7 @@
     """Invalid `[fleet]` table. The message is one line with the place, the value found and the value expected."""
 
 
-class ShardsPart(Table):
+class ShardsTable(Table):
     """Sharding of destinations among the couriers (wheelstep.shards). Durations in microseconds."""
 
     on: bool = False
@@ -39,7 +39,7 @@
     push_every: Annotated[Duration, Field(ge=250_000, le=3_600_000_000)] = 5_000_000  # of changed learned state
 
 
-class FleetPart(Table):
+class FleetTable(Table):
     """Settings of the fleet that this courier belongs to. Durations in microseconds. `voters`, `parts`, `lease` and
     `clock_drift` must be equal at all couriers."""
 
@@ -65,58 +65,59 @@
     call_bound: Duration = 2_000_000  # how long a move waits for calls in progress
     probation: Duration = 10_000_000  # for a courier that has appeared, before it is given parts
     most_channels: Annotated[int, Field(ge=1, le=1_000_000)] = 20_000
-    shards: ShardsPart = ShardsPart()
+    shards: ShardsTable = ShardsTable()
 
 
-def settings_of(part: FleetPart) -> NodeSettings:
+def settings_of(table: FleetTable) -> NodeSettings:
     """Return the node settings for the operator's table."""
     return NodeSettings(
-        part.voters, part.parts, part.lease, part.clock_drift, margin_us=part.lease // 30, at_once=part.moves_at_once,
-        pace_us=part.move_pace, probation_us=part.probation, members=MemberLimits(period_us=part.probe_every),
-        moves=GiverLimits(call_bound_us=part.call_bound),
-        leaving=SwapLimits(at_once=part.moves_at_once * 2, pause_us=100_000, bound_us=part.give_away_within))
+        table.voters, table.parts, table.lease, table.clock_drift, margin_us=table.lease // 30,
+        at_once=table.moves_at_once, pace_us=table.move_pace, probation_us=table.probation,
+        members=MemberLimits(period_us=table.probe_every),
+        moves=GiverLimits(call_bound_us=table.call_bound),
+        leaving=SwapLimits(at_once=table.moves_at_once * 2, pause_us=100_000, bound_us=table.give_away_within))
 
 
-class Fleet:
+class FleetConfig:
     """The configuration of a fleet: its table, keys and contracts."""
 
-    def __init__(self, part: FleetPart, keys: list[bytes], contracts: Contracts) -> None:
-        self.part, self.keys, self.contracts = part, keys, contracts
+    def __init__(self, table: FleetTable, keys: list[bytes], contracts: Contracts) -> None:
+        self.table, self.keys, self.contracts = table, keys, contracts
 
 
-def read(table: Any, contracts: Any, folder: Path) -> Fleet | None:
+def read(table: Any, contracts: Any, folder: Path) -> FleetConfig | None:
     """Return the checked tables `fleet` and `contract` of a file in `folder`; None if the fleet is off. Raises
     `FleetError`."""
     try:
-        part = FleetPart.model_validate(table if table is not None else {})
+        fleet = FleetTable.model_validate(table if table is not None else {})
     except ValidationError as error:
         raise FleetError(f"fleet.{describe_error(error, 'docs/operations/channels.md')}") from error
     try:
         declared = read_contracts(contracts if contracts is not None else [])
     except ContractError as error:
         raise FleetError(str(error)) from error
-    if not part.on:
+    if not fleet.on:
         if len(declared):
             raise FleetError("contract: declared while fleet.on is false; expected [fleet] with on = true")
         return None
-    if part.key_file is None or part.listen is None:
-        missing = "key_file" if part.key_file is None else "listen"
+    if fleet.key_file is None or fleet.listen is None:
+        missing = "key_file" if fleet.key_file is None else "listen"
         raise FleetError(f"fleet.{missing}: missing; expected a value where fleet.on is true")
-    if part.shards.on:
-        _check_shards(part, declared)
-    elif len(part.voters) not in (3, 5) or len(set(part.voters)) != len(part.voters):
-        raise FleetError(f"fleet.voters: {list(part.voters)}; expected 3 or 5 different names")
-    return Fleet(part, [_key(folder / path) for path in (part.key_file, *part.old_key_files)], declared)
+    if fleet.shards.on:
+        _check_shards(fleet, declared)
+    elif len(fleet.voters) not in (3, 5) or len(set(fleet.voters)) != len(fleet.voters):
+        raise FleetError(f"fleet.voters: {list(fleet.voters)}; expected 3 or 5 different names")
+    return FleetConfig(fleet, [_key(folder / path) for path in (fleet.key_file, *fleet.old_key_files)], declared)
 
 
-def _check_shards(part: FleetPart, declared: Contracts) -> None:
-    if part.voters or len(declared):
-        found = "fleet.voters" if part.voters else "contract"
+def _check_shards(fleet: FleetTable, declared: Contracts) -> None:
+    if fleet.voters or len(declared):
+        found = "fleet.voters" if fleet.voters else "contract"
         raise FleetError(f"{found}: given beside fleet.shards.on = true; expected one of them: channels' parts and "
                          "shards are not yet shared by one fleet")
-    if not part.shards.control:
+    if not fleet.shards.control:
         raise FleetError("fleet.shards.control: missing; expected a name and an address of one control machine or more")
-    if both := sorted(part.shards.control.keys() & part.peers.keys()):
+    if both := sorted(fleet.shards.control.keys() & fleet.peers.keys()):
         raise FleetError(f"fleet.shards.control: {both[0]!r} is a peer as well; expected different names")
 
 
--- a/wheelstep/fleet/view.py
+++ b/wheelstep/fleet/view.py
@@ -11,7 +11,7 @@
 
 from wheelstep.fleet.doubt import Probe, Suspicion, new_suspicion
 from wheelstep.fleet.news import News, as_suspect
-from wheelstep.fleet.roster import INCARNATION_LIMIT, Limits, Roster
+from wheelstep.fleet.roster import INCARNATION_LIMIT, MemberLimits, Roster
 from wheelstep.fleet.types import Action, Hello, Member, Note, Packet, Ping, SendPacket, State
 
 HELLO_EVERY_US = 200_000  # minimum interval between hellos to unknown, gone or duplicate couriers
@@ -22,7 +22,8 @@
     """The membership state. `health` is Lifeguard's local health multiplier: 0 is good; the higher it is, the less this
     courier relies on its own probes."""
 
-    def __init__(self, me: Member, seeds: Mapping[str, str], limits: Limits, rng: random.Random, now_us: int) -> None:
+    def __init__(self, me: Member, seeds: Mapping[str, str], limits: MemberLimits, rng: random.Random,
+                 now_us: int) -> None:
         self.me = me
         self.me_changed = True
         self.duplicate_address = ""  # address of another courier that members know under this name
@@ -155,7 +156,8 @@
         """Tell `to` of members that are alive in its roll but gone here, so that they can refute it. They are sent as
         suspects: a courier that reaches them must not declare them gone on the word of this one."""
         gone = []
-        room = self.limits.news_bytes - sum(len(msgspec.msgpack.encode(member)) for member in self.leading_members(to))
+        room = self.limits.max_update_bytes - sum(
+            len(msgspec.msgpack.encode(member)) for member in self.leading_members(to))
         for member in roll:
             known = self.roster.get(member.name)
             if (known is not None and known.state is State.GONE and member.state is State.ALIVE
@@ -182,7 +184,7 @@
         """Return a log line, at most one per `every_us` for the same key."""
         if key in self._noted_us and now_us - self._noted_us[key] < every_us:
             return []
-        if len(self._noted_us) >= self.limits.members_most:
+        if len(self._noted_us) >= self.limits.max_members:
             del self._noted_us[next(iter(self._noted_us))]
         self._noted_us[key] = now_us
         return [Note(text)]
--- a/wheelstep/operator.py
+++ b/wheelstep/operator.py
@@ -55,7 +55,7 @@
     """The whole file."""
 
     account: AccountPart = AccountPart()
-    fleet: Any = None  # a `wheelstep.fleet.settings.Fleet` if the file has a fleet that is on
+    fleet: Any = None  # a `wheelstep.fleet.settings.FleetConfig` if the file has a fleet that is on
     journal: JournalPart = JournalPart()
     recording: RecordingPart = RecordingPart()
     workers: WorkersPart = WorkersPart()
--- a/wheelstep/rehearsal/scale/courier.py
+++ b/wheelstep/rehearsal/scale/courier.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from wheelstep.courier.rows import Row
-from wheelstep.fleet.membership import QUIET_ROLLS, Limits, Membership
+from wheelstep.fleet.membership import QUIET_ROLLS, MemberLimits, Membership
 from wheelstep.fleet.types import Member, Roll, State
 from wheelstep.rehearsal.scale.downs import Downs
 from wheelstep.rehearsal.scale.links import Links
@@ -71,7 +71,7 @@
 def settle(membership: Membership, rng: random.Random) -> None:
     """It has looked into tables that told of nobody new, and looks again at a moment of its own."""
     membership._quiet_rolls = QUIET_ROLLS
-    membership._period = rng.randrange(Limits().hello_periods)
+    membership._period = rng.randrange(MemberLimits().hello_periods)
 
 
 class HollowCourier:
@@ -89,7 +89,7 @@
         self.shelf = HollowShelf(shared.settings, rng.randrange(1 << 30), plan.shards, partners, shared.counts,
                                  shared.loop_epoch_s)
         self.node = ShardNode(
-            member(site, boot), NodeSettings(shards=plan.shards, members=Limits(period_us=plan.probe_us)),
+            member(site, boot), NodeSettings(shards=plan.shards, members=MemberLimits(period_us=plan.probe_us)),
             {name: address for name, address in shared.seeds.items() if name != site.name}, shared.control,
             [key(plan)], FLEET, boot, self.shelf, self.net, read_row, rng, shared.note)
         self.traffic = Traffic(site.name, self.node.desk, lambda: self.node.ready, Draw(plan.destinations, rng), rng,
--- a/wheelstep/rehearsal/scale/undivided.py
+++ b/wheelstep/rehearsal/scale/undivided.py
@@ -13,8 +13,8 @@
 from wheelstep.courier.config import Address
 from wheelstep.courier.watch import Watch
 from wheelstep.fleet.datagrams import Datagrams
-from wheelstep.fleet.membership import Limits, Membership
-from wheelstep.fleet.packets import HigherBoot, Seal
+from wheelstep.fleet.membership import MemberLimits, Membership
+from wheelstep.fleet.packets import HigherBoot, PacketSeal
 from wheelstep.fleet.types import Action, Packet, Roll, SendPacket, State
 from wheelstep.rehearsal.scale.courier import Shared, member, settle
 from wheelstep.rehearsal.scale.desk import HollowDesk
@@ -45,8 +45,9 @@
                                 shared.loop_epoch_s)
         seeds = {name: address for name, address in shared.seeds.items() if name != site.name}
         self._loop = asyncio.get_running_loop()
-        self.membership = Membership(member(site, boot), seeds, Limits(period_us=plan.probe_us), rng, self._now_us())
-        seal = Seal([key(plan)], FLEET, site.name, boot)
+        self.membership = Membership(member(site, boot), seeds, MemberLimits(period_us=plan.probe_us), rng,
+                                     self._now_us())
+        seal = PacketSeal([key(plan)], FLEET, site.name, boot)
         self._datagrams = Datagrams(seal, self._now_us, lambda data, to: self.net.send(to, data), self._packet,
                                     self._elder)
         self._watch = Watch(Address.parse(plan.discovery), NAMES, 0, self._listed, couriers=plan.hollow,
--- a/wheelstep/rehearsal/simulation/membership_world.py
+++ b/wheelstep/rehearsal/simulation/membership_world.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from wheelstep.fleet.membership import Limits, Membership
-from wheelstep.fleet.packets import DATAGRAM, HigherBoot, Seal
+from wheelstep.fleet.membership import MemberLimits, Membership
+from wheelstep.fleet.packets import DATAGRAM, HigherBoot, PacketSeal
 from wheelstep.fleet.types import Action, Member, Note, Roll, SendPacket, State
 
 SECOND = 1_000_000
@@ -22,9 +22,9 @@
     through real seals, so that one beyond 1,200 bytes ends the run."""
 
     def __init__(self, count: int, seed: int, *, loss: float = 0.0, sealed: bool = False,
-                 limits: Limits | None = None) -> None:
+                 limits: MemberLimits | None = None) -> None:
         self.rng = random.Random(seed)
-        self.now_us, self.loss, self.limits = 0, loss, limits or Limits()
+        self.now_us, self.loss, self.limits = 0, loss, limits or MemberLimits()
         self.sealed = sealed
         self.couriers: dict[str, Membership] = {}
         self.at: dict[str, str] = {}  # address -> name of the process there
@@ -35,7 +35,7 @@
         self.sent: Counter[str] = Counter()
         self.bytes = 0
         self.cpu_s = 0.0
-        self.seals: dict[str, Seal] = {}
+        self.seals: dict[str, PacketSeal] = {}
         self._events: list[tuple[int, int, str, tuple[str, Any] | None]] = []
         self._order = 0
         self._ticks: dict[str, int] = {}
@@ -48,7 +48,7 @@
         me = Member(name or process, incarnation, State.ALIVE, f"@{process}", f"http://{process}")
         courier = Membership(me, self.seeds, self.limits, random.Random(self.rng.random()), self.now_us)
         self.couriers[process], self.at[me.address] = courier, process
-        self.seals[process] = Seal(b"k" * 16, "fleet", me.name, self.now_us + 1)
+        self.seals[process] = PacketSeal(b"k" * 16, "fleet", me.name, self.now_us + 1)
         self.dead.discard(process)
         self._push(courier.next_us(), process, None)
         return courier
--- a/wheelstep/rehearsal/simulation/nodes.py
+++ b/wheelstep/rehearsal/simulation/nodes.py
@@ -9,7 +9,7 @@
 
 from wheelstep.fleet.node import Node
 from wheelstep.fleet.placing import NodeSettings
-from wheelstep.fleet.roster import Limits as MemberLimits
+from wheelstep.fleet.roster import MemberLimits
 from wheelstep.fleet.types import Member, State
 from wheelstep.moves.steps import GiverLimits, TakerLimits
 from wheelstep.moves.swap import SwapLimits
--- a/wheelstep/shards/daemon.py
+++ b/wheelstep/shards/daemon.py
@@ -18,8 +18,8 @@
 from wheelstep.courier.core import Core
 from wheelstep.courier.rows import Row
 from wheelstep.fleet.log import Log, LogDamagedError
-from wheelstep.fleet.membership import Limits as MemberLimits
-from wheelstep.fleet.settings import Fleet, FleetPart
+from wheelstep.fleet.membership import MemberLimits
+from wheelstep.fleet.settings import FleetConfig, FleetTable
 from wheelstep.fleet.types import Member, State
 from wheelstep.journal import Journal
 from wheelstep.journal.disk import Folder
@@ -35,7 +35,7 @@
 log = logging.getLogger("wheelstep.shards")
 
 
-def settings_of(part: FleetPart) -> NodeSettings:
+def settings_of(part: FleetTable) -> NodeSettings:
     """The node's settings from the operator's table."""
     shards = part.shards
     return NodeSettings(shards.count, shards.load, shards.guests, shards.guest_idle, shards.opens_within,
@@ -48,14 +48,14 @@
 
     lists = True  # control machines send the list of endpoints
 
-    def __init__(self, config: Config, fleet: Fleet, journal: Journal) -> None:
-        self._fleet, self._part = fleet, fleet.part
+    def __init__(self, config: Config, fleet: FleetConfig, journal: Journal) -> None:
+        self._fleet, self._part = fleet, fleet.table
         # A rate limit is divided among one home per region instead of all couriers.
-        self.config = replace(config, settings=replace(config.settings, senders=fleet.part.shards.regions))
-        self.kept = ShardBook(journal, fleet.part.shards.count)
+        self.config = replace(config, settings=replace(config.settings, senders=fleet.table.shards.regions))
+        self.kept = ShardBook(journal, fleet.table.shards.count)
         folder = config.state / "fleet"
         folder.mkdir(parents=True, exist_ok=True)
-        _check_shard_count(folder / "shards", fleet.part.shards.count)
+        _check_shard_count(folder / "shards", fleet.table.shards.count)
         self._boot = _boot(Folder(folder), folder)
 
     def join(self, core: Core) -> tuple[Admission, ClientApi | None, Callable[[int], Admission] | None]:
@@ -101,7 +101,7 @@
                 last_figures = figures
                 log.info("figures: %s", " ".join(f"{name}={value}" for name, value in sorted(figures.items())))
 
-    def renew(self, fleet: Fleet) -> None:
+    def renew(self, fleet: FleetConfig) -> None:
         """Does nothing: changes of the operator's file take effect at the next start."""
 
     async def leave(self) -> None:
--- a/wheelstep/shards/node.py
+++ b/wheelstep/shards/node.py
@@ -11,7 +11,7 @@
 from wheelstep.courier.rows import Row
 from wheelstep.fleet.datagrams import Datagrams
 from wheelstep.fleet.membership import Membership
-from wheelstep.fleet.packets import HigherBoot, Seal
+from wheelstep.fleet.packets import HigherBoot, PacketSeal
 from wheelstep.fleet.types import Action, Member, Note, Packet, SendPacket, State
 from wheelstep.forwarding.client import ForwardClient
 from wheelstep.forwarding.server import ForwardServer
@@ -52,7 +52,7 @@
                                           self.waits, read, rng, self.now_us, self._arm, note)
         self.hosting, self.handoff = self.lifecycles.hosting, self.lifecycles.handoff
         self.routing = Routing(self, self.router, self.waits, settings.opens_within_us)
-        self._seal = Seal(keys, fleet, me.name, boot)
+        self._seal = PacketSeal(keys, fleet, me.name, boot)
         self._datagrams = Datagrams(
             self._seal, self.now_us, lambda data, to: net.send(to, data), self._packet, self._elder)
         self.links = self.lifecycles.links = Links(
--- a/wheelstep/shards/settings.py
+++ b/wheelstep/shards/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wheelstep.fleet.membership import Limits as MemberLimits
+from wheelstep.fleet.membership import MemberLimits
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheelstep/shards/stream_link.py
+++ b/wheelstep/shards/stream_link.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from wheelstep.fleet.packets import EXPECTED, STREAM_BYTES, Decoder, HigherBoot, PacketError, Reason, Seal
+from wheelstep.fleet.packets import EXPECTED, STREAM_BYTES, Decoder, HigherBoot, PacketError, PacketSeal, Reason
 from wheelstep.shards.ports import Pipe
 from wheelstep.shards.types import Batch, Frame
 
@@ -43,7 +43,7 @@
 class Owner(Protocol):
     """The owner of the link, with the state shared by all links."""
 
-    def seal(self, lane: str) -> Seal:
+    def seal(self, lane: str) -> PacketSeal:
         """The seal for one link."""
 
     def highest_boot(self, sender: str, boot: int) -> int:
@@ -75,7 +75,7 @@
         self.greeted: asyncio.Future[bool] | None = None  # what `dial` waits for
         self._owner, self._nonce = owner, nonce
         self._pipe: Pipe | None = None
-        self._seal: Seal | None = None
+        self._seal: PacketSeal | None = None
         self._authenticated = False  # a valid packet has arrived
         self._ended = self._gone = False
         self._buffer = bytearray()
--- a/wheelstep/shards/streams.py
+++ b/wheelstep/shards/streams.py
@@ -10,7 +10,7 @@
 from collections import Counter, OrderedDict
 from collections.abc import Callable, Sequence
 
-from wheelstep.fleet.packets import BOOT_LIMIT, NOTE_EVERY_US, STREAM_BYTES, HigherBoot, Seal
+from wheelstep.fleet.packets import BOOT_LIMIT, NOTE_EVERY_US, STREAM_BYTES, HigherBoot, PacketSeal
 from wheelstep.shards.ports import Lost, Net, Pipe, Received
 from wheelstep.shards.refusals import Refusals
 from wheelstep.shards.stream_link import NONCE_BYTES, StreamLink
@@ -33,7 +33,7 @@
                  heard: Callable[[StreamLink, Frame], None], lost: Callable[[StreamLink], None],
                  now_us: Callable[[], int], *, max_links: int = MAX_LINKS, first_packet_s: float = FIRST_PACKET_S,
                  nonce: Callable[[int], bytes] = secrets.token_bytes) -> None:
-        """Raises `ValueError` for short keys and long names, as `Seal` does."""
+        """Raises `ValueError` for short keys and long names, as `PacketSeal` does."""
         self._net, self._keys, self._fleet, self._me = net, list(keys), fleet, me
         self._heard, self._lost, self._now_us, self._nonce = heard, lost, now_us, nonce
         self._max_links, self._first_packet_s = max_links, first_packet_s
@@ -109,9 +109,9 @@
 
     # --- for the links ---
 
-    def seal(self, lane: str) -> Seal:
+    def seal(self, lane: str) -> PacketSeal:
         """The seal for one link."""
-        return Seal(self._keys, self._fleet, self._me, self.boot, lane=lane, most_bytes=STREAM_BYTES)
+        return PacketSeal(self._keys, self._fleet, self._me, self.boot, lane=lane, max_bytes=STREAM_BYTES)
 
     def highest_boot(self, sender: str, boot: int) -> int:
         """The highest known boot number of a sender, including this one."""
