--- a/benchmarks/measure/deaths.py
+++ b/benchmarks/measure/deaths.py
@@ -33,7 +33,7 @@
         took += [] if seconds is None else [seconds]
     took.sort()
     return {"deaths": DEATHS, "not_known": DEATHS - len(took), "median_s": took[len(took) // 2], "most_s": took[-1],
-            "falsely": sum("taken for dead" in text for _, _, text in world.notes
+            "falsely": sum("declared gone" in text for _, _, text in world.notes
                            if not any(world.couriers[dead].me.name in text for dead in world.dead))}
 
 
--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -80,15 +80,15 @@
     """The sockets of one courier, and what they received."""
 
     def __init__(self, name: str, key: bytes = KEY) -> None:
-        self.name, self.asks = name, 0
-        self.heard: asyncio.Queue[tuple[str, Packet]] = asyncio.Queue()
-        self.peers = Peers([key], "fleet", name, 1, lambda: 0, self._heard, self._asked)
+        self.name, self.request_count = name, 0
+        self.received: asyncio.Queue[tuple[str, Packet]] = asyncio.Queue()
+        self.peers = Peers([key], "fleet", name, 1, lambda: 0, self._on_packet, self._on_request)
 
-    def _heard(self, sender: str, _: str, packet: Packet) -> None:
-        self.heard.put_nowait((sender, packet))
+    def _on_packet(self, sender: str, _: str, packet: Packet) -> None:
+        self.received.put_nowait((sender, packet))
 
-    async def _asked(self, sender: str, ask: Ask) -> Answer | None:
-        self.asks += 1
+    async def _on_request(self, sender: str, ask: Ask) -> Answer | None:
+        self.request_count += 1
         return Stood(False, (), 7)
 
     async def start(self) -> str:
@@ -109,7 +109,7 @@
             assert await a.peers.ask(at_b, "b", Stand(), 5) == Stood(False, (), 7)
             assert await stranger.peers.ask(at_b, "b", Stand(), 5) is None
             assert await a.peers.ask(at_b, "c", Stand(), 5) is None  # addressed to another courier
-            assert b.asks == 1
+            assert b.request_count == 1
             stranger.peers.send(at_b, "b", Ping(1))
             host, port = at_b.rsplit(":", 1)
             assert a.peers._transport is not None
@@ -119,9 +119,9 @@
             a.peers._transport.sendto(sealed, (host, int(port)))
             a.peers._transport.sendto(sealed, (host, int(port)))  # replayed
             a.peers.send(at_b, "b", Ping(3))
-            assert await b.heard.get() == ("c", Ping(2))
-            assert await b.heard.get() == ("a", Ping(3))
-            assert b.heard.empty()
+            assert await b.received.get() == ("c", Ping(2))
+            assert await b.received.get() == ("a", Ping(3))
+            assert b.received.empty()
             assert b.peers.datagram_seal.refused == {"version": 1, "seal": 2, "replay": 1}
             assert b.peers.stream_seal.refused == {"seal": 1, "receiver": 1}
             for side in sides:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -111,7 +111,7 @@
     assert all(world.couriers[process].member("c3") == member("c3") for process in others)
     assert sum(world.couriers[process].refused["twin"] for process in others) > 0
     assert world.couriers["twin"].name_in_use and not any(world.couriers[name].name_in_use for name in [*others, "c3"])
-    assert not [teller for _, teller, text in world.notes if "taken for dead" in text and teller != "twin"]
+    assert not [teller for _, teller, text in world.notes if "declared gone" in text and teller != "twin"]
     for process in [*others, "twin"]:
         told = [text for _, teller, text in world.notes if teller == process and "second courier" in text]
         assert len(told) <= 1 and (told or process != "twin")
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -64,27 +64,28 @@
         try:
             return Log.open(self._disk, least_boot)
         except LogDamagedError as error:
-            log.error("%s: renamed; this courier's voter starts blank", error)
+            log.error("%s: renamed to fleet.damaged; this courier's voter starts without state", error)
             return Log.create_after_damage(self._disk, max(least_boot, error.boot + 1)), ()
         except OSError as error:
             raise ConfigError(f"{self.config.state / 'fleet'}: {error}") from error
 
     def join(self, core: Core) -> tuple[Admission, ClientApi | None, Callable[[int], Admission] | None]:
         """Create what needs the core, and return the interfaces for the client server."""
-        part, config = self._table, self.config
+        table, config = self._table, self.config
         self._core = core
         self.content = ChannelContent(core, self.kept, self.book, now_ms)
-        listen = Address.parse(part.listen or "")
-        me = Member(config.name, self._log.boot, State.ALIVE, part.address or f"{listen.host}:{listen.port}",
-                    part.serves or f"{config.listen.host}:{config.listen.port}", part.weight, part.zone)
-        peers = {name: address for name, address in part.peers.items() if name != config.name}
-        self.node = Node(me, settings_of(part), peers, self.content, self._records,
+        listen = Address.parse(table.listen or "")
+        me = Member(config.name, self._log.boot, State.ALIVE, table.address or f"{listen.host}:{listen.port}",
+                    table.serves or f"{config.listen.host}:{config.listen.port}", table.weight, table.zone)
+        peers = {name: address for name, address in table.peers.items() if name != config.name}
+        self.node = Node(me, settings_of(table), peers, self.content, self._records,
                          random.Random(f"{config.seed} {self._log.boot}"), now_us())
         self._records = ()
         self.content.epoch = lambda number: self.node.epoch(number, now_us())
-        self.peers = Peers(self._fleet.keys, part.name, config.name, self._log.boot, now_us, self._heard, self._asked)
+        self.peers = Peers(self._fleet.keys, table.name, config.name, self._log.boot, now_us, self._on_packet,
+                           self._on_request)
         self.desk = ChannelDesk(core, self.kept, self.content, now_ms, lambda: int(time.time() * 1000))
-        front = ChannelFront(core.ordered, self.book, self.content, part.parts, now_ms, self._owner)
+        front = ChannelFront(core.ordered, self.book, self.content, table.parts, now_ms, self._redirect)
         core.endpoint_client.sign = signed(self.kept, self.content)
         return self.desk, front, None
 
@@ -95,7 +96,7 @@
             if message.channel is not None and message.notice is None:
                 self.desk.expect(message)
 
-    def _owner(self, part: int) -> tuple[str, float]:
+    def _redirect(self, part: int) -> tuple[str, float]:
         """Return the client address for a part not served here ("" if unknown), and the retry delay in seconds."""
         serves = self.node.client_address(part)
         if serves != self.node.membership.me.serves and serves:
@@ -163,10 +164,10 @@
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_later(max(in_s, 0.001), self._tick)
 
-    def _heard(self, sender: str, address: str, packet: Packet) -> None:
+    def _on_packet(self, sender: str, address: str, packet: Packet) -> None:
         self._execute(self.node.packet(now_us(), sender, address, packet))
 
-    async def _asked(self, sender: str, ask: Ask) -> Answer | None:
+    async def _on_request(self, sender: str, ask: Ask) -> Answer | None:
         self._token += 1
         token = self._token
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
--- a/wheelstep/fleet/datagrams.py
+++ b/wheelstep/fleet/datagrams.py
@@ -12,13 +12,13 @@
 
 
 class Datagrams:
-    """`sendto` sends bytes to an address and may raise `OSError`. `heard` gets valid packets (sender, address, packet).
-    `on_higher_boot` is called if the fleet knows a higher boot number of this courier."""
+    """`sendto` sends bytes to an address and may raise `OSError`. `on_packet` gets valid packets (sender, address,
+    packet). `on_higher_boot` is called if the fleet knows a higher boot number of this courier."""
 
     def __init__(self, seal: PacketSeal, now_us: Callable[[], int], sendto: Callable[[bytes, str], None],
-                 heard: Callable[[str, str, Packet], None], on_higher_boot: Callable[[HigherBoot], None]) -> None:
-        self._seal, self._now_us, self._sendto, self._heard, self._on_higher_boot = (
-            seal, now_us, sendto, heard, on_higher_boot)
+                 on_packet: Callable[[str, str, Packet], None], on_higher_boot: Callable[[HigherBoot], None]) -> None:
+        self._seal, self._now_us, self._sendto, self._on_packet, self._on_higher_boot = (
+            seal, now_us, sendto, on_packet, on_higher_boot)
         self.dropped = 0  # datagrams that could not be sent
 
     def send(self, address: str, name: str, packet: Packet) -> None:
@@ -43,6 +43,6 @@
             self._on_higher_boot(opened.payload)
             return
         try:
-            self._heard(opened.sender, address, opened.payload)
+            self._on_packet(opened.sender, address, opened.payload)
         except Exception:  # a failing handler must not close the socket
             log.exception("handling a packet from %s failed", opened.sender)
--- a/wheelstep/fleet/peers.py
+++ b/wheelstep/fleet/peers.py
@@ -23,20 +23,20 @@
 
 log = logging.getLogger(__name__)
 
-Heard = Callable[[str, str, Packet], None]  # sender, its address, packet
-Asked = Callable[[str, Ask], Awaitable[Answer | None]]  # sender, request; None if there is no answer
+OnPacket = Callable[[str, str, Packet], None]  # sender, its address, packet
+OnRequest = Callable[[str, Ask], Awaitable[Answer | None]]  # sender, request; None if there is no answer
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The sockets of courier `me` of a fleet. `keys` seal as in `PacketSeal`, under boot number `boot`. `heard` gets
-    datagrams; `asked` answers requests, and a request without an answer gets status 503."""
+    """The sockets of courier `me` of a fleet. `keys` seal as in `PacketSeal`, under boot number `boot`.
+    `on_packet` gets datagrams; `on_request` answers requests, and a request without an answer gets status 503."""
 
-    def __init__(self, keys: Sequence[bytes], fleet: str, me: str, boot: int, now_us: Callable[[], int], heard: Heard,
-                 asked: Asked) -> None:
-        self._now_us, self._asked = now_us, asked
+    def __init__(self, keys: Sequence[bytes], fleet: str, me: str, boot: int, now_us: Callable[[], int],
+                 on_packet: OnPacket, on_request: OnRequest) -> None:
+        self._now_us, self._on_request = now_us, on_request
         self.datagram_seal = PacketSeal(keys, fleet, me, boot)
         self.stream_seal = PacketSeal(keys, fleet, me, boot, lane="stream", max_bytes=STREAM_BYTES)
-        self._datagrams = Datagrams(self.datagram_seal, now_us, self._sendto, heard, self._on_higher_boot)
+        self._datagrams = Datagrams(self.datagram_seal, now_us, self._sendto, on_packet, self._on_higher_boot)
         self._transport: asyncio.DatagramTransport | None = None
         self._runner: web.AppRunner | None = None
         self._session: aiohttp.ClientSession | None = None
@@ -126,7 +126,7 @@
             opened = self.stream_seal.open(await request.read(), STREAM)
             if isinstance(opened.payload, HigherBoot | Voted | Stood | Moved):
                 return web.Response(status=400)
-            answer = await self._asked(opened.sender, opened.payload)
+            answer = await self._on_request(opened.sender, opened.payload)
         except PacketError as error:
             packet = None
             if error.reason is Reason.OLD_BOOT:
--- a/wheelstep/fleet/view.py
+++ b/wheelstep/fleet/view.py
@@ -106,7 +106,7 @@
             gone = self.roster.present().get(name)
             if gone is not None and gone.incarnation == suspicion.incarnation:
                 self.merge(msgspec.structs.replace(gone, state=State.GONE), now_us)
-                actions.append(Note(f"fleet: courier {name} is taken for dead after failed probes by "
+                actions.append(Note(f"fleet: courier {name} is declared gone after failed probes by "
                                     f"{len(suspicion.confirmers)} couriers and "
                                     f"{(now_us - suspicion.since_us) / 1e6:.1f} s of suspicion"))
         return actions
--- a/wheelstep/rehearsal/simulation/membership_world.py
+++ b/wheelstep/rehearsal/simulation/membership_world.py
@@ -108,8 +108,8 @@
         return [process for process in self.couriers if process not in self.dead and process not in self.stopped]
 
     def dead_notes(self) -> list[str]:
-        """The lines that tell of somebody taken for dead."""
-        return [text for _, _, text in self.notes if "taken for dead" in text]
+        """Return the log lines that declare a courier gone."""
+        return [text for _, _, text in self.notes if "declared gone" in text]
 
     def _push(self, at_us: int, process: str, packet: tuple[str, Any] | None) -> None:
         self._order += 1
