--- a/tests/test_owner_fleets.py
+++ b/tests/test_owner_fleets.py
@@ -18,7 +18,7 @@
 def test_three_voters_under_faults_keep_one_owner_and_recover(seed: int) -> None:
     """`run` raises if two couriers own a part, or a part stays without an owner."""
     fleet = Fleet(seed).run()
-    assert fleet.gained and fleet.passed
+    assert fleet.gained_count and fleet.decided_count
 
 
 @pytest.mark.parametrize(("seed", "voters", "couriers", "kinds"), [
--- a/tests/voting.py
+++ b/tests/voting.py
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """One run from one seed. `run` raises `Violation`."""
+    """One run from one seed. Crashed voters `forget` "all" or "some" records; `lag`: a courier with late answers."""
 
     def __init__(self, seed: int, voters: int = 3, couriers: int = 3, *, voter: type[Voter] = Voter,
                  owner: type[Owner] = Owner, save_first: bool = True, loss: float = 0.05, forget: str = "",
@@ -23,11 +23,11 @@
         self.now = self._count = 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._voter, self._owner, self._save_first, self._forget = voter, owner, save_first, forget
-        self._lag, self.loss = lag, loss  # `lag`: a courier that receives answers late
+        self._lag, self.loss = lag, loss
         self.cut: set[frozenset[str]] = set()
         self.epochs: dict[tuple[int, int], str] = {}  # (part, epoch) -> owner
         self.last = [0] * PARTS  # highest epoch gained, by part
-        self.gained = self.passed = 0
+        self.gained_count = self.decided_count = 0
         self.voters = {f"v{place}": self._host(f"v{place}") for place in range(voters)}
         self.couriers = {f"c{place}": self._host(f"c{place}") for place in range(couriers)}
         for host in self.voters.values():
@@ -88,21 +88,21 @@
         if host.generation != generation or host.voter is None:
             return
         for name, _ in host.voter.due_requests(host.clock.at(self.now)):
-            self._send(host, self.voters[name], lambda other=self.voters[name]: self._stand(host, other))
+            self._send(host, self.voters[name], lambda other=self.voters[name]: self._request_registers(host, other))
         self.after(STEP_US, lambda: self._poll_voter(host, generation))
 
-    def _stand(self, asker: Host, told: Host) -> None:
-        if told.voter is None:
+    def _request_registers(self, asker: Host, source: Host) -> None:
+        if source.voter is None:
             return
-        owner = next((host.owner for host in self.couriers.values() if host.name[1:] == told.name[1:]), None)
-        stood = told.voter.registers_for(asker.name, owner.known_place(asker.name) if owner else 0)
+        owner = next((host.owner for host in self.couriers.values() if host.name[1:] == source.name[1:]), None)
+        stood = source.voter.registers_for(asker.name, owner.known_place(asker.name) if owner else 0)
         generation = asker.generation
 
         def hear() -> None:
             if asker.generation == generation and asker.voter is not None:
-                self._save(asker, asker.voter.on_registers(asker.clock.at(self.now), told.name, stood), lambda: None)
+                self._save(asker, asker.voter.on_registers(asker.clock.at(self.now), source.name, stood), lambda: None)
 
-        self._send(told, asker, hear)
+        self._send(source, asker, hear)
 
     def _poll_courier(self, host: Host, generation: int) -> None:
         if host.generation == generation:
@@ -158,13 +158,13 @@
     def _check_events(self, host: Host, events: list[object]) -> None:
         for event in events:
             if isinstance(event, Gained):
-                self.gained += 1
+                self.gained_count += 1
                 if event.epoch <= self.last[event.part]:
                     raise Violation(f"epoch {event.epoch} of part {event.part} again or after a later one")
                 self.last[event.part] = event.epoch
                 self._check_owner(event.part, event.epoch, host.name)
             elif isinstance(event, Decided):
-                self.passed += 1
+                self.decided_count += 1
                 self._check_owner(event.part, event.epoch, event.owner)
 
     def _check_owner(self, part: int, epoch: int, owner: str) -> None:
--- a/wheelstep/fleet/assignment.py
+++ b/wheelstep/fleet/assignment.py
@@ -51,8 +51,8 @@
     kept: dict[str, list[int]] = {name: [] for name in couriers}
     unassigned = []
     for part in all_parts:
-        if (mine := kept.get(owners.get(part, ""))) is not None:
-            mine.append(part)
+        if (kept_parts := kept.get(owners.get(part, ""))) is not None:
+            kept_parts.append(part)
         else:
             unassigned.append(part)
     capacity, remainders = {}, {}
@@ -69,13 +69,13 @@
     for name in order[:len(all_parts) - sum(capacity.values())]:
         capacity[name] += 1
     for name in couriers:
-        mine = kept[name]
-        if len(mine) > capacity[name]:
-            mine.sort(key=lambda part: _score(hashes[name], part_hash(part)), reverse=True)
-            unassigned += mine[capacity[name]:]
-            del mine[capacity[name]:]
-        capacity[name] -= len(mine)
-    result = {part: name for name, mine in kept.items() for part in mine}
+        kept_parts = kept[name]
+        if len(kept_parts) > capacity[name]:
+            kept_parts.sort(key=lambda part: _score(hashes[name], part_hash(part)), reverse=True)
+            unassigned += kept_parts[capacity[name]:]
+            del kept_parts[capacity[name]:]
+        capacity[name] -= len(kept_parts)
+    result = {part: name for name, kept_parts in kept.items() for part in kept_parts}
     ring = sorted((hashes[name], name) for name in couriers if capacity[name] > 0)
     for part in sorted(unassigned):
         key = part_hash(part)
@@ -169,12 +169,12 @@
         target = self.target(now_us)
         free = frozenset(part for part, owner in target.items() if owner == self.me and self._is_free(part)
                          and self._version_allows(part, self.me))
-        mine = [part for part, owner in sorted(self._owners.items()) if owner == self.me and part not in moving]
+        own_parts = [part for part, owner in sorted(self._owners.items()) if owner == self.me and part not in moving]
         count = max(self._at_once - len(moving), 0) if now_us >= self._next_us else 0
         if self._pace_us:
             count = min(count, 1)
         away: dict[int, str] = {}
-        for part in mine:
+        for part in own_parts:
             if len(away) >= count:
                 break
             to = self._new_owner(now_us, part, target)
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -133,8 +133,8 @@
             return []
         plan = self._placement.plan(now_us, self._coordinator.givers)
         for part in parts:
-            mine = self.owner_of(part) == self._me or self._coordinator.taker.sealed_epoch(part) is not None
-            (self._owner.want if part in plan.free or mine else self._owner.unwant)(part)
+            is_own = self.owner_of(part) == self._me or self._coordinator.taker.sealed_epoch(part) is not None
+            (self._owner.want if part in plan.free or is_own else self._owner.unwant)(part)
         actions: list[Action] = []
         for part, to in plan.away.items():
             if self._alive(to) and self._owner.epoch(part, now_us) is not None:
@@ -147,11 +147,11 @@
         return member is not None and member.state is State.ALIVE
 
     def _give_away_all(self, now_us: int, swap: Swap) -> list[Action]:
-        mine = {part: self._coordinator.weight(part) for part in range(self._settings.parts)
-                if self._owner.epoch(part, now_us) is not None}
+        own_weights = {part: self._coordinator.weight(part) for part in range(self._settings.parts)
+                       if self._owner.epoch(part, now_us) is not None}
         target = self._placement.target(now_us)
         staying = [name for name in self._membership.members() if self._alive(name) and name != self._me]
         ranked = {part: sorted(staying, key=lambda name, part=part: (name != target.get(part), name))  # type: ignore[misc]
-                  for part in mine}
-        return [action for start in swap.tick(now_us, mine, ranked)
+                  for part in own_weights}
+        return [action for start in swap.tick(now_us, own_weights, ranked)
                 for action in self._coordinator.give(now_us, start.part, start.to)]
--- a/wheelstep/fleet/proposer.py
+++ b/wheelstep/fleet/proposer.py
@@ -236,10 +236,10 @@
         if holding is None:
             return
         part = state.number
-        mine = holding.owner == self.me
-        if not (mine and state.phase is Phase.ACCEPT and holding == state.target):
+        is_own = holding.owner == self.me
+        if not (is_own and state.phase is Phase.ACCEPT and holding == state.target):
             self._events.append(Decided(part, holding.epoch, holding.owner))
-        if mine:
+        if is_own:
             return
         if part in self._leased and holding.epoch > self._epoch[part]:
             self._events.append(Lost(part, self._epoch[part]))
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -177,12 +177,12 @@
         if not 0 <= ask.part < self._parts:
             moved = Moved(ask.part, ask.epoch, False, why=f"part {ask.part}, expected 0 to {self._parts - 1}")
             return [Reply(token, moved)]
-        mine = self.owner.epoch(ask.part, now_us)
-        if mine is None or ask.part in self.givers:
+        own_epoch = self.owner.epoch(ask.part, now_us)
+        if own_epoch is None or ask.part in self.givers:
             again_us = self.owner.timeout_us * 6
             return [Reply(token, Moved(ask.part, ask.epoch, False, why="not the owner just now", again_us=again_us))]
         taken = self._content.late(ask.part, ask.message, ask.outcome, ask.piece)
-        moved = Moved(ask.part, mine, taken, why="" if taken else "no room for it under its contract")
+        moved = Moved(ask.part, own_epoch, taken, why="" if taken else "no room for it under its contract")
         return self._operations.save(now_us, [SYNC_RECORD], lambda _: [Reply(token, moved)])  # syncs the content too
 
     def _start_orphan_reports(self, reachable: Mapping[str, object],
@@ -206,7 +206,7 @@
         outcome = piece.data.decode() if piece.name.startswith("o:") else ""
         ask = Late(part, holding.epoch, piece.name, outcome, b"" if outcome else piece.data)
 
-        def heard(now_us: int, answer: Answer | None) -> list[Action]:
+        def on_answer(now_us: int, answer: Answer | None) -> list[Action]:
             if not isinstance(answer, Moved) or (not answer.ok and answer.again_us):
                 self._reporting.discard(part)
                 return []
@@ -215,4 +215,4 @@
                 return [self._report_orphans(part, holding, pieces[1:])]
             self._reporting.discard(part)
             return []
-        return self._operations.call(holding.owner, ask, REQUEST_TIMEOUT_US, heard)
+        return self._operations.call(holding.owner, ask, REQUEST_TIMEOUT_US, on_answer)
--- a/wheelstep/fleet/view.py
+++ b/wheelstep/fleet/view.py
@@ -113,21 +113,21 @@
 
     def refute(self, update: Member, now_us: int) -> list[Action]:
         """Handle an update about this courier: raise the incarnation to refute a wrong state, or report a duplicate."""
-        mine = self.me
+        me = self.me
         # At any incarnation: members ignore this courier while they consider the other one alive.
         self.duplicate_address = (
-            update.address if update.address != mine.address and update.state is not State.GONE else "")
+            update.address if update.address != me.address and update.state is not State.GONE else "")
         if self.duplicate_address:
             return self.report_duplicate(update.name, update.address, now_us)
-        if not mine.incarnation <= update.incarnation < INCARNATION_LIMIT - 1:
+        if not me.incarnation <= update.incarnation < INCARNATION_LIMIT - 1:
             return []
-        if update.incarnation == mine.incarnation:
+        if update.incarnation == me.incarnation:
             # A LEAVING courier refutes a suspicion too, although SUSPECT does not overrule LEAVING.
-            if update.state <= mine.state and update.state is not State.SUSPECT:
+            if update.state <= me.state and update.state is not State.SUSPECT:
                 return []
             if update.state is not State.LEAVING:
                 self.degrade_health(1)
-        self.me = msgspec.structs.replace(mine, incarnation=update.incarnation + 1)
+        self.me = msgspec.structs.replace(me, incarnation=update.incarnation + 1)
         self.me_changed = True
         return []
 
