--- a/wheelstep/shards/stream_link.py
+++ b/wheelstep/shards/stream_link.py
@@ -1,7 +1,7 @@
 """One sealed stream between two couriers, over a pipe.
 
 Wire format, in each direction: packets prefixed with their length (4 bytes, network order). The first packet is the
-sender's nonce in clear; each later one is sealed by `fleet.packets.Seal` under a lane derived from both nonces, and
+sender's nonce in clear; each later one is sealed by a `PacketSeal` under a lane derived from both nonces, and
 holds a `Batch` (or a `HigherBoot`). The dialler's first batch is empty: the accepting side knows the peer at once.
 
 Protection against replay: a packet recorded on another link, in either direction and at any boot of either side, has
