--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from wheelstep.courier.config import Address
-from wheelstep.fleet.packets import Seal
+from wheelstep.fleet.packets import PacketSeal
 from wheelstep.fleet.peers import Peers
 from wheelstep.fleet.types import Answer, Ask, Packet, Ping, Stand, Stood
 from wheelstep.operator import OperatorError, load
@@ -42,7 +42,7 @@
 def test_valid_table_is_read_and_a_disabled_one_gives_none(tmp_path: Path) -> None:
     """`on = false` must have no effect on the courier."""
     fleet = load(str(written(tmp_path, GOOD, '[[contract]]\nname = "updates"\norder = "strict"\n'))).fleet
-    assert fleet.keys == [KEY] and fleet.contracts.names() == ["updates"] and fleet.part.parts == 64
+    assert fleet.keys == [KEY] and fleet.contracts.names() == ["updates"] and fleet.table.parts == 64
     assert load(str(written(tmp_path, "on = false"))).fleet is None
 
 
@@ -80,15 +80,15 @@
     """The sockets of one courier, and what they received."""
 
     def __init__(self, name: str, key: bytes = KEY) -> None:
-        self.name, self.asks = name, 0
-        self.heard: asyncio.Queue[tuple[str, Packet]] = asyncio.Queue()
-        self.peers = Peers([key], "fleet", name, 1, lambda: 0, self._heard, self._asked)
+        self.name, self.request_count = name, 0
+        self.received: asyncio.Queue[tuple[str, Packet]] = asyncio.Queue()
+        self.peers = Peers([key], "fleet", name, 1, lambda: 0, self._on_packet, self._on_request)
 
-    def _heard(self, sender: str, _: str, packet: Packet) -> None:
-        self.heard.put_nowait((sender, packet))
+    def _on_packet(self, sender: str, _: str, packet: Packet) -> None:
+        self.received.put_nowait((sender, packet))
 
-    async def _asked(self, sender: str, ask: Ask) -> Answer | None:
-        self.asks += 1
+    async def _on_request(self, sender: str, ask: Ask) -> Answer | None:
+        self.request_count += 1
         return Stood(False, (), 7)
 
     async def start(self) -> str:
@@ -109,21 +109,21 @@
             assert await a.peers.ask(at_b, "b", Stand(), 5) == Stood(False, (), 7)
             assert await stranger.peers.ask(at_b, "b", Stand(), 5) is None
             assert await a.peers.ask(at_b, "c", Stand(), 5) is None  # addressed to another courier
-            assert b.asks == 1
+            assert b.request_count == 1
             stranger.peers.send(at_b, "b", Ping(1))
             host, port = at_b.rsplit(":", 1)
             assert a.peers._transport is not None
             a.peers._transport.sendto(b"garbage", (host, int(port)))
-            sealed = Seal(KEY, "fleet", "c", 1).pack("b", Ping(2))
+            sealed = PacketSeal(KEY, "fleet", "c", 1).pack("b", Ping(2))
             a.peers._transport.sendto(sealed[:-1], (host, int(port)))
             a.peers._transport.sendto(sealed, (host, int(port)))
             a.peers._transport.sendto(sealed, (host, int(port)))  # replayed
             a.peers.send(at_b, "b", Ping(3))
-            assert await b.heard.get() == ("c", Ping(2))
-            assert await b.heard.get() == ("a", Ping(3))
-            assert b.heard.empty()
-            assert b.peers.datagrams.refused == {"version": 1, "seal": 2, "replay": 1}
-            assert b.peers.streams.refused == {"seal": 1, "receiver": 1}
+            assert await b.received.get() == ("c", Ping(2))
+            assert await b.received.get() == ("a", Ping(3))
+            assert b.received.empty()
+            assert b.peers.datagram_seal.refused == {"version": 1, "seal": 2, "replay": 1}
+            assert b.peers.stream_seal.refused == {"seal": 1, "receiver": 1}
             for side in sides:
                 await side.peers.close()
     asyncio.run(scene())
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -17,7 +17,7 @@
 from wheelstep.fleet.node import Node
 from wheelstep.fleet.owner import Lost, Owner
 from wheelstep.fleet.register import Row, Voter
-from wheelstep.fleet.rows import BEGUN, FLEET
+from wheelstep.fleet.rows import BEGUN, FLEET_ROW
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Step
@@ -59,16 +59,16 @@
 # --- decisions that are broken on purpose ---
 
 def _ignores_its_lease(patch: pytest.MonkeyPatch) -> None:
-    heed = PartCoordinator.heed
+    handle_events = PartCoordinator.handle_events
     patch.setattr(Owner, "epoch", lambda self, part, now_us: self._parts[part].epoch or None)
-    patch.setattr(PartCoordinator, "heed", lambda self, now_us, events: heed(
+    patch.setattr(PartCoordinator, "handle_events", lambda self, now_us, events: handle_events(
         self, now_us, [event for event in events if not isinstance(event, Lost)]))
 
 
 def _answers_before_saving(patch: pytest.MonkeyPatch) -> None:
-    voted = Node._voted
-    patch.setattr(Node, "_voted", lambda self, now_us, answer, records, then: [
-        *then(now_us), *voted(self, now_us, answer, records, lambda _: [])])
+    reply_once_saved = Node._reply_once_saved
+    patch.setattr(Node, "_reply_once_saved", lambda self, now_us, answer, records, then: [
+        *then(now_us), *reply_once_saved(self, now_us, answer, records, lambda _: [])])
     patch.setattr(Disk, "delay", lambda self: 60_000)
 
 
@@ -77,10 +77,10 @@
 
     def begun(self: Voter, *given: Any) -> None:
         init(self, *given)
-        self._rows.setdefault(FLEET, Row(BEGUN))
+        self._rows.setdefault(FLEET_ROW, Row(BEGUN))
         self._blank = False
     patch.setattr(Voter, "__init__", begun)
-    patch.setattr(Voter, "_forget", lambda self: None)
+    patch.setattr(Voter, "_discard_state", lambda self: None)
 
 
 def _reopens_after_seal(patch: pytest.MonkeyPatch) -> None:
@@ -145,11 +145,11 @@
     def give() -> None:
         giver = run.fleet[run.owners()[part][0]]
         to = next(name for name in run.fleet if name != giver.name)
-        giver.enter(giver.life, lambda: giver.do(giver.node.tenure.give(giver.own_us(), part, to)))
+        giver.enter(giver.life, lambda: giver.do(giver.node.coordinator.give(giver.own_us(), part, to)))
         look(giver)
 
     def look(giver: Machine) -> None:
-        sealed = [one.to for one in giver.node.tenure.givers.values() if one.step is Step.HANDING]
+        sealed = [one.to for one in giver.node.coordinator.givers.values() if one.step is Step.HANDING]
         if not sealed:
             return world.after(MS // 2, look, giver) if world.now_us < 5 * S and giver.alive else None
         pairs.extend((to, giver.name) for to in sealed)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wheelstep.fleet.doubt import new_suspicion
-from wheelstep.fleet.membership import Limits, Membership
+from wheelstep.fleet.membership import MemberLimits, Membership
 from wheelstep.fleet.news import News
 from wheelstep.fleet.roster import Roster
 from wheelstep.fleet.types import Ack, Hello, Member, Note, Ping, PingReq, Roll, SendPacket, State
@@ -21,9 +21,9 @@
     return Member(name, incarnation, state, address or f"@{name}", f"http://{name}")
 
 
-def alone(limits: Limits | None = None, **seeds: str) -> Membership:
+def with_a_and_b(limits: MemberLimits | None = None, **seeds: str) -> Membership:
     """Return courier "me", which knows "a" and "b"."""
-    courier = Membership(member("me", 3), seeds, limits or Limits(), random.Random(1), 0)
+    courier = Membership(member("me", 3), seeds, limits or MemberLimits(), random.Random(1), 0)
     courier.heard(0, "a", "@a", Roll(0, (member("a", 1), member("b", 1))))
     courier.changed()
     return courier
@@ -111,7 +111,7 @@
     assert all(world.couriers[process].member("c3") == member("c3") for process in others)
     assert sum(world.couriers[process].refused["twin"] for process in others) > 0
     assert world.couriers["twin"].name_in_use and not any(world.couriers[name].name_in_use for name in [*others, "c3"])
-    assert not [teller for _, teller, text in world.notes if "taken for dead" in text and teller != "twin"]
+    assert not [teller for _, teller, text in world.notes if "declared gone" in text and teller != "twin"]
     for process in [*others, "twin"]:
         told = [text for _, teller, text in world.notes if teller == process and "second courier" in text]
         assert len(told) <= 1 and (told or process != "twin")
@@ -147,7 +147,7 @@
 
 def test_gone_member_returns_only_with_a_higher_incarnation() -> None:
     """Delayed updates of the same incarnation must not revive a gone member."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     for told in (member("a", 1), member("a", 0), member("a", 1, State.SUSPECT), member("a", 1, State.LEAVING)):
         courier.heard(2, "b", "@b", Ping(2, (member("b", 1), told)))
@@ -158,7 +158,7 @@
 
 def test_gone_member_is_informed_and_its_updates_of_others_are_ignored() -> None:
     """A member that returns from a partition has outdated views of others."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "b", "@b", Ping(1, (member("b", 1), member("a", 1, State.GONE))))
     actions = courier.heard(2, "a", "@a", Ping(9, (member("a", 1), member("b", 1, State.GONE))))
     assert courier.members()["b"].state is State.ALIVE
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("state", [State.SUSPECT, State.GONE])
 def test_suspected_courier_refutes_with_a_higher_incarnation(state: State) -> None:
     """A live member that does not refute is declared gone."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), member("me", 3, state))))
     assert (courier.me.incarnation, courier.me.state, courier.health) == (4, State.ALIVE, 1)
     courier.heard(2, "a", "@a", Ping(2, (member("a", 1), member("me", 3, state))))
@@ -181,7 +181,7 @@
 
 def test_unknown_sender_gets_a_hello_and_its_updates_are_ignored() -> None:
     """A forged name must not bring members into the table."""
-    courier = alone()
+    courier = with_a_and_b()
     told = (member("x"), member("y"))
     assert courier.heard(1, "x", "@x", Ping(1, told)) == [SendPacket("@x", Hello((courier.me,)))]
     assert courier.heard(2, "x", "@x", PingReq(1, "a", told)) == []  # at most one per 200 ms
@@ -192,7 +192,7 @@
 
 
 def test_malformed_members_and_members_beyond_the_limit_are_refused() -> None:
-    courier = alone(Limits(members_most=4))
+    courier = with_a_and_b(MemberLimits(max_members=4))
     bad = [member("z" * 65), member("z", -1), member("z", 1 << 62), member(""), member("z", address="z" * 65)]
     courier.heard(1, "a", "@a", Ping(1, (member("a", 1), *bad)))
     assert set(courier.members()) == {"me", "a", "b"} and courier.refused["malformed"] == 5
@@ -201,14 +201,14 @@
 
 
 def test_seed_addresses_override_announced_ones() -> None:
-    courier = alone(a="@relay")
+    courier = with_a_and_b(a="@relay")
     assert courier.address_of("a") == "@relay" and courier.name_at("@relay") == "a" and courier.address_of("b") == "@b"
     assert courier.heard(1, "a", "@elsewhere", Ping(4, (member("a", 1),))) == [
         SendPacket("@relay", Ack(4, (courier.me,)))]
 
 
 def test_suspicion_shortens_with_confirmations_and_lengthens_with_bad_health() -> None:
-    limits = Limits()
+    limits = MemberLimits()
     seconds = []
     for name in ("a", "b", "c", "d", "e"):
         one = new_suspicion(1, 0, 10, 0, limits)
@@ -221,7 +221,7 @@
 
 
 def test_updates_are_sent_a_bounded_number_of_times_and_fit_a_packet() -> None:
-    limits = Limits(news_most=50)
+    limits = MemberLimits(max_updates=50)
     news, told = News(limits), 0
     for number in range(80):
         news.add(member(f"m{number}"))
@@ -233,7 +233,7 @@
 
 
 def test_gone_members_are_dropped_after_gone_kept_us() -> None:
-    roster = Roster("me", {}, Limits(gone_kept_us=100))
+    roster = Roster("me", {}, MemberLimits(gone_kept_us=100))
     roster.merge(member("a", 1, State.GONE), 0)
     roster.forget(99)
     assert roster.get("a") is not None and roster.absent() == ["a"]
@@ -243,7 +243,7 @@
 
 def test_late_tick_worsens_own_health_and_suspects_nobody() -> None:
     """A tick 10 s late is a stall of this courier, not a failure of its probe target."""
-    courier = alone()
+    courier = with_a_and_b()
     courier.tick(courier.next_us())  # sends a probe
     actions = courier.tick(10_000_000)
     assert [one.text for one in actions if isinstance(one, Note)][0].startswith("fleet: this courier was stalled")
--- a/tests/test_owner_fleets.py
+++ b/tests/test_owner_fleets.py
@@ -9,7 +9,7 @@
 from wheelstep.fleet.ballots import PartState, Phase
 from wheelstep.fleet.owner import Owner
 from wheelstep.fleet.register import Voter
-from wheelstep.fleet.rows import BEGUN, FLEET, Row, Rows
+from wheelstep.fleet.rows import BEGUN, FLEET_ROW, Row, Rows
 from wheelstep.fleet.types import Accept, Accepted, Ownership, Prepare, Promise, Refused
 
 # --- whole fleets ---
@@ -18,7 +18,7 @@
 def test_three_voters_under_faults_keep_one_owner_and_recover(seed: int) -> None:
     """`run` raises if two couriers own a part, or a part stays without an owner."""
     fleet = Fleet(seed).run()
-    assert fleet.gained and fleet.passed
+    assert fleet.gained_count and fleet.decided_count
 
 
 @pytest.mark.parametrize(("seed", "voters", "couriers", "kinds"), [
@@ -89,7 +89,7 @@
 class GrantsDuringALease(Voter):
     """A voter that ignores running leases."""
 
-    def _left_us(self, *_: object) -> int:
+    def _refused_for_us(self, *_: object) -> int:
         return 0
 
 
@@ -106,7 +106,7 @@
 
     def __init__(self, name: str, others: list[str], parts: int, lease_us: int, drift: float, rows: Rows | None,
                  place: int, now_us: int) -> None:
-        super().__init__(name, others, parts, lease_us, drift, rows or Rows({FLEET: Row(BEGUN)}), place, now_us)
+        super().__init__(name, others, parts, lease_us, drift, rows or Rows({FLEET_ROW: Row(BEGUN)}), place, now_us)
 
 
 class IgnoringPart(PartState):
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -20,20 +20,21 @@
     WINDOW_SIZE,
     HigherBoot,
     PacketError,
+    PacketSeal,
     Reason,
-    Seal,
 )
 from wheelstep.fleet.types import Hello, Member, Ping, Stand, State, Votes
 
 KEY, OTHER = b"k" * 32, b"o" * 32
 
 
-def seal(me: str, boot: int = 5, key: bytes | list[bytes] = KEY, fleet: str = "fleet", lane: str = "datagram") -> Seal:
+def seal(me: str, boot: int = 5, key: bytes | list[bytes] = KEY, fleet: str = "fleet",
+         lane: str = "datagram") -> PacketSeal:
     """Return a seal for datagrams."""
-    return Seal(key, fleet, me, boot, lane=lane)
+    return PacketSeal(key, fleet, me, boot, lane=lane)
 
 
-def refusal(receiver: Seal, data: bytes) -> Reason:
+def refusal(receiver: PacketSeal, data: bytes) -> Reason:
     """Return why the packet is refused, after checking that it was counted once."""
     before = receiver.refused.total()
     with pytest.raises(PacketError) as refused:
@@ -132,11 +133,11 @@
     receiver, again = seal("b"), seal("a", boot=1)
     receiver.open(seal("a", boot=9).pack("b", Ping(1)), DATAGRAM)
     assert refusal(receiver, again.pack("b", Ping(1))) is Reason.OLD_BOOT
-    told = receiver.stale_boot("a", 0)
-    assert told is not None and receiver.stale_boot("a", 999_999) is None
-    assert receiver.stale_boot("a", 1_000_000) is not None
-    elder = again.open(told, DATAGRAM).payload
-    assert isinstance(elder, HigherBoot) and again.raise_boot(elder, 0) and again.boot == 10
+    told = receiver.higher_boot_packet("a", 0)
+    assert told is not None and receiver.higher_boot_packet("a", 999_999) is None
+    assert receiver.higher_boot_packet("a", 1_000_000) is not None
+    higher_boot = again.open(told, DATAGRAM).payload
+    assert isinstance(higher_boot, HigherBoot) and again.raise_boot(higher_boot, 0) and again.boot == 10
     assert receiver.open(again.pack("b", Ping(1)), DATAGRAM).boot == 10
     # A known boot number, or a second one within ten seconds, does not raise it.
     assert not again.raise_boot(HigherBoot(10), 20_000_000)
@@ -172,8 +173,8 @@
     """A packet above the limit of its lane must not be sealed."""
     with pytest.raises(ValueError, match="1200 at most"):
         seal("a").pack("b", Hello(tuple(Member(f"m{n}", 1, State.ALIVE, "x" * 60, "y" * 60) for n in range(9))))
-    stream = Seal(KEY, "fleet", "a", 1, lane="stream", most_bytes=STREAM_BYTES)
-    other = Seal(KEY, "fleet", "b", 1, lane="stream", most_bytes=STREAM_BYTES)
+    stream = PacketSeal(KEY, "fleet", "a", 1, lane="stream", max_bytes=STREAM_BYTES)
+    other = PacketSeal(KEY, "fleet", "b", 1, lane="stream", max_bytes=STREAM_BYTES)
     assert other.open(stream.pack("b", Votes((), 3)), STREAM).payload == Votes((), 3)
     for bad in (lambda: seal(""), lambda: seal("n" * 65), lambda: seal("a", key=b"short"), lambda: seal("a", key=[])):
         with pytest.raises(ValueError, match="expected"):
--- a/wheelstep/fleet/daemon.py
+++ b/wheelstep/fleet/daemon.py
@@ -25,7 +25,7 @@
 from wheelstep.fleet.log import Log, LogBrokenError, LogDamagedError
 from wheelstep.fleet.node import Node
 from wheelstep.fleet.peers import Peers
-from wheelstep.fleet.settings import Fleet, settings_of
+from wheelstep.fleet.settings import FleetConfig, settings_of
 from wheelstep.fleet.types import Action, Answer, Ask, Call, Member, Note, Packet, Reply, Save, SendPacket, State
 from wheelstep.journal import Journal, NoRoomError
 from wheelstep.journal.disk import Folder
@@ -38,14 +38,15 @@
 
 
 class FleetDaemon:
-    """The fleet daemon. The core uses `kept` in place of the journal. Raises `ConfigError`."""
+    """Runs the node of a fleet beside a courier's core. The core uses `kept` in place of the journal. Raises
+    `ConfigError`."""
 
     lists = False  # endpoints come from discovery
 
-    def __init__(self, config: Config, fleet: Fleet, journal: Journal) -> None:
-        self.config, self._fleet, self._part = config, fleet, fleet.part
-        self.channel_table = ChannelTable(fleet.contracts, fleet.part.parts, fleet.part.most_channels, now_ms())
-        self.kept = ChannelJournal(journal, self.channel_table, fleet.part.parts, now_ms)
+    def __init__(self, config: Config, fleet: FleetConfig, journal: Journal) -> None:
+        self.config, self._fleet, self._table = config, fleet, fleet.table
+        self.channel_table = ChannelTable(fleet.contracts, fleet.table.parts, fleet.table.most_channels, now_ms())
+        self.kept = ChannelJournal(journal, self.channel_table, fleet.table.parts, now_ms)
         self._disk = Folder(config.state / "fleet")
         (config.state / "fleet").mkdir(parents=True, exist_ok=True)
         self._log, self._records = self._open_log()
@@ -59,31 +60,32 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def _open_log(self) -> tuple[Log, Sequence[bytes]]:
-        least = int(time.time())
+        least_boot = int(time.time())
         try:
-            return Log.open(self._disk, least)
+            return Log.open(self._disk, least_boot)
         except LogDamagedError as error:
-            log.error("%s: renamed; this courier's voter starts blank", error)
-            return Log.create_after_damage(self._disk, max(least, error.boot + 1)), ()
+            log.error("%s: renamed to fleet.damaged; this courier's voter starts without state", error)
+            return Log.create_after_damage(self._disk, max(least_boot, error.boot + 1)), ()
         except OSError as error:
             raise ConfigError(f"{self.config.state / 'fleet'}: {error}") from error
 
     def join(self, core: Core) -> tuple[Admission, ClientApi | None, Callable[[int], Admission] | None]:
         """Create what needs the core, and return the interfaces for the client server."""
-        part, config = self._part, self.config
+        table, config = self._table, self.config
         self._core = core
         self.content = ChannelContent(core, self.kept, self.channel_table, now_ms)
-        listen = Address.parse(part.listen or "")
-        me = Member(config.name, self._log.boot, State.ALIVE, part.address or f"{listen.host}:{listen.port}",
-                    part.serves or f"{config.listen.host}:{config.listen.port}", part.weight, part.zone)
-        peers = {name: address for name, address in part.peers.items() if name != config.name}
-        self.node = Node(me, settings_of(part), peers, self.content, self._records,
+        listen = Address.parse(table.listen or "")
+        me = Member(config.name, self._log.boot, State.ALIVE, table.address or f"{listen.host}:{listen.port}",
+                    table.serves or f"{config.listen.host}:{config.listen.port}", table.weight, table.zone)
+        peers = {name: address for name, address in table.peers.items() if name != config.name}
+        self.node = Node(me, settings_of(table), peers, self.content, self._records,
                          random.Random(f"{config.seed} {self._log.boot}"), now_us())
         self._records = ()
         self.content.epoch = lambda number: self.node.epoch(number, now_us())
-        self.peers = Peers(self._fleet.keys, part.name, config.name, self._log.boot, now_us, self._heard, self._asked)
+        self.peers = Peers(self._fleet.keys, table.name, config.name, self._log.boot, now_us, self._on_packet,
+                           self._on_request)
         self.admission = ChannelAdmission(core, self.kept, self.content, now_ms, lambda: int(time.time() * 1000))
-        front = ChannelClientApi(core.ordered, self.channel_table, self.content, part.parts, now_ms, self._owner)
+        front = ChannelClientApi(core.ordered, self.channel_table, self.content, table.parts, now_ms, self._redirect)
         core.endpoint_client.sign = channel_headers(self.kept, self.content)
         return self.admission, front, None
 
@@ -94,19 +96,19 @@
             if message.channel is not None and message.notice is None:
                 self.admission.watch_deadline(message)
 
-    def _owner(self, part: int) -> tuple[str, float]:
+    def _redirect(self, part: int) -> tuple[str, float]:
         """Return the client address for a part not served here ("" if unknown), and the retry delay in seconds."""
-        serves = self.node.serves(part)
+        serves = self.node.client_address(part)
         if serves != self.node.membership.me.serves and serves:
             return serves, _MOVE_RETRY_S
-        return "", _MOVE_RETRY_S if self.node.moving(part) else self._part.lease / 4e6
+        return "", _MOVE_RETRY_S if self.node.is_moving(part) else self._table.lease / 4e6
 
     async def start(self) -> None:
         """Listen for peers and start the node. Raises `ConfigError`."""
         try:
-            await self.peers.start(Address.parse(self._part.listen or ""))
+            await self.peers.start(Address.parse(self._table.listen or ""))
         except OSError as error:
-            raise ConfigError(f"fleet.listen: {self._part.listen}: {error}") from error
+            raise ConfigError(f"fleet.listen: {self._table.listen}: {error}") from error
         self._tick()
         self.admission.wake()
 
@@ -117,7 +119,7 @@
             for line in self.peers.notes():
                 log.warning("%s", line)
 
-    def renew(self, fleet: Fleet) -> None:
+    def renew(self, fleet: FleetConfig) -> None:
         """Apply a reloaded operator's file: only contracts change; all else takes effect at the next start."""
         for line in describe_changes(self.channel_table.contracts, fleet.contracts):
             log.info("%s", line)
@@ -125,12 +127,12 @@
 
     async def leave(self) -> None:
         """Give the parts away within `give_away_within`, if `give_away` is set."""
-        if not self._part.give_away:
+        if not self._table.give_away:
             return
         log.info("leaving: %d parts to give away, %d messages owed", len(self.node.owned(now_us())),
                  self.content.owed())
         self._execute(self.node.leave(now_us()))
-        until = asyncio.get_running_loop().time() + self._part.give_away_within / 1e6
+        until = asyncio.get_running_loop().time() + self._table.give_away_within / 1e6
         while not (self.node.left and not self.content.owed()) and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
         log.info("left: %d parts and %d messages remain here", len({*self.node.owned(now_us()),
@@ -138,9 +140,9 @@
 
     async def close(self) -> None:
         """Stop serving all parts, and close the sockets and the log."""
-        for number in range(self._part.parts):
+        for number in range(self._table.parts):
             self.content.shut(number)
-        if self._part.give_away:
+        if self._table.give_away:
             self._execute(self.node.end(now_us()))
         if self._timer is not None:
             self._timer.cancel()
@@ -162,10 +164,10 @@
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_later(max(in_s, 0.001), self._tick)
 
-    def _heard(self, sender: str, address: str, packet: Packet) -> None:
+    def _on_packet(self, sender: str, address: str, packet: Packet) -> None:
         self._execute(self.node.packet(now_us(), sender, address, packet))
 
-    async def _asked(self, sender: str, ask: Ask) -> Answer | None:
+    async def _on_request(self, sender: str, ask: Ask) -> Answer | None:
         self._token += 1
         token = self._token
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
@@ -209,7 +211,7 @@
             log.error("a background task of the fleet failed", exc_info=error)
 
     async def _call(self, call: Call) -> None:
-        address = self.node.membership.address_of(call.member) or self._part.peers.get(call.member, "")
+        address = self.node.membership.address_of(call.member) or self._table.peers.get(call.member, "")
         answer = None
         if address:
             answer = await self.peers.ask(address, call.member, call.ask, call.timeout_us / 1e6)
@@ -221,11 +223,11 @@
         while self._saves:
             saves, self._saves = self._saves, []
             records = [record for save in saves for record in save.records]
-            whole = self.node.snapshot() if self._log.needs_compaction or self._broken else None
+            snapshot = self.node.snapshot() if self._log.needs_compaction or self._broken else None
             try:
                 if self.kept.waits:
                     await self.kept.durable()
-                await asyncio.get_running_loop().run_in_executor(self._thread, self._write, records, whole)
+                await asyncio.get_running_loop().run_in_executor(self._thread, self._write, records, snapshot)
                 self._broken = False
             except (OSError, LogBrokenError, LogDamagedError, NoRoomError) as error:
                 log.error("the fleet's log: %s; answers that depend on it are withheld", error)
@@ -234,14 +236,14 @@
                 self._execute(self.node.saved(now_us(), save.token, not self._broken))
         self._saving = None
 
-    def _write(self, records: Sequence[bytes], whole: Sequence[bytes] | None) -> None:
+    def _write(self, records: Sequence[bytes], snapshot: Sequence[bytes] | None) -> None:
         """Write to the log, in its own thread: a hanging disk blocks only what must be saved."""
         if self._broken:
             boot = self._log.boot
             self._log.close()
             self._log, _ = Log.open(self._disk, boot)
-        if whole is not None:
-            self._log.compact(whole)
+        if snapshot is not None:
+            self._log.compact(snapshot)
         else:
             self._log.append(records)
             self._log.sync()
--- a/wheelstep/fleet/doubt.py
+++ b/wheelstep/fleet/doubt.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-from wheelstep.fleet.roster import Limits
+from wheelstep.fleet.roster import MemberLimits
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     confirmations_needed: int  # confirmations at which the timeout is `min_us`
     confirmers: set[str] = field(default_factory=set)
     confirmed_here: bool = False  # this courier's own probe failed too, so it informs the suspect
-    last_told_us: int = 0  # when the suspect was last informed
+    last_pinged_us: int = 0  # when the suspect was last informed
 
     def confirm(self, name: str) -> None:
         """Record that this courier's own probe got no answer. Names beyond the number needed are ignored."""
@@ -40,10 +40,10 @@
         return self.since_us + max(self.min_us, round(self.max_us - (self.max_us - self.min_us) * share))
 
 
-def new_suspicion(incarnation: int, now_us: int, members: int, health: int, limits: Limits) -> Suspicion:
+def new_suspicion(incarnation: int, now_us: int, members: int, health: int, limits: MemberLimits) -> Suspicion:
     """Return a suspicion that starts now, in a fleet of `members`. Poor local `health` raises its minimum duration."""
     shortest_us = limits.suspicion * max(1.0, math.log10(members)) * limits.period_us
-    longest_us = shortest_us * limits.suspicion_most
+    longest_us = shortest_us * limits.max_suspicion
     return Suspicion(incarnation, now_us, round(min(shortest_us * (health + 1), longest_us)), round(longest_us),
                  max(0, min(limits.max_confirmations, members - 2)))
 
@@ -76,7 +76,7 @@
 class Probes:
     """Probes in progress: the own probe of this period, and a bounded number of indirect probes for others."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: MemberLimits) -> None:
         self._limits = limits
         self._seq = 0
         self.probe: Probe | None = None
@@ -96,10 +96,10 @@
         """Start a probe for `requester` and return its ping's `seq`; None if `max_indirect_probes` are in progress."""
         if len(self.indirect_probes) >= self._limits.max_indirect_probes:
             return None
-        mine = self.next_seq()
-        self.indirect_probes[mine] = IndirectProbe(requester, seq, target, now_us + self._limits.timeout_us * 4 // 5,
+        own_seq = self.next_seq()
+        self.indirect_probes[own_seq] = IndirectProbe(requester, seq, target, now_us + self._limits.timeout_us * 4 // 5,
                                     now_us + self._limits.period_us)
-        return mine
+        return own_seq
 
     def record_ack(self, sender: str, seq: int) -> IndirectProbe | None:
         """Record an ack. Return the indirect probe that it completes, None if it completes none."""
@@ -121,11 +121,11 @@
         """Return the indirect probes whose requester is due a nack, each once. Expired ones are dropped."""
         for seq in [seq for seq, indirect in self.indirect_probes.items() if indirect.deadline_us <= now_us]:
             del self.indirect_probes[seq]
-        late = [indirect for indirect in self.indirect_probes.values()
+        due = [indirect for indirect in self.indirect_probes.values()
                 if not indirect.nack_sent and indirect.nack_us <= now_us]
-        for indirect in late:
+        for indirect in due:
             indirect.nack_sent = True
-        return late
+        return due
 
     def reset(self) -> None:
         """Drop all probes after a stall of this courier: an answer missed during it says nothing about the target."""
--- a/wheelstep/fleet/membership.py
+++ b/wheelstep/fleet/membership.py
@@ -1,8 +1,7 @@
 """Group membership: SWIM (Das, Gupta, Motivala 2002) with suspicion, incarnations and Lifeguard (Dadgar, Phillips,
 Currey 2018). No I/O: takes verified packets and the time, returns packets to send. Imports the fleet's types.
 
-The first update in every packet is the sender itself: so a member that was declared gone is recognised when it returns,
-and a second courier with the same name is detected by its address.
+Each packet starts with its sender's own update: it reveals a gone member's return and, by its address, a duplicate.
 """
 
 from __future__ import annotations
@@ -13,21 +12,22 @@
 
 from wheelstep.fleet.doubt import Probes
 from wheelstep.fleet.news import Rolls
-from wheelstep.fleet.roster import Limits
+from wheelstep.fleet.roster import MemberLimits
 from wheelstep.fleet.types import Ack, Action, Hello, Member, Nack, Packet, Ping, PingReq, Roll, State
 from wheelstep.fleet.view import View
 
-__all__ = ["Limits", "Membership"]
+__all__ = ["MemberLimits", "Membership"]
 
 QUIET_ROLLS = 3  # rolls without a new member after which a starting courier stops sending a hello each period
-FANOUT = 3  # suspects pinged at a time, and members pinged on leaving
+FANOUT = 3  # suspects pinged at a time, and members pinged on LEAVING; twice as many on GONE
 
 
 class Membership:
     """One courier's membership. `seeds` (address by name) are contacted first and override the addresses that members
     announce. `me.incarnation` should exceed that of the previous run; if not, the fleet's answer raises it."""
 
-    def __init__(self, me: Member, seeds: Mapping[str, str], limits: Limits, rng: random.Random, now_us: int) -> None:
+    def __init__(self, me: Member, seeds: Mapping[str, str], limits: MemberLimits, rng: random.Random,
+                 now_us: int) -> None:
         self._limits = limits
         self._view = View(me, seeds, limits, rng, now_us)
         self._roster = self._view.roster
@@ -99,12 +99,12 @@
         return min(due)
 
     def leave(self, now_us: int, also: Iterable[str] = ()) -> list[Action]:
-        """Announce LEAVING: the courier hands over its parts. The members in `also` are pinged at once too."""
+        """Announce LEAVING to some members at once, and to those in `also`: the courier hands over its parts."""
         actions = self._announce_state(State.LEAVING, FANOUT)
         return [*actions, *(action for name in sorted(also) for action in self._ping(name))]
 
     def announce_gone(self, now_us: int) -> list[Action]:
-        """Announce GONE: the courier owns nothing and ends. Nothing is sent or handled after this."""
+        """Announce GONE: the courier owns nothing and ends. Nothing is sent or handled after the returned actions."""
         return self._announce_state(State.GONE, 2 * FANOUT)
 
     def _announce_state(self, state: State, count: int) -> list[Action]:
@@ -144,8 +144,8 @@
         confirmed = [name for name, suspicion in view.suspicions.items() if suspicion.confirmed_here]
         if confirmed and now_us >= self._next_suspect_ping_us:
             self._next_suspect_ping_us = now_us + self._limits.period_us // 2
-            for name in sorted(confirmed, key=lambda name: view.suspicions[name].last_told_us)[:FANOUT]:
-                view.suspicions[name].last_told_us = now_us
+            for name in sorted(confirmed, key=lambda name: view.suspicions[name].last_pinged_us)[:FANOUT]:
+                view.suspicions[name].last_pinged_us = now_us
                 actions += self._ping(name)
         actions += self._rolls.pop_due(now_us)
         self._expected_tick_us = max(now_us, self.next_us())
@@ -204,16 +204,16 @@
         known = self._roster.get(sender)
         if known is None:
             return []
-        back, before = known.state is not State.GONE, view.member_count()
+        is_present, count_before = known.state is not State.GONE, view.member_count()
         actions: list[Action] = []
         for update in packet.news:
             if update.name == view.me.name:
                 actions += view.refute(update, now_us)
-            elif back and update is not first:
+            elif is_present and update is not first:
                 view.merge(update, now_us, isinstance(packet, Roll))
         actions += view.report_duplicates(now_us)
-        self._roll_had_news = self._roll_had_news or (isinstance(packet, Roll) and view.member_count() > before)
-        if not back and not isinstance(packet, Hello | Ping):
+        self._roll_had_news = self._roll_had_news or (isinstance(packet, Roll) and view.member_count() > count_before)
+        if not is_present and not isinstance(packet, Hello | Ping):
             return [*actions, *view.send_hello_to(view.roster.address_of(sender), view.leading_members(sender), now_us)]
         return [*actions, *self._handle(now_us, sender, packet)]
 
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -9,7 +9,7 @@
 
 from wheelstep.channels.contracts import ContractError, Contracts, read_contracts
 from wheelstep.fields import Duration, Table, describe_error
-from wheelstep.fleet.membership import Limits as MemberLimits
+from wheelstep.fleet.membership import MemberLimits
 from wheelstep.fleet.placing import NodeSettings
 from wheelstep.moves.steps import GiverLimits
 from wheelstep.moves.swap import SwapLimits
@@ -24,22 +24,23 @@
     """Invalid `[fleet]` table. The message is one line with the place, the value found and the value expected."""
 
 
-class ShardsPart(Table):
-    """Sharding of destinations among the couriers (wheelstep.shards)."""
+class ShardsTable(Table):
+    """Sharding of destinations among the couriers (wheelstep.shards). Durations in microseconds."""
 
     on: bool = False
     count: Annotated[int, Field(ge=1, le=1 << 20)] = 16_384  # equal at all couriers, and fixed
     regions: Annotated[int, Field(ge=1, le=16)] = 1  # each has its own home for every destination
     control: Annotated[dict[Name, Address], Field(max_length=256)] = {}  # control machines, which send lists by shard
     load: Annotated[float, Field(ge=1.05, le=4)] = 1.25  # maximum ratio of a courier's shards to its share by weight
-    guests: Annotated[int, Field(ge=1, le=4_096)] = 64
+    guests: Annotated[int, Field(ge=1, le=4_096)] = 64  # maximum number of shards served as a guest
     guest_idle: Annotated[Duration, Field(ge=100_000, le=3_600_000_000)] = 30_000_000
-    opens_within: Annotated[Duration, Field(ge=0, le=5_000_000)] = 300_000
-    push_every: Annotated[Duration, Field(ge=250_000, le=3_600_000_000)] = 5_000_000
+    opens_within: Annotated[Duration, Field(ge=0, le=5_000_000)] = 300_000  # wait of a new home for learned state
+    push_every: Annotated[Duration, Field(ge=250_000, le=3_600_000_000)] = 5_000_000  # of changed learned state
 
 
-class FleetPart(Table):
-    """Settings of the fleet that this courier belongs to."""
+class FleetTable(Table):
+    """Settings of the fleet that this courier belongs to. Durations in microseconds. `voters`, `parts`, `lease` and
+    `clock_drift` must be equal at all couriers."""
 
     on: bool = False
     name: Name = "fleet"
@@ -56,65 +57,66 @@
     weight: Annotated[float, Field(ge=0, le=1_000)] = 1.0
     zone: Annotated[str, Field(max_length=40)] = ""
     probe_every: Annotated[Duration, Field(ge=50_000, le=10_000_000)] = 500_000
-    give_away: bool = False  # at SIGTERM
+    give_away: bool = False  # the parts, at SIGTERM
     give_away_within: Duration = 1_800_000
     moves_at_once: Annotated[int, Field(ge=1, le=64)] = 2
-    move_pace: Duration = 50_000
-    call_bound: Duration = 2_000_000
-    probation: Duration = 10_000_000
+    move_pace: Duration = 50_000  # between the starts of two moves
+    call_bound: Duration = 2_000_000  # how long a move waits for calls in progress
+    probation: Duration = 10_000_000  # for a courier that has appeared, before it is given parts
     most_channels: Annotated[int, Field(ge=1, le=1_000_000)] = 20_000
-    shards: ShardsPart = ShardsPart()
+    shards: ShardsTable = ShardsTable()
 
 
-def settings_of(part: FleetPart) -> NodeSettings:
+def settings_of(table: FleetTable) -> NodeSettings:
     """Return the node settings for the operator's table."""
     return NodeSettings(
-        part.voters, part.parts, part.lease, part.clock_drift, margin_us=part.lease // 30, at_once=part.moves_at_once,
-        pace_us=part.move_pace, probation_us=part.probation, members=MemberLimits(period_us=part.probe_every),
-        moves=GiverLimits(call_bound_us=part.call_bound),
-        leaving=SwapLimits(at_once=part.moves_at_once * 2, pause_us=100_000, bound_us=part.give_away_within))
+        table.voters, table.parts, table.lease, table.clock_drift, margin_us=table.lease // 30,
+        at_once=table.moves_at_once, pace_us=table.move_pace, probation_us=table.probation,
+        members=MemberLimits(period_us=table.probe_every),
+        moves=GiverLimits(call_bound_us=table.call_bound),
+        leaving=SwapLimits(at_once=table.moves_at_once * 2, pause_us=100_000, bound_us=table.give_away_within))
 
 
-class Fleet:
+class FleetConfig:
     """The configuration of a fleet: its table, keys and contracts."""
 
-    def __init__(self, part: FleetPart, keys: list[bytes], contracts: Contracts) -> None:
-        self.part, self.keys, self.contracts = part, keys, contracts
+    def __init__(self, table: FleetTable, keys: list[bytes], contracts: Contracts) -> None:
+        self.table, self.keys, self.contracts = table, keys, contracts
 
 
-def read(table: Any, contracts: Any, folder: Path) -> Fleet | None:
+def read(table: Any, contracts: Any, folder: Path) -> FleetConfig | None:
     """Return the checked tables `fleet` and `contract` of a file in `folder`; None if the fleet is off. Raises
     `FleetError`."""
     try:
-        part = FleetPart.model_validate(table if table is not None else {})
+        fleet = FleetTable.model_validate(table if table is not None else {})
     except ValidationError as error:
         raise FleetError(f"fleet.{describe_error(error, 'docs/operations/channels.md')}") from error
     try:
         declared = read_contracts(contracts if contracts is not None else [])
     except ContractError as error:
         raise FleetError(str(error)) from error
-    if not part.on:
+    if not fleet.on:
         if len(declared):
             raise FleetError("contract: declared while fleet.on is false; expected [fleet] with on = true")
         return None
-    if part.key_file is None or part.listen is None:
-        missing = "key_file" if part.key_file is None else "listen"
+    if fleet.key_file is None or fleet.listen is None:
+        missing = "key_file" if fleet.key_file is None else "listen"
         raise FleetError(f"fleet.{missing}: missing; expected a value where fleet.on is true")
-    if part.shards.on:
-        _check_shards(part, declared)
-    elif len(part.voters) not in (3, 5) or len(set(part.voters)) != len(part.voters):
-        raise FleetError(f"fleet.voters: {list(part.voters)}; expected 3 or 5 different names")
-    return Fleet(part, [_key(folder / path) for path in (part.key_file, *part.old_key_files)], declared)
+    if fleet.shards.on:
+        _check_shards(fleet, declared)
+    elif len(fleet.voters) not in (3, 5) or len(set(fleet.voters)) != len(fleet.voters):
+        raise FleetError(f"fleet.voters: {list(fleet.voters)}; expected 3 or 5 different names")
+    return FleetConfig(fleet, [_key(folder / path) for path in (fleet.key_file, *fleet.old_key_files)], declared)
 
 
-def _check_shards(part: FleetPart, declared: Contracts) -> None:
-    if part.voters or len(declared):
-        found = "fleet.voters" if part.voters else "contract"
+def _check_shards(fleet: FleetTable, declared: Contracts) -> None:
+    if fleet.voters or len(declared):
+        found = "fleet.voters" if fleet.voters else "contract"
         raise FleetError(f"{found}: given beside fleet.shards.on = true; expected one of them: channels' parts and "
                          "shards are not yet shared by one fleet")
-    if not part.shards.control:
+    if not fleet.shards.control:
         raise FleetError("fleet.shards.control: missing; expected a name and an address of one control machine or more")
-    if both := sorted(part.shards.control.keys() & part.peers.keys()):
+    if both := sorted(fleet.shards.control.keys() & fleet.peers.keys()):
         raise FleetError(f"fleet.shards.control: {both[0]!r} is a peer as well; expected different names")
 
 
--- a/wheelstep/fleet/view.py
+++ b/wheelstep/fleet/view.py
@@ -11,7 +11,7 @@
 
 from wheelstep.fleet.doubt import Probe, Suspicion, new_suspicion
 from wheelstep.fleet.news import News, as_suspect
-from wheelstep.fleet.roster import INCARNATION_LIMIT, Limits, Roster
+from wheelstep.fleet.roster import INCARNATION_LIMIT, MemberLimits, Roster
 from wheelstep.fleet.types import Action, Hello, Member, Note, Packet, Ping, SendPacket, State
 
 HELLO_EVERY_US = 200_000  # minimum interval between hellos to unknown, gone or duplicate couriers
@@ -22,7 +22,8 @@
     """The membership state. `health` is Lifeguard's local health multiplier: 0 is good; the higher it is, the less this
     courier relies on its own probes."""
 
-    def __init__(self, me: Member, seeds: Mapping[str, str], limits: Limits, rng: random.Random, now_us: int) -> None:
+    def __init__(self, me: Member, seeds: Mapping[str, str], limits: MemberLimits, rng: random.Random,
+                 now_us: int) -> None:
         self.me = me
         self.me_changed = True
         self.duplicate_address = ""  # address of another courier that members know under this name
@@ -50,16 +51,16 @@
         """Raise the health multiplier, on a sign that this courier is slow or badly connected."""
         self.health = min(self.limits.max_health, self.health + by)
 
-    def merge(self, update: Member, now_us: int, rolled: bool = False) -> None:
-        """Apply an update of another member and queue it for gossip if it is new. From a roll (`rolled`), members that
-        were unknown are not gossiped: they are new only to this courier."""
+    def merge(self, update: Member, now_us: int, from_roll: bool = False) -> None:
+        """Apply an update of another member and queue it for gossip if it is new. Unknown members `from_roll` are not
+        gossiped: they are new only to this courier."""
         name = update.name
         before = self.roster.get(name)
         if not self.roster.merge(update, now_us):
             return
         after = self.roster.get(name)
         assert after is not None
-        if before is not None or not rolled:
+        if before is not None or not from_roll:
             self.news.add(after)
         if after.state is State.SUSPECT:
             if name not in self.suspicions or self.suspicions[name].incarnation < after.incarnation:
@@ -105,28 +106,28 @@
             gone = self.roster.present().get(name)
             if gone is not None and gone.incarnation == suspicion.incarnation:
                 self.merge(msgspec.structs.replace(gone, state=State.GONE), now_us)
-                actions.append(Note(f"fleet: courier {name} is taken for dead after failed probes by "
+                actions.append(Note(f"fleet: courier {name} is declared gone after failed probes by "
                                     f"{len(suspicion.confirmers)} couriers and "
                                     f"{(now_us - suspicion.since_us) / 1e6:.1f} s of suspicion"))
         return actions
 
     def refute(self, update: Member, now_us: int) -> list[Action]:
         """Handle an update about this courier: raise the incarnation to refute a wrong state, or report a duplicate."""
-        mine = self.me
+        me = self.me
         # At any incarnation: members ignore this courier while they consider the other one alive.
         self.duplicate_address = (
-            update.address if update.address != mine.address and update.state is not State.GONE else "")
+            update.address if update.address != me.address and update.state is not State.GONE else "")
         if self.duplicate_address:
             return self.report_duplicate(update.name, update.address, now_us)
-        if not mine.incarnation <= update.incarnation < INCARNATION_LIMIT - 1:
+        if not me.incarnation <= update.incarnation < INCARNATION_LIMIT - 1:
             return []
-        if update.incarnation == mine.incarnation:
+        if update.incarnation == me.incarnation:
             # A LEAVING courier refutes a suspicion too, although SUSPECT does not overrule LEAVING.
-            if update.state <= mine.state and update.state is not State.SUSPECT:
+            if update.state <= me.state and update.state is not State.SUSPECT:
                 return []
             if update.state is not State.LEAVING:
                 self.degrade_health(1)
-        self.me = msgspec.structs.replace(mine, incarnation=update.incarnation + 1)
+        self.me = msgspec.structs.replace(me, incarnation=update.incarnation + 1)
         self.me_changed = True
         return []
 
@@ -155,7 +156,8 @@
         """Tell `to` of members that are alive in its roll but gone here, so that they can refute it. They are sent as
         suspects: a courier that reaches them must not declare them gone on the word of this one."""
         gone = []
-        room = self.limits.news_bytes - sum(len(msgspec.msgpack.encode(member)) for member in self.leading_members(to))
+        room = self.limits.max_update_bytes - sum(
+            len(msgspec.msgpack.encode(member)) for member in self.leading_members(to))
         for member in roll:
             known = self.roster.get(member.name)
             if (known is not None and known.state is State.GONE and member.state is State.ALIVE
@@ -182,7 +184,7 @@
         """Return a log line, at most one per `every_us` for the same key."""
         if key in self._noted_us and now_us - self._noted_us[key] < every_us:
             return []
-        if len(self._noted_us) >= self.limits.members_most:
+        if len(self._noted_us) >= self.limits.max_members:
             del self._noted_us[next(iter(self._noted_us))]
         self._noted_us[key] = now_us
         return [Note(text)]
