--- a/wheelstep/moves/asking.py
+++ b/wheelstep/moves/asking.py
@@ -23,18 +23,20 @@
         return [SendRequest(ask)]
 
     def awaits(self, ask: Move) -> bool:
-        """Whether `ask` is the request in flight; answers to any other are ignored."""
+        """Return whether `ask` is the request in flight; the caller ignores answers to any other."""
         return self.ask is not None and self._in_flight and ask == self.ask
 
     def schedule_retry(self, now_us: int, again_us: int) -> bool:
-        """Schedule the next try, at least `again_us` from now, with exponential backoff. False when no try is left."""
+        """Schedule the next try after a timeout or a refusal for now, at least `again_us` (0: none was asked for) from
+        now, with exponential backoff. Return False when no try is left."""
         limits = self._limits
         self._in_flight = False
         self._due_us = now_us + max(again_us, min(limits.backoff_most_us, limits.backoff_us << (self._tries - 1)))
         return self._tries < limits.tries
 
     def retry_if_due(self, now_us: int) -> list[Act] | None:
-        """Return the next try if it is due, else []; None once `silence_us` have passed since the first try."""
+        """Return the next try if it is due, else []; None once `silence_us` have passed since the first try: the taker
+        counts as silent."""
         if now_us - self._since_us >= self._limits.silence_us:
             return None
         if self.ask is None or self._in_flight or now_us < self._due_us:
@@ -43,7 +45,7 @@
         return [SendRequest(self.ask)]
 
     def next_us(self) -> int:
-        """When `retry_if_due` has to be called next, NEVER_US if nothing is pending."""
+        """Return the time at which `retry_if_due` has to be called next, NEVER_US if nothing is pending."""
         if self.ask is None:
             return NEVER_US
         silent_us = self._since_us + self._limits.silence_us
--- a/wheelstep/moves/giver.py
+++ b/wheelstep/moves/giver.py
@@ -30,13 +30,13 @@
 
 
 class Giver:
-    """One move of a part that `me` has owned since `epoch`. `step` and `why` show its state to operators."""
+    """One move, to courier `to`, of a part that `me` has owned since `epoch`. `step` and `why` are for operators."""
 
     def __init__(self, part: int, epoch: int, to: str, content: Content, limits: GiverLimits, now_us: int,
                  me: str) -> None:
         self.part, self.epoch, self.to, self.me = part, epoch, to, me
         self.step = Step.PLANNED
-        self.why = ""
+        self.why = ""  # set when the move fails or ends
         self.shut_us = -1  # when the part was shut; -1 before
         self._content, self._limits = content, limits
         self._attempt = now_us  # rises with each move; a restarted courier owns its parts under newer epochs
@@ -54,11 +54,11 @@
 
     @property
     def over(self) -> bool:
-        """Whether the move has ended."""
+        """Whether the move has ended, with the part given or kept."""
         return self.step in (Step.DONE, Step.UNDONE)
 
     def next_us(self) -> int:
-        """When `tick` has to be called next, NEVER_US once the move has ended."""
+        """Return the time at which `tick` has to be called next, NEVER_US once the move has ended."""
         if self.over:
             return NEVER_US
         if self._pending.ask is None or (self._lease_lost and self._seal is None):
@@ -72,7 +72,7 @@
             self._content.shut(self.part)
 
     def tick(self, now_us: int) -> list[Act]:
-        """Return the acts that are due."""
+        """Return the acts that are due now; empty if there are none."""
         if self.over:
             return []
         if self._lease_lost and self._seal is None:
--- a/wheelstep/moves/staged.py
+++ b/wheelstep/moves/staged.py
@@ -56,7 +56,8 @@
 
 @dataclass
 class Copy:
-    """The pieces received of a part. `place` is that of the last chunk added, -1 for none."""
+    """The pieces received of a part. `place` is that of the last chunk added, -1 for none; `size` is their bytes as
+    counted by `piece_size`."""
 
     sender: str
     offer: Offer
@@ -69,13 +70,13 @@
     digests: dict[str, bytes] = field(default_factory=dict)
 
     def digest_after(self, pieces: tuple[Piece, ...]) -> str:
-        """The digest that the copy would have with these pieces added."""
+        """Return the digest that the copy would have with these pieces added."""
         digests = dict(self.digests)
         update_digests(digests, pieces)
         return part_digest(digests)
 
     def add_pieces(self, place: int, pieces: tuple[Piece, ...]) -> None:
-        """Add the pieces of chunk `place`."""
+        """Add the pieces of the chunk or seal numbered `place`."""
         self.place = place
         for piece in pieces:
             before = self.pieces.pop(piece.name, None)
--- a/wheelstep/moves/steps.py
+++ b/wheelstep/moves/steps.py
@@ -21,15 +21,15 @@
 class Step(IntEnum):
     """State of a move at its giver; the transition table is in docs/design/channels.md."""
 
-    PLANNED = 0
-    COPYING = 1
-    CLOSING = 2
-    HANDING = 3
-    COMMITTING = 4
+    PLANNED = 0  # until the `Offer` is accepted
+    COPYING = 1  # the part is copied while it is still served
+    CLOSING = 2  # the part is shut here; changes are sent until calls under way have ended
+    HANDING = 3  # the `Seal` was sent and has no answer yet
+    COMMITTING = 4  # the register is asked to name the taker
     OPEN = 5  # the register has named the taker
     UNDOING = 6  # the giver asks the register for the part back
-    DONE = 7
-    UNDONE = 8
+    DONE = 7  # the taker has the part, and the copy here is dropped
+    UNDONE = 8  # the copy here is kept
 
 
 @dataclass(frozen=True)
@@ -39,13 +39,13 @@
     chunk_bytes: int = 64 * 1024  # a larger piece is sent in a chunk of its own
     chunk_pieces: int = 256
     pace_us: int = 2_000  # pause between chunks while the part is still served
-    tail: int = 64  # the part is shut once a round has at most this many changed pieces
+    tail: int = 64  # pieces; the part is shut once a round has at most this many changed ones
     rounds: int = 8  # after so many rounds of changed pieces the part is shut in any case
     call_bound_us: int = 2_000_000  # wait for calls under way once the part is shut
     shut_bound_us: int = 5_000_000  # from shutting the part until the `Seal` is sent
     silence_us: int = 3_000_000  # for one request with all its tries
-    tries: int = 6
-    backoff_us: int = 20_000  # doubles with each try
+    tries: int = 6  # of one request, with the first
+    backoff_us: int = 20_000  # before the second try; doubles with each further one
     backoff_most_us: int = 1_000_000
     poll_us: int = 1_000  # interval of the check for calls under way
     commit_us: int = 1_000_000  # for the register to accept the commit
@@ -57,7 +57,7 @@
     """A taker's limits for the parts that are being copied to it."""
 
     most_parts: int = 8
-    most_bytes: int = 64 * 1024 * 1024
+    most_bytes: int = 64 * 1024 * 1024  # of all copies that are not in the journal yet
     idle_us: int = 60_000_000  # an incomplete copy may be dropped for another part after so long without a message
     again_us: int = 1_000_000  # retry delay that is sent to a giver when there is no room
     parts: int = 1024  # in the fleet, at most
@@ -83,7 +83,8 @@
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """The move has ended. `done`: the taker is responsible for the part and this courier has dropped its copy."""
+    """The move has ended; no act follows. `done`: the taker is responsible for the part and this courier has dropped
+    its copy. `why` gives the reason for operators."""
 
     done: bool
     why: str
@@ -122,7 +123,7 @@
 
 
 def take_chunk(waiting: deque[Piece], limits: GiverLimits) -> tuple[Piece, ...]:
-    """Remove the next chunk's pieces from `waiting` and return them."""
+    """Remove the next chunk's pieces from `waiting` and return them; at least one, unless none is waiting."""
     chunk: list[Piece] = []
     size = 0
     while waiting and len(chunk) < limits.chunk_pieces:
--- a/wheelstep/moves/swap.py
+++ b/wheelstep/moves/swap.py
@@ -33,10 +33,10 @@
 class Progress:
     """Progress of a swap. `estimated_us`: time until all parts are moved at the rate so far, -1 if none has moved."""
 
-    left: int
-    moving: int
+    left: int  # parts still owned, with those in progress; 0 before the first tick
+    moving: int  # moves in progress
     moved: int
-    failed: int
+    failed: int  # failed moves; a part may have several
     estimated_us: int
     state: str  # "giving", "given", "stopping", "stopped" or "late"
 
@@ -64,8 +64,9 @@
         self.why: deque[str] = deque(maxlen=16)  # reasons of the newest failures
 
     def tick(self, now_us: int, mine: Mapping[int, int], takers: Mapping[int, Sequence[str]]) -> list[Start]:
-        """Return the moves to begin now. `mine` maps each part still owned to its approximate size, `takers` each
-        part to its possible takers, the preferred one first. The smallest part goes first: most channels move early."""
+        """Return the moves to begin now. `mine` maps each part still owned to its approximate number of pieces,
+        `takers` each part to its possible takers, the preferred one first. The smallest part goes first: most channels
+        are safe early."""
         self._left = len(mine)
         for part in [part for part in self._failed_moves if part not in mine]:
             del self._failed_moves[part]
@@ -84,7 +85,7 @@
         return starts
 
     def _choose_taker(self, takers: Sequence[str], earlier: _FailedMoves | None) -> str:
-        """The first taker not yet tried for this part; once all have failed, start over."""
+        """Return the first taker not yet tried for this part; once all have failed, start over."""
         if earlier is None:
             return takers[0]
         untried = [taker for taker in takers if taker not in earlier.tried]
@@ -114,11 +115,11 @@
         self._cancelled = True
 
     def over(self, now_us: int) -> bool:
-        """Whether no move is in progress and none will begin: all given, cancelled, or out of time."""
+        """Return whether no move is in progress and none will begin: all given, cancelled, or out of time."""
         return self.progress(now_us).state in ("given", "stopped", "late")
 
     def progress(self, now_us: int) -> Progress:
-        """Counts, estimate and state for operators."""
+        """Return counts, estimate and state for operators."""
         took_us = now_us - self._started_us
         estimated_us = took_us * max(self._left, 0) // self.moved if self.moved else -1
         if self._moving:
--- a/wheelstep/moves/taker.py
+++ b/wheelstep/moves/taker.py
@@ -27,8 +27,9 @@
 
 
 class Taker:
-    """All moves to this courier. `stored` holds the records of the fleet's log from before a restart; records that are
-    not of moves are ignored. Raises msgspec.DecodeError for a malformed record."""
+    """All moves to this courier. `state_version` is the newest format version of pieces that it can read. `stored`
+    holds the records of the fleet's log from before a restart; records that are not of moves are ignored. Raises
+    msgspec.DecodeError for a malformed record."""
 
     def __init__(self, me: str, state_version: int, room: TakerLimits, stored: Iterable[bytes] = ()) -> None:
         self.me = me
@@ -45,9 +46,9 @@
                 self.forgotten += 1
 
     def heard(self, now_us: int, sender: str, ask: Ask, owner: Ownership | None) -> tuple[Moved, list[bytes]]:
-        """Answer a request; `owner` is the register's newest holding that this courier knows. The answer may be sent
-        once all records returned so far are on disk. A repeated request returns its records again: they may have been
-        lost."""
+        """Return the answer to a request of courier `sender`, and records to write. `owner` is the register's newest
+        holding that this courier knows, None if it knows none. The answer may be sent once all records returned so far
+        are on disk. A repeated request returns its records again: they may have been lost."""
         if not 0 <= ask.part < self._room.parts:
             return self._refuse(ask, "part", f"part {ask.part}, expected 0 to {self._room.parts - 1}"), []
         records = self.observe_holding(ask.part, owner.epoch, owner.owner) if owner is not None else []
@@ -162,25 +163,25 @@
             ask, "given", f"part {ask.part}: no whole copy of epoch {ask.epoch - 1} from {sender}"), records
 
     def sealed_epoch(self, part: int) -> int | None:
-        """The epoch of a whole copy, None if there is none. While the register names its giver at that epoch, or only
-        this courier since, this courier can take over without loss."""
+        """Return the giver's epoch of a whole copy, None if there is none. While the register names the giver at that
+        epoch, or only this courier since, this courier can take over without loss."""
         copy = self._copies.get(part)
         return copy.offer.epoch if copy is not None and copy.seal is not None else None
 
     def sealed_parts(self) -> list[int]:
-        """Parts with a whole copy that is not in the journal yet; this may be the only copy."""
+        """Return the parts with a whole copy that is not in the journal yet; this may be the only copy."""
         return [part for part, copy in self._copies.items() if copy.seal is not None]
 
     def pieces(self, part: int) -> list[Piece]:
-        """The pieces of a whole copy, for the content to adopt; empty if there is none."""
+        """Return the pieces of a whole copy, for the content to adopt; empty if there is none."""
         copy = self._copies.get(part)
         return list(copy.pieces.values()) if copy is not None and copy.seal is not None else []
 
     def observe_holding(self, part: int, epoch: int, owner: str, first: int = 0) -> list[bytes]:
-        """Handle news from the register: drop a copy that is obsolete. Since epoch `first` only `owner` can have owned
-        the part; 0 if that is not known. Before a part is taken over, the register's holding must be passed here and
-        the returned records be on disk before the next epoch is requested: a whole copy is valid only while this
-        courier knows that no other has owned the part since."""
+        """Handle news from the register: drop a copy that is obsolete, and return records to write. Since epoch `first`
+        only `owner` can have owned the part; 0 if that is not known. Before a part is taken over, the register's
+        holding must be passed here and the returned records be on disk before the next epoch is requested: a whole copy
+        is valid only while this courier knows that no other has owned the part since."""
         holding = self._holdings.get(part)
         if 0 <= part < self._room.parts and (holding is None or epoch > holding.epoch):
             self._holdings[part] = Ownership(epoch, owner)
@@ -204,7 +205,7 @@
         return self._forget(part, True)
 
     def snapshot(self) -> list[bytes]:
-        """Records of all state that must survive a restart; they replace all earlier records."""
+        """Return records of all state that must survive a restart; they replace all earlier records."""
         records = [encode_record(removal) for removal in self._adopted.values()]
         for copy in self._copies.values():
             records += copy.records()
--- a/wheelstep/moves/types.py
+++ b/wheelstep/moves/types.py
@@ -16,9 +16,9 @@
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """Offers a part that the sender has owned since `epoch`. `state` is the format version of its pieces, `size` their
-    bytes. `attempt` rises with each new offer of a part under one epoch, so that late messages of an earlier offer
-    are recognised."""
+    """Offers a part that the sender has owned since `epoch`. `state` is the format version of its pieces, `pieces`
+    their number and `size` their bytes at the time of the offer. `attempt` rises with each new offer of a part under
+    one epoch, so that late messages of an earlier offer are recognised."""
 
     part: int
     epoch: int
@@ -29,7 +29,7 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """Some pieces of the part; `place` numbers the chunks of a move from 0."""
+    """Some pieces of the part; `place` numbers the chunks of an offer from 0, and the `Seal` after them."""
 
     part: int
     epoch: int
