--- a/wheelstep/standalone/ends.py
+++ b/wheelstep/standalone/ends.py
@@ -108,7 +108,7 @@
             if self._line_count > 2 * self._capacity:
                 self._compact()
         except OSError as error:  # waiters are notified all the same; the journal owes the ends until the file has them
-            log.error("%s: %s; %d ends are not yet written", self._path, error, len(self._unwritten))
+            log.error("%s: %s; %d message outcomes are not written yet", self._path, error, len(self._unwritten))
             if self._unwritten:
                 self._flush_handle = asyncio.get_running_loop().call_later(_RETRY_DELAY_S, self.flush)
         if not self._unwritten:
--- a/wheelstep/standalone/front.py
+++ b/wheelstep/standalone/front.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The client-facing settings of a file, computed once per load."""
+    """The client-facing settings of a file, computed once per load of the file or its endpoints."""
 
     file_config: Standalone
     routes: Routes
@@ -144,7 +144,7 @@
         return ()
 
     def taken(self, message: StoredMessage) -> None:
-        """Count an accepted message, and accept its mirror copy if there is room."""
+        """Count a message whose 202 was written, and accept its mirror copy if there is room."""
         self.tenants.hold(tenant_of(message.id))
         if (copy := self._copies.pop(message.id, None)) is not None and not self._core.full():
             try:
--- a/wheelstep/standalone/serve.py
+++ b/wheelstep/standalone/serve.py
@@ -45,7 +45,7 @@
     try:
         file_config.state.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        raise ConfigError(f"state: {error}; expected a folder that can be made") from error
+        raise ConfigError(f"state: {error}; expected a folder that can be created") from error
     return from_data(settings(file_config), file_config.state)
 
 
@@ -156,7 +156,7 @@
             if reload.file_config is not self._file_config:
                 for name in _RESTART_ONLY:
                     if getattr(reload.file_config, name) != getattr(self._file_config, name):
-                        log.warning("%s: %s changes at the next start only", self._path, name)
+                        log.warning("%s: %s has changed, which takes effect at the next start only", self._path, name)
                 self._core.renew(reload.config)
             self._file_config, self._signers, self._rows = reload.file_config, reload.signers, reload.rows
             for at in range(0, len(reload.changed), _ROWS_PER_TURN):
@@ -205,7 +205,7 @@
             try:
                 file_config = (await self._reload(lambda: load(self._path))).file_config
             except (FileError, ConfigError) as error:
-                log.error("the new file is not used: %s", " ".join(str(error).split()))
+                log.error("reload failed, the previous configuration stays in use: %s", " ".join(str(error).split()))
                 continue
             self.loads += 1
             log.info("%s read again: %d destinations, %d routes, %d tenants", self._path, len(file_config.destinations),
--- a/wheelstep/standalone/signing.py
+++ b/wheelstep/standalone/signing.py
@@ -75,7 +75,7 @@
         key = b""
     if not _MIN_KEY_BYTES <= len(key) <= _MAX_KEY_BYTES:
         raise KeyFileError(
-            f"{place}: holds no key; expected {_PREFIX} and {_MIN_KEY_BYTES} to {_MAX_KEY_BYTES} bytes in base64")
+            f"{place}: is not a valid key; expected {_PREFIX} and {_MIN_KEY_BYTES} to {_MAX_KEY_BYTES} bytes in base64")
     return key
 
 
--- a/wheelstep/standalone/start.py
+++ b/wheelstep/standalone/start.py
@@ -14,28 +14,28 @@
 from wheelstep.standalone.model import FileError, Standalone, parse
 from wheelstep.standalone.signing import fingerprint, new_key, read_key
 
-STARTER = '''# A courier of one's own. `umberchute config check FILE` tells what is wrong; at SIGHUP it is read again.
+STARTER = '''# A standalone courier. `umberchute config check FILE` checks this file; SIGHUP reloads it.
 
 listen = "{listen}"
-state = "state"                  # beside this file
-endpoints_from = "endpoints"     # NAME.toml there has the endpoints of destination NAME, and is watched
+state = "state"                  # relative to this file
+endpoints_from = "endpoints"     # watched; NAME.toml has the endpoints of destination NAME
 
-[class.payment]                  # a second delivery does harm: one try whose outcome is unclear is the last
+[class.payment]                  # a repeated delivery does harm: no retry after an attempt with an unclear outcome
 effect = "unsafe"
 aim = "2s"
 deadline = "30s"
 worth = 3
 
-[class.update]                   # partners drop a repeat by its Idempotency-Key; one key keeps its order
+[class.update]                   # partners ignore a repeat by its Idempotency-Key; messages of one key stay in order
 effect = "keyed"
 ordered = true
 
 [destination.alpha]
-# endpoints = ["10.0.0.5:8080"]  # where the folder has no file for it
+# endpoints = ["10.0.0.5:8080"]  # used while the folder has no file for it
 
 [destination.beta]
 
-[[route]]                        # the first that matches counts
+[[route]]                        # the first match is used
 path = "/beta/*"
 to = "beta"
 
@@ -43,7 +43,7 @@
 to = "alpha"
 
 [tenant.first]
-tokens = ["{digest}"]   # of the token that `init` printed
+tokens = ["{digest}"]   # SHA-256 of the token that `init` printed
 '''
 
 
@@ -68,20 +68,21 @@
             with os.fdopen(descriptor, "w", encoding="utf-8") as file:
                 file.write(text)
         except FileExistsError as error:
-            raise FileError(f"{path}: is there already; expected a new name") from error
+            raise FileError(f"{path}: already exists; expected a new name") from error
         except OSError as error:
-            raise FileError(f"{path}: {error}; expected a folder that can be written") from error
+            raise FileError(f"{path}: {error}; expected a writable folder") from error
 
 
 def init(folder: Path, listen: str = "127.0.0.1:8350") -> str:
-    """Write a starter file and its tenant's token; return the token. Raises `FileError`, also if a file exists."""
+    """Write a starter file, its tenant's token and an empty folder for endpoints; return the token. Raises `FileError`,
+    also if a file exists."""
     token, digest = new_token()
     text = STARTER.format(digest=digest, listen=listen)
     parse(text, "--listen")
     try:
         (folder / "endpoints").mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        raise FileError(f"{folder}: {error}; expected a folder that can be made") from error
+        raise FileError(f"{folder}: {error}; expected a folder that can be created") from error
     _write({folder / "umberchute.toml": (text, 0o644),
             folder / "first.token": (token + "\n", 0o600)})
     return token
@@ -101,7 +102,7 @@
         for name in [*old, *(name for name in new if name not in old)]:
             path = f"{at}.{name}" if at else name
             if name not in new:
-                yield f"{path}: gone"
+                yield f"{path}: removed"
             elif name not in old:
                 yield f"{path}: new: {new[name]}"
             else:
@@ -114,16 +115,16 @@
 
 
 def reference() -> str:
-    """Return Markdown tables of all fields of the file, made from the model."""
+    """Return Markdown tables of all fields of the file, made from the model, as in docs/operations/standalone.md."""
     lines: list[str] = []
 
     def table(part: type[BaseModel], title: str) -> None:
         lines.extend([f"### {title}", "", (part.__doc__ or "").split("\n")[0], "",
-                      "| field | default | what |", "| --- | --- | --- |"])
+                      "| field | default | description |", "| --- | --- | --- |"])
         for name, info in part.model_fields.items():
             if info.description is None:
                 continue
-            default = "must be given" if info.is_required() else _format_default(info.default)
+            default = "required" if info.is_required() else _format_default(info.default)
             lines.append(f"| `{info.alias or name}` | {default} | {info.description} |")
         lines.append("")
 
