--- a/tests/test_signing.py
+++ b/tests/test_signing.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from loopback import Call, run
 from standardwebhooks.webhooks import Webhook, WebhookVerificationError
-from test_standalone import Standalone
+from test_standalone import StandaloneProcess
 
 from wheelstep.standalone import signing, start
 from wheelstep.standalone.model import FileError, parse
@@ -29,7 +29,7 @@
 def test_key_rotation_keeps_every_call_verifiable(tmp_path: Path) -> None:
     """Guards against calls that partners reject during a rotation: the old key signs, then both, then the new one."""
     async def scenario() -> None:
-        courier = Standalone(tmp_path)
+        courier = StandaloneProcess(tmp_path)
         start.write_key(tmp_path / "old.key")
         old = (tmp_path / "old.key").read_text().strip()
         courier.text = courier.text.replace("[destination.beta]", 'sign = ["file:old.key"]\n[destination.beta]')
@@ -45,19 +45,19 @@
             new = (tmp_path / "new.key").read_text().strip()
             with pytest.raises(WebhookVerificationError):
                 verify(new, call)
-            await courier.renew('sign = ["file:old.key"]', 'sign = ["file:new.key", "file:old.key"]')
+            await courier.reload('sign = ["file:old.key"]', 'sign = ["file:new.key", "file:old.key"]')
             await courier.wait_log("read again")
             call = await hand_in("m2")
             verify(old, call)
             verify(new, call)
-            await courier.renew('sign = ["file:new.key", "file:old.key"]', 'sign = ["file:new.key"]')
+            await courier.reload('sign = ["file:new.key", "file:old.key"]', 'sign = ["file:new.key"]')
             await courier.wait_log("read again", 2)
             call = await hand_in("m3")
             verify(new, call)
             with pytest.raises(WebhookVerificationError):
                 verify(old, call)
             os.chmod(tmp_path / "new.key", 0o644)  # a reload with an unreadable key is rejected and changes nothing
-            await courier.renew("[class.note]", "[class.other]\neffect = \"safe\"\n[class.note]")
+            await courier.reload("[class.note]", "[class.other]\neffect = \"safe\"\n[class.note]")
             await courier.wait_log("destination.alpha.sign: file:new.key: mode 644; expected")
             verify(new, await hand_in("m4"))
             assert not any(key[6:] in line for line in courier.log for key in (old, new))
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -1,4 +1,4 @@
-"""A courier without the platform: its file, routes and tenant limits, stored ends, and the process on real sockets."""
+"""A courier without the platform: its file, routes, tenant limits, stored outcomes, and the process on real sockets."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from test_rehearsal import rehearse
 
 from wheelstep.standalone import start
-from wheelstep.standalone.ends import End, Ends
-from wheelstep.standalone.front import Front, Policy
+from wheelstep.standalone.ends import OutcomeStore, TerminalOutcome
+from wheelstep.standalone.front import Policy, StandaloneClientApi
 from wheelstep.standalone.model import FileError, RoutePart, destination_number, parse
 from wheelstep.standalone.routes import RouteQuery, Routes, Tenants, _weighted
-from wheelstep.standalone.told import EndReporter
+from wheelstep.standalone.told import OutcomeReporter
 
 TOKEN, OTHER = "token-of-one", "token-of-two"
 DIGEST, OTHER_DIGEST = (hashlib.sha256(token.encode()).hexdigest() for token in (TOKEN, OTHER))
@@ -177,30 +177,30 @@
         assert taken["one"] <= 3 + 5.0 * now + 1
 
 
-def test_ends_survive_a_restart_and_a_torn_line(tmp_path: Path) -> None:
-    """Guards against a line cut off by a crash being read as an end, or spoiling the line after it."""
+def test_outcomes_survive_a_restart_and_a_torn_line(tmp_path: Path) -> None:
+    """Guards against a line cut off by a crash being read as an outcome, or spoiling the line after it."""
     async def work() -> None:
         settled: list[str] = []
-        ends = Ends(tmp_path, 100, settled.extend)
+        store = OutcomeStore(tmp_path, 100, settled.extend)
         for number in range(250):
-            ends.add(f"m{number}", End("delivered", number))
+            store.add(f"m{number}", TerminalOutcome("delivered", number))
             if not number % 20:
                 await asyncio.sleep(0)
         await asyncio.sleep(0)
-        ends.close()
+        store.close()
         assert settled == [f"m{number}" for number in range(250)]
-        assert (tmp_path / Ends.FILE).read_bytes().count(b"\n") <= 250
-        with open(tmp_path / Ends.FILE, "ab") as file:
+        assert (tmp_path / OutcomeStore.FILE).read_bytes().count(b"\n") <= 250
+        with open(tmp_path / OutcomeStore.FILE, "ab") as file:
             file.write(b'{"message": "m250", "en')
-        ends = Ends(tmp_path, 100, settled.extend)
-        assert ends.get("m149") is None and ends.get("m150") == End("delivered", 150)
-        assert ends.get("m250") is None  # the journal still owes it and reports it again
-        ends.add("m250", End("failed", 1, 7))
+        store = OutcomeStore(tmp_path, 100, settled.extend)
+        assert store.get("m149") is None and store.get("m150") == TerminalOutcome("delivered", 150)
+        assert store.get("m250") is None  # the journal still owes it and reports it again
+        store.add("m250", TerminalOutcome("failed", 1, 7))
         await asyncio.sleep(0)
-        ends.close()
-        ends = Ends(tmp_path, 100, settled.extend)
-        assert ends.get("m250") == End("failed", 1, 7)
-        ends.close()
+        store.close()
+        store = OutcomeStore(tmp_path, 100, settled.extend)
+        assert store.get("m250") == TerminalOutcome("failed", 1, 7)
+        store.close()
     run(work())
 
 
@@ -212,44 +212,44 @@
 
     async def work() -> None:
         settled: list[str] = []
-        (tmp_path / Ends.FILE).write_bytes(b'{"mess')
-        ends = Ends(tmp_path, 100, settled.extend)
-        whole, ends._file = ends._file, Short()  # type: ignore[assignment]
-        ends.add("m1", End("failed", 5))
-        ends.flush()
+        (tmp_path / OutcomeStore.FILE).write_bytes(b'{"mess')
+        store = OutcomeStore(tmp_path, 100, settled.extend)
+        whole, store._file = store._file, Short()  # type: ignore[assignment]
+        store.add("m1", TerminalOutcome("failed", 5))
+        store.flush()
         assert settled == []
-        ends._file = whole
-        ends.flush()
+        store._file = whole
+        store.flush()
         assert settled == ["m1"]
-        ends.close()
-        assert Ends(tmp_path, 100, settled.extend).get("m1") == End("failed", 5)
-    real = open(tmp_path / Ends.FILE, "ab", buffering=0)  # noqa: SIM115
+        store.close()
+        assert OutcomeStore(tmp_path, 100, settled.extend).get("m1") == TerminalOutcome("failed", 5)
+    real = open(tmp_path / OutcomeStore.FILE, "ab", buffering=0)  # noqa: SIM115
     run(work())
 
 
-def test_a_failed_compaction_loses_no_later_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_compaction_loses_no_later_outcome(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The old file was closed before the rename: when that failed, every later write raised."""
     async def work() -> None:
         settled: list[str] = []
-        ends = Ends(tmp_path, 2, settled.extend)
+        store = OutcomeStore(tmp_path, 2, settled.extend)
 
         def full(self: Path, target: Path) -> Path:
             raise OSError(28, "No space left on device")
         with monkeypatch.context() as broken:
             broken.setattr(Path, "replace", full)
             for number in range(6):
-                ends.add(f"m{number}", End("delivered", number))
-                ends.flush()
-        ends.add("m6", End("failed", 6))
-        ends.flush()
-        ends.close()
+                store.add(f"m{number}", TerminalOutcome("delivered", number))
+                store.flush()
+        store.add("m6", TerminalOutcome("failed", 6))
+        store.flush()
+        store.close()
         assert settled == [f"m{number}" for number in range(7)]
-        assert Ends(tmp_path, 2, settled.extend).get("m6") == End("failed", 6)
+        assert OutcomeStore(tmp_path, 2, settled.extend).get("m6") == TerminalOutcome("failed", 6)
     run(work())
 
 
-def test_ends_stay_owed_while_the_disk_is_full(tmp_path: Path) -> None:
-    """Guards against ends confirmed before they are written whole: a full disk takes only part of the line."""
+def test_outcomes_stay_owed_while_the_disk_is_full(tmp_path: Path) -> None:
+    """Guards against outcomes confirmed before they are written whole: a full disk takes only part of the line."""
     class Full:
         room = 10
 
@@ -264,26 +264,26 @@
 
     async def work() -> None:
         settled: list[str] = []
-        ends = Ends(tmp_path, 100, settled.extend)
-        ends._file = Full()  # type: ignore[assignment]
-        waiting = ends.wait("m1", 60)
-        ends.add("m1", End("refused", 5))
+        store = OutcomeStore(tmp_path, 100, settled.extend)
+        store._file = Full()  # type: ignore[assignment]
+        waiting = store.wait("m1", 60)
+        store.add("m1", TerminalOutcome("refused", 5))
         await waiting  # the waiting client is answered although the write failed
-        ends.flush()
-        assert settled == [] and ends.get("m1") == End("refused", 5)
-        ends._file = real
-        ends.add("m2", End("delivered", 6))
-        ends.flush()
+        store.flush()
+        assert settled == [] and store.get("m1") == TerminalOutcome("refused", 5)
+        store._file = real
+        store.add("m2", TerminalOutcome("delivered", 6))
+        store.flush()
         assert settled == ["m1", "m2"]
-        ends.close()
-        again = Ends(tmp_path, 100, settled.extend)
-        assert again.get("m1") == End("refused", 5) and again.get("m2") == End("delivered", 6)
+        store.close()
+        again = OutcomeStore(tmp_path, 100, settled.extend)
+        assert again.get("m1") == TerminalOutcome("refused", 5) and again.get("m2") == TerminalOutcome("delivered", 6)
         again.close()
-    real = open(tmp_path / Ends.FILE, "ab", buffering=0)  # noqa: SIM115
+    real = open(tmp_path / OutcomeStore.FILE, "ab", buffering=0)  # noqa: SIM115
     run(work())
 
 
-class Standalone:
+class StandaloneProcess:
     """A courier process with its own file, and two partner endpoints."""
 
     def __init__(self, folder: Path) -> None:
@@ -291,7 +291,7 @@
         self.alpha, self.beta = Endpoint(), Endpoint()
         self.text = FILE
 
-    async def __aenter__(self) -> Standalone:
+    async def __aenter__(self) -> StandaloneProcess:
         self.text = self.text.replace("127.0.0.1:1", await self.alpha.start())
         await self.beta.start()
         await self.start()
@@ -329,7 +329,7 @@
         self.process.send_signal(how)
         await asyncio.wait_for(self.process.wait(), LIMIT_S)
 
-    async def renew(self, old: str, new: str) -> None:
+    async def reload(self, old: str, new: str) -> None:
         assert old in self.text
         self.text = self.text.replace(old, new)
         (self.folder / "new").write_text(self.text)
@@ -350,10 +350,10 @@
         return (await self.ask("POST", path, token, X_Request_Id=name, X_Class=cls))[0]
 
 
-def test_a_message_is_delivered_and_its_end_survives_sigkill(tmp_path: Path) -> None:
+def test_a_message_is_delivered_and_its_outcome_survives_sigkill(tmp_path: Path) -> None:
     """Guards against a second call for a message that has ended, and against access to other tenants' messages."""
     async def scenario() -> None:
-        async with Standalone(tmp_path) as s:
+        async with StandaloneProcess(tmp_path) as s:
             assert await s.post("m1", "/a/1") == 202
             status, end = await s.ask("GET", "/messages/m1?wait=20")
             assert (status, end["message"], end["end"]) == (200, "m1", "delivered")
@@ -368,7 +368,7 @@
             assert await s.post("m3", "/nowhere") == 404
             async with aiohttp.ClientSession() as http, http.post(s.url + "/a/1", headers=[
                     ("Authorization", f"Bearer {TOKEN}"), ("X-Request-Id", "m4"), ("X-Request-Id", "m5")]) as answer:
-                assert answer.status == 400  # with two ids it is unclear which message would be owed an end
+                assert answer.status == 400  # with two ids it is unclear which message would be owed an outcome
             assert await s.post("m4", "/a/1", "none") == 400 and await s.post("m~4", "/a/1") == 400
             assert not any(TOKEN in line for line in s.log)
             await s.stop(signal.SIGKILL)
@@ -383,7 +383,7 @@
 def test_an_unsafe_message_in_flight_at_sigkill_fails_and_is_not_sent_again(tmp_path: Path) -> None:
     """Guards against a repeated unsafe call: after a crash it is unknown whether the interrupted one ran."""
     async def scenario() -> None:
-        async with Standalone(tmp_path) as s:
+        async with StandaloneProcess(tmp_path) as s:
             arrived = asyncio.Event()
 
             async def hang(call: Call) -> Reply | None:
@@ -403,8 +403,8 @@
 def test_a_reload_applies_endpoints_and_tokens_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     """Guards against a reload that is applied in part, and against an invalid file replacing a valid one."""
     async def scenario() -> None:
-        async with Standalone(tmp_path) as s:
-            await s.renew("endpoints = []", f'endpoints = ["{s.beta.address}"]')
+        async with StandaloneProcess(tmp_path) as s:
+            await s.reload("endpoints = []", f'endpoints = ["{s.beta.address}"]')
             await s.wait_log("read again")
             assert await s.post("m1", "/b/1") == 202
             await s.beta.wait(1)
@@ -413,15 +413,15 @@
                            (await s.alpha.wait(1))[0].headers["x-request-id"]]) == ["one~m2", "one~m2~mirror"]
             assert (await s.ask("GET", "/messages/m2?wait=20"))[1]["end"] == "delivered"
             text = s.text
-            await s.renew('to = "beta"', 'to = "gamma"')
+            await s.reload('to = "beta"', 'to = "gamma"')
             await s.wait_log("route[1].to: unknown destination 'gamma'")
             assert await s.post("m3", "/b/1") == 202
             await s.beta.wait(3)
             s.text = text
-            await s.renew(DIGEST, start.new_token()[1])  # revoked: its held messages are still delivered
+            await s.reload(DIGEST, start.new_token()[1])  # revoked: its held messages are still delivered
             await s.wait_log("read again", 2)
             assert await s.post("m4", "/b/1") == 401 and await s.post("m5", "/b/1", token=OTHER) == 202
-            await s.renew(f'endpoints = ["{s.beta.address}"]', f'endpoints = ["{s.beta.address}"]\ndrain = '
+            await s.reload(f'endpoints = ["{s.beta.address}"]', f'endpoints = ["{s.beta.address}"]\ndrain = '
                           f'["{s.beta.address}"]')
             await s.wait_log("read again", 3)
             assert await s.post("m6", "/b/1", token=OTHER) == 202  # beta drains: the fallback gets it
@@ -433,7 +433,7 @@
 def test_endpoint_files_are_applied_and_invalid_or_deleted_ones_change_nothing(tmp_path: Path) -> None:
     """Guards against a destination losing its endpoints when its file is damaged or deleted."""
     async def scenario() -> None:
-        s = Standalone(tmp_path)
+        s = StandaloneProcess(tmp_path)
         s.text = s.text.replace('state = "state"', 'state = "state"\nendpoints_from = "there"')
         (tmp_path / "there").mkdir()
 
@@ -465,7 +465,7 @@
 def test_replacing_an_endpoint_during_an_unsafe_call_repeats_no_call(tmp_path: Path) -> None:
     """The call in flight must complete at the old endpoint; the next message goes to the new one."""
     async def scenario() -> None:
-        async with Standalone(tmp_path) as s:
+        async with StandaloneProcess(tmp_path) as s:
             released = asyncio.Event()
 
             async def slow(call: Call) -> Reply | None:
@@ -474,7 +474,7 @@
             s.alpha.reply = slow
             assert await s.post("m1", "/a/1") == 202
             await s.alpha.wait(1)
-            await s.renew(f'endpoints = ["{s.alpha.address}"]', f'endpoints = ["{s.beta.address}"]')
+            await s.reload(f'endpoints = ["{s.alpha.address}"]', f'endpoints = ["{s.beta.address}"]')
             await s.wait_log("read again")
             assert await s.post("m2", "/a/1") == 202
             assert (await s.beta.wait(1))[0].headers["x-request-id"] == "one~m2"
@@ -489,7 +489,7 @@
 def test_a_tenant_over_its_share_gets_retry_after_and_others_are_served(tmp_path: Path) -> None:
     """Guards against a tenant with a slow partner using up all room for held messages."""
     async def scenario() -> None:
-        s = Standalone(tmp_path)
+        s = StandaloneProcess(tmp_path)
         s.text = s.text.replace("[tenant.two]", "held_share = 0.3\n[tenant.two]").replace(
             "[class.pay]", "[limits]\nheld = 10\n[class.pay]")
         async with s:
@@ -519,8 +519,8 @@
     assert (code, report["findings"]) == (0, [])
 
 
-def test_an_end_is_owed_until_the_file_and_the_notified_party_have_it(tmp_path: Path) -> None:
-    """Guards against an end confirmed to the journal before both recipients have it."""
+def test_an_outcome_is_owed_until_the_file_and_the_notified_party_have_it(tmp_path: Path) -> None:
+    """Guards against an outcome confirmed to the journal before both recipients have it."""
     class Core:
         over: list[str] = []
 
@@ -535,18 +535,18 @@
 
     async def work() -> None:
         core, notices = Core(), Notices()
-        reporter = EndReporter(Front(Policy.of(parse(FILE, "x")), core), core)  # type: ignore[arg-type]
-        reporter.ends, reporter.notices = Ends(tmp_path, 100, reporter.confirm), notices  # type: ignore[assignment]
+        reporter = OutcomeReporter(StandaloneClientApi(Policy.of(parse(FILE, "x")), core), core)  # type: ignore[arg-type]
+        reporter.outcomes, reporter.notices = OutcomeStore(tmp_path, 100, reporter.confirm), notices  # type: ignore[assignment]
         reporter.enqueue("one~a", "given_up", 0)
         reporter.enqueue("one~b", "delivered", 0)
-        reporter.ends.flush()
+        reporter.outcomes.flush()
         assert (core.over, notices.owed) == (["one~b"], ["one~a"])
         reporter.confirm(["one~a"])  # answered
         assert core.over == ["one~b", "one~a"]
         reporter.enqueue("one~b~mirror", "given_up", 0)
         await asyncio.sleep(0)
-        assert core.over[-1] == "one~b~mirror" and reporter.ends.get("one~b~mirror") is None
-        reporter.ends.close()
+        assert core.over[-1] == "one~b~mirror" and reporter.outcomes.get("one~b~mirror") is None
+        reporter.outcomes.close()
     run(work())
 
 
--- a/wheelstep/standalone/ends.py
+++ b/wheelstep/standalone/ends.py
@@ -1,7 +1,8 @@
-"""Final states ("ends") of messages for client queries, kept in memory and in a file of the state folder, both bounded.
+"""Terminal outcomes ("ends") of messages for client queries, kept in memory and in a file of the state folder, both
+bounded.
 
-The file has one JSON line per end and is compacted, by rename, once it has over twice as many lines as ends are kept.
-The journal owes an end until it is in the file, so one lost to a crash or a full disk is reported again.
+The file has one JSON line per outcome and is compacted, by rename, once it has over twice as many lines as outcomes are
+kept. The journal owes an outcome until it is in the file, so one lost to a crash or a full disk is reported again.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class TerminalOutcome:
     """How a message ended: `delivered`, `refused` (safe to hand in again after `retry_ms`) or `failed`."""
 
     end: str
@@ -31,9 +32,9 @@
     retry_ms: int = 0
 
     @classmethod
-    def now(cls, end: str, retry_ms: int = 0) -> End:
-        """Create an end with the current time."""
-        return cls(end, int(time.time() * 1000), retry_ms)
+    def now(cls, outcome: str, retry_ms: int = 0) -> TerminalOutcome:
+        """Create an outcome with the current time."""
+        return cls(outcome, int(time.time() * 1000), retry_ms)
 
     def row(self, message: str) -> dict[str, Any]:
         """Return the JSON object that is sent to clients and stored in the file."""
@@ -43,14 +44,15 @@
         return row
 
 
-class Ends:
-    """Keeps the newest `capacity` ends by message name; calls `on_written` with names whose ends are in the file."""
+class OutcomeStore:
+    """Keeps the newest `capacity` outcomes by message name; calls `on_written` with names whose outcomes are in the
+    file."""
 
     FILE = "ends.jsonl"
 
     def __init__(self, folder: Path, capacity: int, on_written: Callable[[list[str]], None]) -> None:
         self._path, self._capacity, self._on_written = folder / self.FILE, capacity, on_written
-        self._ends: OrderedDict[str, End] = OrderedDict()
+        self._outcomes: OrderedDict[str, TerminalOutcome] = OrderedDict()
         self._waiters: dict[str, list[asyncio.Future[None]]] = {}
         self._waiter_count = 0  # futures in `_waiters`
         self._unwritten: list[str] = []
@@ -70,35 +72,36 @@
             self._line_count += 1
             try:
                 row = json.loads(line)
-                end = End(str(row["end"]), int(row["at_ms"]), int(row.get("retry_in_ms", 0)))
-                self._ends[str(row["message"])] = end
+                outcome = TerminalOutcome(str(row["end"]), int(row["at_ms"]), int(row.get("retry_in_ms", 0)))
+                self._outcomes[str(row["message"])] = outcome
             except (ValueError, KeyError, TypeError):
                 log.warning("%s: line %d is not a valid record and is skipped", self._path, self._line_count)
-        while len(self._ends) > self._capacity:
-            self._ends.popitem(last=False)
+        while len(self._outcomes) > self._capacity:
+            self._outcomes.popitem(last=False)
 
-    def get(self, message: str) -> End | None:
-        """Return the end of the message, or None if it has none or it is no longer kept."""
-        return self._ends.get(message)
+    def get(self, message: str) -> TerminalOutcome | None:
+        """Return the outcome of the message, or None if it has none or it is no longer kept."""
+        return self._outcomes.get(message)
 
-    def add(self, message: str, end: End) -> None:
-        """Record an end and schedule its write; waiters are notified after the write is tried, even if it fails."""
-        if message in self._ends:  # reported again after a restart
+    def add(self, message: str, outcome: TerminalOutcome) -> None:
+        """Record an outcome and schedule its write; waiters are notified after the write is tried, even if it fails."""
+        if message in self._outcomes:  # reported again after a restart
             asyncio.get_running_loop().call_soon(self._on_written, [message])
             return
-        self._ends[message] = end
-        if len(self._ends) > self._capacity:
-            self._ends.popitem(last=False)
+        self._outcomes[message] = outcome
+        if len(self._outcomes) > self._capacity:
+            self._outcomes.popitem(last=False)
         self._unwritten.append(message)
         if self._flush_handle is None:
             self._flush_handle = asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Write all unwritten ends in one write; if it fails, retry it after `_RETRY_DELAY_S`."""
+        """Write all unwritten outcomes in one write; if it fails, retry it after `_RETRY_DELAY_S`."""
         self._flush_handle = None
         names = self._unwritten
         data = b"\n" if self._torn else b""
-        data += b"".join(json.dumps(end.row(name)).encode() + b"\n" for name in names if (end := self._ends.get(name)))
+        data += b"".join(json.dumps(outcome.row(name)).encode() + b"\n"
+                         for name in names if (outcome := self._outcomes.get(name)))
         try:
             self._torn = self._file.write(data) < len(data)
             if self._torn:
@@ -107,7 +110,7 @@
             self._line_count += len(names)
             if self._line_count > 2 * self._capacity:
                 self._compact()
-        except OSError as error:  # waiters are notified all the same; the journal owes the ends until the file has them
+        except OSError as error:  # waiters are notified all the same; the journal owes what is not written
             log.error("%s: %s; %d message outcomes are not written yet", self._path, error, len(self._unwritten))
             if self._unwritten:
                 self._flush_handle = asyncio.get_running_loop().call_later(_RETRY_DELAY_S, self.flush)
@@ -122,16 +125,16 @@
     def _compact(self) -> None:
         new_path = self._path.with_suffix(".new")
         with open(new_path, "wb") as file:
-            file.writelines(json.dumps(end.row(name)).encode() + b"\n" for name, end in self._ends.items())
+            file.writelines(json.dumps(outcome.row(name)).encode() + b"\n" for name, outcome in self._outcomes.items())
             file.flush()
             os.fsync(file.fileno())  # before the rename, or a power loss could leave neither old nor new file
         new_path.replace(self._path)
         self._file.close()  # after the rename: if that fails, the old file stays in use
         self._file = open(self._path, "ab", buffering=0)  # noqa: SIM115
-        self._line_count = len(self._ends)
+        self._line_count = len(self._outcomes)
 
     def wait(self, message: str, timeout_s: float) -> asyncio.Future[None]:
-        """Return a future that is done at the end or timeout, or at once if there are `_MAX_WAITERS` already."""
+        """Return a future that is done at the outcome or timeout, or at once if there are `_MAX_WAITERS` already."""
         loop = asyncio.get_running_loop()
         waiter: asyncio.Future[None] = loop.create_future()
         if self._waiter_count >= _MAX_WAITERS:
--- a/wheelstep/standalone/front.py
+++ b/wheelstep/standalone/front.py
@@ -1,7 +1,7 @@
-"""Client API of a standalone courier: authentication, routing, admission and queries of message ends.
+"""Client API of a standalone courier: authentication, routing, admission and queries of outcomes.
 
-    POST /any/path/KEY        hands a message in: 202, or 200 with its end if it has one already
-    GET /messages/ID?wait=S   its end: 200 with it, 202 while there is none, 404 if the message is unknown
+    POST /any/path/KEY        submits a message: 202, or 200 with its outcome if it has ended already
+    GET /messages/ID?wait=S   its outcome: 200 with it, 202 while there is none, 404 if the message is unknown
 
 Implements `courier.admission.ClientApi` for the daemon's client server; holds no sockets.
 """
@@ -20,7 +20,7 @@
 from wheelstep.courier.message_request import key_of, token_of, unique_headers
 from wheelstep.courier.request import Request
 from wheelstep.journal import NoRoomError, StoredMessage
-from wheelstep.standalone.ends import Ends
+from wheelstep.standalone.ends import OutcomeStore
 from wheelstep.standalone.model import Standalone, destination_number
 from wheelstep.standalone.routes import RouteQuery, Routes, Tenants
 
@@ -37,7 +37,7 @@
 
 
 def is_mirror_copy(name: str) -> bool:
-    """Return whether the message is a mirror copy, whose end is reported to nobody."""
+    """Return whether the message is a mirror copy, whose outcome is reported to nobody."""
     return name.endswith(_MIRROR_SUFFIX)
 
 
@@ -61,12 +61,12 @@
             name for name, part in file_config.destinations.items() if set(part.endpoints) - set(part.drain)))
 
 
-class Front:
+class StandaloneClientApi:
     """Handles the requests of clients by the operator's file."""
 
     def __init__(self, policy: Policy, core: Core, now_s: Callable[[], float] = time.monotonic) -> None:
         self._core, self._now_s = core, now_s
-        self.ends: Ends | None = None  # set before the server starts
+        self.outcomes: OutcomeStore | None = None  # set before the server starts
         self.tenants = Tenants(policy.file_config.tenants)
         self._copies: dict[str, StoredMessage] = {}  # by the name of the original message
         self.use(policy)
@@ -80,12 +80,12 @@
 
     def message(self, request: Request) -> StoredMessage:
         """Return the message of a request. Raises `BadRequestError` or `RefusedError`; the latter also, with status
-        200, for a message that already has an end."""
+        200, for a message that has already ended."""
         tenant = self._tenant(request)
         headers = unique_headers(request)
         name = self._name(tenant, headers.get("x-request-id", ""))
-        if (end := self._end_store.get(name)) is not None:
-            raise RefusedError(200, json.dumps(end.row(_client_name(name))) + "\n", _JSON)
+        if (outcome := self._outcome_store.get(name)) is not None:
+            raise RefusedError(200, json.dumps(outcome.row(_client_name(name))) + "\n", _JSON)
         message_class = headers.get("x-class", "") or next(iter(self._file_config.classes))
         part = self._file_config.classes.get(message_class)
         if part is None:
@@ -133,11 +133,11 @@
             wait_s = min(_MAX_WAIT_S, max(0.0, float(parse_qs(query).get("wait", ["0"])[0])))
         except ValueError:
             raise BadRequestError("wait is no number of seconds") from None
-        if self._end_store.get(name) is None and wait_s > 0 and self._core.holds(name):
-            connection.wait(self._end_store.wait(name, wait_s), lambda _: self._respond_end(request, name, connection),
-                            held=True)
+        if self._outcome_store.get(name) is None and wait_s > 0 and self._core.holds(name):
+            connection.wait(self._outcome_store.wait(name, wait_s),
+                            lambda _: self._respond_outcome(request, name, connection), held=True)
         else:
-            self._respond_end(request, name, connection)
+            self._respond_outcome(request, name, connection)
 
     def response_headers(self, message: StoredMessage) -> tuple[tuple[str, str], ...]:
         """Return no extra headers for a 202."""
@@ -156,9 +156,9 @@
     # --- inside ---
 
     @property
-    def _end_store(self) -> Ends:
-        assert self.ends is not None
-        return self.ends
+    def _outcome_store(self) -> OutcomeStore:
+        assert self.outcomes is not None
+        return self.outcomes
 
     def _tenant(self, request: Request) -> str:
         if "authorization" in request.repeated_headers:
@@ -173,10 +173,10 @@
                                (("WWW-Authenticate", "Bearer"),))
         return tenant
 
-    def _respond_end(self, request: Request, name: str, connection: Connection) -> None:
+    def _respond_outcome(self, request: Request, name: str, connection: Connection) -> None:
         client_name = _client_name(name)
-        if (end := self._end_store.get(name)) is not None:
-            connection.respond(request, 200, json.dumps(end.row(client_name)) + "\n", _JSON)
+        if (outcome := self._outcome_store.get(name)) is not None:
+            connection.respond(request, 200, json.dumps(outcome.row(client_name)) + "\n", _JSON)
         elif self._core.holds(name):
             connection.respond(request, 202, json.dumps({"message": client_name}) + "\n", _JSON)
         else:  # also for another tenant's message, so that its existence is not disclosed
--- a/wheelstep/standalone/routes.py
+++ b/wheelstep/standalone/routes.py
@@ -89,7 +89,7 @@
     """Identifies tenants and enforces their rates and shares of held messages."""
 
     tenants: Mapping[str, TenantPart]
-    held: Counter[str] = field(default_factory=Counter)  # messages without an end yet, by holder
+    held: Counter[str] = field(default_factory=Counter)  # messages that have not ended yet, by holder
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
     def update(self, tenants: Mapping[str, TenantPart]) -> None:
--- a/wheelstep/standalone/serve.py
+++ b/wheelstep/standalone/serve.py
@@ -23,14 +23,14 @@
 from wheelstep.courier.opening import open_journal
 from wheelstep.courier.rows import Row
 from wheelstep.courier.shutdown import ignore_signals, leave
-from wheelstep.standalone.ends import Ends
+from wheelstep.standalone.ends import OutcomeStore
 from wheelstep.standalone.folder import EndpointFolder, merge_endpoints
-from wheelstep.standalone.front import Front, Policy, is_mirror_copy, tenant_of
+from wheelstep.standalone.front import Policy, StandaloneClientApi, is_mirror_copy, tenant_of
 from wheelstep.standalone.model import FileError, Standalone, load
 from wheelstep.standalone.rows import changes, rows_of
 from wheelstep.standalone.settings import settings
 from wheelstep.standalone.signing import KeyFileError, Signer, read_signers
-from wheelstep.standalone.told import EndReporter
+from wheelstep.standalone.told import OutcomeReporter
 
 _SWITCH_INTERVAL_S = 0.0005  # bounds the loop's wait for a thread that reads a file (default: 5 ms)
 _ROWS_PER_TURN = 100  # passed to the core in one turn of the loop
@@ -92,18 +92,19 @@
         config = self._config
         journal = open_journal(config, None)
         core = self._core = Core(config, journal)
-        front = self._front = Front(Policy.of(self._file_config), core)
-        reporter = EndReporter(front, core)
+        client_api = self._client_api = StandaloneClientApi(Policy.of(self._file_config), core)
+        reporter = OutcomeReporter(client_api, core)
         try:
-            ends = front.ends = reporter.ends = Ends(config.state, self._file_config.limits.kept_ends, reporter.confirm)
+            outcomes = client_api.outcomes = reporter.outcomes = OutcomeStore(
+                config.state, self._file_config.limits.kept_ends, reporter.confirm)
         except OSError as error:
-            raise ConfigError(f"{config.state / Ends.FILE}: {error}") from error
+            raise ConfigError(f"{config.state / OutcomeStore.FILE}: {error}") from error
         core.notices, core.notifies_deliveries = reporter, True
         self._update_signing()
         for name in journal.messages:
             if not is_mirror_copy(name):
-                front.tenants.hold(tenant_of(name))
-        server = ClientServer(core, core.ordered, config.max_descriptors // 3, client_api=front)
+                client_api.tenants.hold(tenant_of(name))
+        server = ClientServer(core, core.ordered, config.max_descriptors // 3, client_api=client_api)
         async with contextlib.AsyncExitStack() as stack, asyncio.TaskGroup() as group:
             if self._file_config.notify is not None:
                 import aiohttp
@@ -116,7 +117,7 @@
             first = self._prepare(lambda: self._file_config)
             self._rows = first.rows
             core.listed(api.ListKind.WHOLE, first.rows)
-            front.use(first.policy)
+            client_api.use(first.policy)
             core.endpoints.knows_list = True
             core.restore(journal.marks, journal.messages.values())
             gc.freeze()  # restored messages are long-lived: a collection that traverses them all would stall the loop
@@ -138,7 +139,7 @@
             await leave(core, server)
             for task in tasks:
                 task.cancel()
-        ends.close()
+        outcomes.close()
         journal.close()
         ignore_signals()
 
@@ -162,7 +163,7 @@
             for at in range(0, len(reload.changed), _ROWS_PER_TURN):
                 self._core.listed(api.ListKind.CHANGES, reload.changed[at:at + _ROWS_PER_TURN])
                 await asyncio.sleep(0)
-            self._front.use(reload.policy)
+            self._client_api.use(reload.policy)
             self._update_signing()
             return reload
 
--- a/wheelstep/standalone/told.py
+++ b/wheelstep/standalone/told.py
@@ -1,4 +1,5 @@
-"""Reports the ends of messages where there is no platform: to `Ends`, and to the `notify` address of the file."""
+"""Reports the terminal outcomes of messages where there is no platform: to `OutcomeStore`, and to the `notify` address
+of the file."""
 
 from __future__ import annotations
 
@@ -6,24 +7,25 @@
 
 from wheelstep.courier.core import Core
 from wheelstep.courier.notifier import Notifier
-from wheelstep.standalone.ends import End, Ends
-from wheelstep.standalone.front import Front, is_mirror_copy, tenant_of
+from wheelstep.standalone.ends import OutcomeStore, TerminalOutcome
+from wheelstep.standalone.front import StandaloneClientApi, is_mirror_copy, tenant_of
 
-_END_OF_OUTCOME = {"delivered": "delivered", "handed_back": "refused", "given_up": "failed"}
+_CLIENT_OUTCOMES = {"delivered": "delivered", "handed_back": "refused", "given_up": "failed"}
 
 
-class EndReporter:
-    """Takes the place of the platform's notices. Stores every end in `Ends`, sends undelivered ones to `notices` too if
-    the file has `notify`, and releases the tenant's share. The journal owes an end until all of them have it."""
+class OutcomeReporter:
+    """Takes the place of the platform's notices. Stores every outcome in `OutcomeStore`, sends undelivered ones to
+    `notices` too if the file has `notify`, and releases the tenant's share. The journal owes an outcome until all of
+    them have it."""
 
-    def __init__(self, front: Front, core: Core) -> None:
-        self._front, self._core = front, core
-        self.ends: Ends | None = None
+    def __init__(self, client_api: StandaloneClientApi, core: Core) -> None:
+        self._client_api, self._core = client_api, core
+        self.outcomes: OutcomeStore | None = None
         self.notices: Notifier | None = None
         self._half_confirmed: set[str] = set()  # confirmed by one of the two; bounded by the limit of held messages
 
     def confirm(self, names: list[str]) -> None:
-        """Note that `Ends` or `notices` has these ends; tell the core of those that need no more confirmation."""
+        """Note that the store or `notices` has these messages' outcomes; tell the core of those confirmed by all."""
         confirmed = []
         for name in names:
             if self.notices is None or name in self._half_confirmed:
@@ -35,13 +37,13 @@
             self._core.answered(confirmed)
 
     def enqueue(self, message: str, outcome: str, retry_ms: int) -> None:
-        """Report the end of a message."""
+        """Report the outcome of a message: "delivered", "handed_back" or "given_up"."""
         if is_mirror_copy(message):
             asyncio.get_running_loop().call_soon(self._core.answered, [message])
             return
-        assert self.ends is not None
-        self._front.tenants.release(tenant_of(message))
-        self.ends.add(message, End.now(_END_OF_OUTCOME[outcome], retry_ms))
+        assert self.outcomes is not None
+        self._client_api.tenants.release(tenant_of(message))
+        self.outcomes.add(message, TerminalOutcome.now(_CLIENT_OUTCOMES[outcome], retry_ms))
         if self.notices is not None:
             if outcome == "delivered":
                 self.confirm([message])
