--- a/wheelstep/standalone/folder.py
+++ b/wheelstep/standalone/folder.py
@@ -29,7 +29,8 @@
     _stamps: dict[str, _Stamp] = field(default_factory=dict)
 
     def scan(self) -> tuple[bool, list[str]]:
-        """Return whether endpoints changed, and the problems to log. Blocks on disk I/O."""
+        """Read changed files into `parts`; return whether endpoints changed, and the problems to log. Blocks on disk
+        I/O."""
         changed, problems = False, []
         try:
             files = {path.stem: path for path in self.path.iterdir()
--- a/wheelstep/standalone/model.py
+++ b/wheelstep/standalone/model.py
@@ -52,7 +52,7 @@
 
 
 class EndpointsPart(Table):
-    """The endpoints of a partner."""
+    """The endpoints of a partner; also the fields of a file in the watched folder."""
 
     endpoints: Annotated[tuple[str, ...], Field(description="host:port of each endpoint")] = ()
     drain: Annotated[tuple[str, ...], Field(description="endpoints among them that get no new messages")] = ()
--- a/wheelstep/standalone/routes.py
+++ b/wheelstep/standalone/routes.py
@@ -18,8 +18,8 @@
 
     tenant: str
     message_class: str
-    path: str
-    key: str | None
+    path: str  # without the query
+    key: str | None  # by which messages are ordered and hashed
     headers: Mapping[str, str]  # names in lower case
 
 
@@ -39,9 +39,10 @@
         self._unsafe = {name for name, part in file_config.classes.items() if part.effect == "unsafe"}
 
     def target(self, query: RouteQuery, name: str, serves: Callable[[str], bool]) -> RouteTarget | None:
-        """Return the target of a message, or None if no route matches. A message without a key is hashed by `name`, so
-        a repeated request gets the same target. `serves` returns whether a destination has an endpoint that takes new
-        messages; if it has none, the route's fallback is used, provided that it has one."""
+        """Return the target of a message, or None if no route matches. A message without a key is hashed by `name`, its
+        name with that of its tenant, so a repeated request gets the same target. `serves` returns whether a destination
+        has an endpoint that takes new messages; if it has none, the route's fallback is used, provided that it has
+        one."""
         for route in self._routes:
             if _matches(route, query):
                 destination = _weighted(route.weights, query.key or name)
@@ -89,7 +90,7 @@
     """Identifies tenants and enforces their rates and shares of held messages."""
 
     tenants: Mapping[str, TenantPart]
-    held: Counter[str] = field(default_factory=Counter)  # messages that have not ended yet, by holder
+    held: Counter[str] = field(default_factory=Counter)  # messages not ended yet, by tenant part of their names
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
     def update(self, tenants: Mapping[str, TenantPart]) -> None:
@@ -112,7 +113,8 @@
         return owner
 
     def admission_wait_s(self, tenant: str, holder: str, hold_limit: int, now_s: float) -> float:
-        """Admit one more message and return 0, or return the seconds to wait. Admission consumes a token of the rate.
+        """Admit one more message and return 0, or return the seconds to wait: 1 if the tenant holds its share of
+        `hold_limit` messages, else until the rate allows one more. Admission consumes a token of the rate.
         `holder` is the name that the tenant's messages are counted under (`front.tenant_of`)."""
         part = self.tenants[tenant]
         if self.held[holder] >= max(1, int(part.held_share * hold_limit)):
--- a/wheelstep/standalone/serve.py
+++ b/wheelstep/standalone/serve.py
@@ -79,7 +79,7 @@
         self._folder: EndpointFolder | None = None
         self._rows: list[Row] = []
         self._reload_lock = asyncio.Lock()
-        self.loads = 0  # successful reloads since the start
+        self.loads = 0  # successful reloads at SIGHUP since the start
         self._config = config_of(file_config)
 
     async def serve(self, reload_requested: asyncio.Event) -> None:
--- a/wheelstep/standalone/signing.py
+++ b/wheelstep/standalone/signing.py
@@ -21,7 +21,7 @@
 
 
 class KeyFileError(Exception):
-    """A key can't be used. The message names the place of the key and never contains the key."""
+    """A key can't be used. The message names the location of the key and never contains the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,8 @@
     keys: tuple[bytes, ...]
 
     def headers(self, name: str, body: bytes, now_s: int) -> tuple[tuple[str, str], ...]:
-        """Return the signature headers of an attempt made at `now_s`; all attempts of a message have the same name."""
+        """Return the signature headers of an attempt made at `now_s` (Unix time); all attempts of a message have the
+        same name."""
         signed = f"{name}.{now_s}.".encode() + body
         signatures = " ".join("v1," + base64.b64encode(hmac.digest(key, signed, "sha256")).decode()
                               for key in self.keys)
@@ -48,43 +49,45 @@
     return hashlib.sha256(b"umberchute key\0" + key).hexdigest()[:12]
 
 
-def read_key(place: str, folder: Path, environ: Mapping[str, str]) -> bytes:
+def read_key(location: str, folder: Path, environ: Mapping[str, str]) -> bytes:
     """Read the key at `file:NAME`, relative to the folder, or `env:NAME`. Raises `KeyFileError`."""
-    kind, _, name = place.partition(":")
+    kind, _, name = location.partition(":")
     if kind == "env":
         if name not in environ:
-            raise KeyFileError(f"{place}: is not set; expected a key in the environment")
-        return _decode(environ[name], place)
+            raise KeyFileError(f"{location}: is not set; expected a key in the environment")
+        return _decode(environ[name], location)
     path = folder / name
     try:
         descriptor = os.open(path, os.O_RDONLY)
         with os.fdopen(descriptor, encoding="ascii") as file:
             mode = os.fstat(descriptor).st_mode  # of the open file: the path may have been replaced since
             if not stat.S_ISREG(mode) or mode & 0o077:
-                raise KeyFileError(f"{place}: mode {stat.S_IMODE(mode):o}; expected a plain file that only its owner "
-                                   "can read, such as 600")
-            return _decode(file.read(1024), place)
+                raise KeyFileError(f"{location}: mode {stat.S_IMODE(mode):o}; expected a plain file that only its "
+                                   "owner can read, such as 600")
+            return _decode(file.read(1024), location)
     except (OSError, UnicodeDecodeError) as error:
-        raise KeyFileError(f"{place}: can't be read: {type(error).__name__}; expected a key in {path}") from error
+        raise KeyFileError(f"{location}: can't be read: {type(error).__name__}; expected a key in {path}") from error
 
 
-def _decode(text: str, place: str) -> bytes:
+def _decode(text: str, location: str) -> bytes:
     try:
         key = base64.b64decode(text.strip().removeprefix(_PREFIX), validate=True)
     except binascii.Error:
         key = b""
     if not _MIN_KEY_BYTES <= len(key) <= _MAX_KEY_BYTES:
         raise KeyFileError(
-            f"{place}: is not a valid key; expected {_PREFIX} and {_MIN_KEY_BYTES} to {_MAX_KEY_BYTES} bytes in base64")
+            f"{location}: is not a valid key; "
+            f"expected {_PREFIX} and {_MIN_KEY_BYTES} to {_MAX_KEY_BYTES} bytes in base64")
     return key
 
 
 def read_signers(keys: Mapping[str, Sequence[str]], folder: Path, environ: Mapping[str, str]) -> dict[str, Signer]:
-    """Read the keys of each destination and return its signer. Raises `KeyFileError`."""
+    """Read the keys of each destination, given as locations by its name; return its signer by its name. Raises
+    `KeyFileError`, which names the destination."""
     signers = {}
-    for name, places in keys.items():
+    for name, locations in keys.items():
         try:
-            signers[name] = Signer(tuple(read_key(place, folder, environ) for place in places))
+            signers[name] = Signer(tuple(read_key(location, folder, environ) for location in locations))
         except KeyFileError as error:
             raise KeyFileError(f"destination.{name}.sign: {error}") from error
     return signers
--- a/wheelstep/standalone/start.py
+++ b/wheelstep/standalone/start.py
@@ -97,7 +97,8 @@
 
 
 def differences(old: Any, new: Any, at: str = "") -> Iterator[str]:
-    """Yield a line for each value that a reload would change; `at` is the path of the values in the file."""
+    """Yield a line for each value that differs between two results of `as_json`; `at` is the path of the values in the
+    file."""
     if isinstance(old, dict) and isinstance(new, dict):
         for name in [*old, *(name for name in new if name not in old)]:
             path = f"{at}.{name}" if at else name
