--- a/benchmarks/move_pause.py
+++ b/benchmarks/move_pause.py
@@ -89,7 +89,8 @@
                 acts = giver.tick(now_us)
             case "arrive", ask:
                 named = isinstance(ask, Given)
-                moved, records = taker.heard(now_us, "g", ask, Ownership(2, "t") if named else Ownership(1, "g"))
+                moved, records = taker.handle_request(
+                    now_us, "g", ask, Ownership(2, "t") if named else Ownership(1, "g"))
                 busy_s = max(busy_s, time.thread_time() - began)
                 at(1, bool(records), "answer", ask, moved)
                 if named:  # asks the voters, then adopts, notes that, and opens
@@ -99,14 +100,14 @@
                 opened_us = now_us
                 continue
             case "answer", ask, moved:
-                acts = giver.answered(now_us, ask, moved)
+                acts = giver.handle_answer(now_us, ask, moved)
             case _:
-                acts = giver.decided(now_us, 2, "t")
+                acts = giver.observe_holding(now_us, 2, "t")
         busy_s = max(busy_s, time.thread_time() - began)
         for act in acts:
             if isinstance(act, SendRequest):
-                tail = len(act.ask.pieces) if isinstance(act.ask, Seal) else tail
-                at(1, 0, "arrive", act.ask)
+                tail = len(act.request.pieces) if isinstance(act.request, Seal) else tail
+                at(1, 0, "arrive", act.request)
             elif isinstance(act, Commit):
                 at(2, 1, "decided")
             else:
--- a/tests/move_courier.py
+++ b/tests/move_courier.py
@@ -108,7 +108,7 @@
         return (self.alive and self.store.is_open and self.world.now_us < self.lease_us
                 and self.known == Ownership(self.store.epoch, self.name))
 
-    def hand_in(self) -> None:
+    def submit(self) -> None:
         self.world.check_sole_owner(self)
         number = int(self.disk.get("c:p", b"1"))
         self.store.put(f"m:{number}", b"w")
@@ -143,7 +143,7 @@
         now_us = self.world.now_us
         if self.giver is not None and not self.giver.over and now_us >= self.lease_us:
             self.giver.lease_lost(now_us)
-            self.turn()
+            self.run_giver()
         self.later(READ_US, self.read)
 
     def ask(self, epoch: int, owner: str) -> None:
@@ -167,7 +167,7 @@
         self.log += records
         sealed = self.taker.sealed_epoch(PART)
         if self.giver is not None and not self.giver.over:
-            self.turn(self.giver.decided(self.world.now_us, held.epoch, held.owner))
+            self.run_giver(self.giver.observe_holding(self.world.now_us, held.epoch, held.owner))
         elif self.adopting or self.known != held:
             return
         elif held.owner != self.name:
@@ -175,8 +175,8 @@
                 self.ask(held.epoch, self.name)  # granted only once the giver's lease has run out
             elif self.disk and read:
                 stands = held.epoch if held.epoch > self.opened + 1 else 0
-                self.tell(Given(PART, self.opened + 1, stands),
-                          lambda moved: self.disk.clear() if moved and moved.ok else None)
+                self.send_request(Given(PART, self.opened + 1, stands),
+                                  lambda moved: self.disk.clear() if moved and moved.ok else None)
         elif not (self.store.is_open and self.store.epoch == held.epoch):
             if sealed is not None:
                 self.adopting = True
@@ -202,20 +202,22 @@
     def give(self, to: str) -> None:
         self.giver = self.world.giver_class(PART, self.store.epoch, to, self.store, self.world.limits,
                                             self.world.now_us, self.name)
-        self.turn()
+        self.run_giver()
 
-    def turn(self, acts: list | None = None) -> None:
+    def run_giver(self, acts: list | None = None) -> None:
         giver = self.giver
         for act in giver.tick(self.world.now_us) if acts is None else acts:
-            self.later(0, lambda act=act: self.do(giver, act))
+            self.later(0, lambda act=act: self.perform(giver, act))
         self.wakes += 1
         wake = self.wakes
         if not giver.over:
-            self.later(max(0, giver.next_us() - self.world.now_us), lambda: self.turn() if wake == self.wakes else None)
+            self.later(max(0, giver.next_us() - self.world.now_us),
+                       lambda: self.run_giver() if wake == self.wakes else None)
 
-    def do(self, giver: Giver, act: object) -> None:
+    def perform(self, giver: Giver, act: object) -> None:
         if isinstance(act, SendRequest):
-            self.tell(act.ask, lambda moved: self.turn(giver.answered(self.world.now_us, act.ask, moved)))
+            self.send_request(act.request, lambda moved: self.run_giver(
+                giver.handle_answer(self.world.now_us, act.request, moved)))
         elif isinstance(act, Commit):
             self.ask(giver.epoch, act.to)
         elif isinstance(act, TakeBack):
@@ -223,9 +225,9 @@
         elif isinstance(act, Ended):
             self.world.ended.append(act)
 
-    def tell(self, ask: Move, heard: Callable[[Moved | None], object]) -> None:
-        """Send a request; `heard` gets its answer, or None after a timeout."""
-        waits = [heard]
+    def send_request(self, request: Move, on_answer: Callable[[Moved | None], object]) -> None:
+        """Send a request; `on_answer` gets its answer, or None after a timeout."""
+        waits = [on_answer]
         other = self.world.couriers["t" if self.name == "g" else "g"]
         life = self.life
 
@@ -233,15 +235,15 @@
             if waits and self.life == life:
                 waits.pop()(moved)
         self.later(CALL_TIMEOUT_US, lambda: once(None))
-        self.world.send(ask, other, lambda: other.asked(
-            self.name, ask, lambda moved: self.world.send(moved, self, lambda: once(moved))))
+        self.world.send(request, other, lambda: other.receive_request(
+            self.name, request, lambda moved: self.world.send(moved, self, lambda: once(moved))))
 
-    def asked(self, sender: str, ask: Move, answer: Callable[[Moved], None]) -> None:
-        moved, records = self.taker.heard(self.world.now_us, sender, ask, self.known)
+    def receive_request(self, sender: str, request: Move, answer: Callable[[Moved], None]) -> None:
+        moved, records = self.taker.handle_request(self.world.now_us, sender, request, self.known)
 
         def saved() -> None:
             self.log.extend(records)
             answer(moved)
-            if isinstance(ask, Given) and moved.ok:
+            if isinstance(request, Given) and moved.ok:
                 self.ask(0, "")
         self.later(SYNC_US if records else 0, saved)
--- a/tests/move_world.py
+++ b/tests/move_world.py
@@ -14,9 +14,9 @@
 from wheelstep.moves.steps import Ended, GiverLimits
 from wheelstep.moves.taker import Taker
 
-LIMITS = GiverLimits(chunk_pieces=3, pace_us=1 * MS, tail=2, rounds=3, call_bound_us=40 * MS, shut_bound_us=400 * MS,
-                     silence_us=300 * MS, tries=3, backoff_us=10 * MS, poll_us=2 * MS, commit_us=80 * MS,
-                     undecided_us=3_000 * MS)
+LIMITS = GiverLimits(chunk_pieces=3, pace_us=1 * MS, max_tail_pieces=2, max_rounds=3, call_bound_us=40 * MS,
+                     shut_bound_us=400 * MS, silence_us=300 * MS, max_tries=3, backoff_us=10 * MS, poll_us=2 * MS,
+                     commit_us=80 * MS, undecided_us=3_000 * MS)
 START_US, AFTER_US, END_US = 20 * MS, 60 * MS, 3_500 * MS
 
 
@@ -59,7 +59,7 @@
     def run(self, end_us: int = END_US) -> World:
         """Hand in every 7 ms for 310 ms, then every 500 ms; the move begins at `START_US`."""
         for when_us in [*range(0, 310 * MS, 7 * MS), *range(310 * MS, end_us, 500 * MS), end_us]:
-            self.at(when_us, self.hand_in)
+            self.at(when_us, self.submit)
         self.at(START_US, lambda: self.couriers["g"].give("t"))
         moving = False
         while self._heap and self._heap[0][0] <= end_us + 100 * MS:
@@ -77,10 +77,10 @@
             do()
         return self
 
-    def hand_in(self) -> None:
+    def submit(self) -> None:
         for courier in self.couriers.values():
             if courier.serves():
-                return courier.hand_in()
+                return courier.submit()
 
     def send(self, message: object, to: Courier, arrive: Callable[[], object]) -> None:
         fault = self.fault(self.messages, message)
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -86,8 +86,8 @@
 def _reopens_after_seal(patch: pytest.MonkeyPatch) -> None:
     def failed(self: Giver, now_us: int, why: str) -> list[Any]:
         self._content.open(self.part, self.epoch)
-        return self._off(why)
-    patch.setattr(Giver, "_failed", failed)
+        return self._end_undone(why)
+    patch.setattr(Giver, "_abandon", failed)
 
 
 def _forgets_positions(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_move_crashes.py
+++ b/tests/test_move_crashes.py
@@ -14,7 +14,7 @@
 from wheelstep.fleet.types import Ownership
 from wheelstep.moves.giver import Giver
 from wheelstep.moves.steps import Act, Commit
-from wheelstep.moves.taker import Ask, Taker
+from wheelstep.moves.taker import Taker, TakerRequest
 from wheelstep.moves.types import Move, Moved, Seal
 
 DOWN_US = (50 * MS, 1_200 * MS)  # restart within the lease, and long after its end
@@ -118,14 +118,14 @@
 
     def _begin_undo(self, now_us: int, why: str) -> list[Act]:
         self._content.open(self.part, self.epoch)
-        return self._off(why)
+        return self._end_undone(why)
 
 
 class DropsAtSeal(Giver):
     """Drops the part before the register has named the taker."""
 
-    def answered(self, now_us: int, ask: Move, moved: Moved | None) -> list[Act]:
-        acts = super().answered(now_us, ask, moved)
+    def handle_answer(self, now_us: int, request: Move, moved: Moved | None) -> list[Act]:
+        acts = super().handle_answer(now_us, request, moved)
         if any(isinstance(act, Commit) for act in acts):
             self._content.drop(self.part)
         return acts
@@ -134,7 +134,7 @@
 class IgnoresCalls(Giver):
     """Does not wait for calls under way."""
 
-    def _quiet(self, now_us: int) -> bool:
+    def _calls_done(self, now_us: int) -> bool:
         return True
 
 
@@ -151,9 +151,10 @@
 
     _owed: list[bytes] = []
 
-    def heard(self, now_us: int, sender: str, ask: Ask, owner: Ownership | None) -> tuple[Moved, list[bytes]]:
-        moved, records = super().heard(now_us, sender, ask, owner)
-        if isinstance(ask, Seal):
+    def handle_request(self, now_us: int, sender: str, request: TakerRequest,
+                       owner: Ownership | None) -> tuple[Moved, list[bytes]]:
+        moved, records = super().handle_request(now_us, sender, request, owner)
+        if isinstance(request, Seal):
             self._owed = records
             return moved, []
         return moved, records
--- a/tests/test_move_taker.py
+++ b/tests/test_move_taker.py
@@ -10,7 +10,7 @@
 from wheelstep.fleet.types import Ownership
 from wheelstep.moves.staged import encode_record
 from wheelstep.moves.steps import GiverLimits, Step, TakerLimits, part_digest, piece_digest, take_chunk
-from wheelstep.moves.taker import Ask, Taker
+from wheelstep.moves.taker import Taker, TakerRequest
 from wheelstep.moves.types import Cancel, Chunk, Given, Offer, Piece, Seal
 
 ONE, TWO = Piece("m:1", b"one"), Piece("c:p", b"two")
@@ -19,10 +19,10 @@
 WRONG = Seal(3, 5, 1, "0" * 32, (TWO,), 7)
 
 
-def taker_after(*before: Ask, room: TakerLimits = TakerLimits()) -> Taker:  # noqa: B008
+def taker_after(*before: TakerRequest, room: TakerLimits = TakerLimits()) -> Taker:  # noqa: B008
     to = taker(room)
-    for ask in before:
-        assert to.heard(0, "g", ask, HOLDING)[0].ok
+    for request in before:
+        assert to.handle_request(0, "g", request, HOLDING)[0].ok
     return to
 
 
@@ -58,12 +58,13 @@
     ((OFFER, CHUNK, SEAL), "g", Given(3, 6, 7), HOLDING, "given"),
 ])
 def test_an_invalid_request_is_refused_with_one_line_and_changes_nothing(
-        before: tuple[Ask, ...], sender: str, ask: Ask, owner: Ownership | None, reason: str) -> None:
-    to = taker_after(*before, room=TakerLimits(most_parts=2, most_bytes=2_000))
+        before: tuple[TakerRequest, ...], sender: str, ask: TakerRequest, owner: Ownership | None,
+        reason: str) -> None:
+    to = taker_after(*before, room=TakerLimits(max_parts=2, max_bytes=2_000))
     if owner is not None and owner.epoch > 5:  # so that only the effect of the request is compared
         to.observe_holding(ask.part, owner.epoch, owner.owner)
     stood = to.snapshot()
-    moved, records = to.heard(1, sender, ask, owner)
+    moved, records = to.handle_request(1, sender, ask, owner)
     assert not moved.ok and moved.why and "\n" not in moved.why and records == []
     assert to.refused == {reason: 1} and to.snapshot() == stood
 
@@ -71,11 +72,11 @@
 def test_a_repeated_request_returns_the_same_answer_and_records() -> None:
     """Without its records, the second answer could be sent before those of the first are on disk."""
     to = taker()
-    for ask in (OFFER, CHUNK, SEAL):
-        first, again = to.heard(0, "g", ask, HOLDING), to.heard(1, "g", ask, HOLDING)
+    for request in (OFFER, CHUNK, SEAL):
+        first, again = to.handle_request(0, "g", request, HOLDING), to.handle_request(1, "g", request, HOLDING)
         assert first[0] == again[0] and first[0].ok and first[1] == again[1] != []
     for _ in range(2):
-        assert encode_record(SEAL) in to.heard(2, "g", Given(3, 6), Ownership(6, "t"))[1]
+        assert encode_record(SEAL) in to.handle_request(2, "g", Given(3, 6), Ownership(6, "t"))[1]
     assert not to.refused
 
 
@@ -86,11 +87,11 @@
     class Restarted:
         """Restores two takers before each request, from the log and from a snapshot, and compares them."""
 
-        def heard(self, now_us: int, sender: str, ask: Ask, owner: Ownership | None) -> object:
+        def handle_request(self, now_us: int, sender: str, request: TakerRequest, owner: Ownership | None) -> object:
             one = taker(stored=log)
             other = taker(stored=one.snapshot())
             assert one.snapshot() == other.snapshot()
-            answers = [each.heard(now_us, sender, ask, owner) for each in (one, other)]
+            answers = [each.handle_request(now_us, sender, request, owner) for each in (one, other)]
             assert answers[0] == answers[1]
             log.extend(answers[0][1])
             return answers[0]
@@ -106,28 +107,28 @@
     assert to.sealed_epoch(3) == 5
     log += to.adopted(3, 7)
     to = taker(stored=taker(stored=log).snapshot())
-    assert to.sealed_epoch(3) is None and to.heard(0, "g", Given(3, 6), None)[0].ok
-    assert not to.heard(0, "g", OFFER, None)[0].ok
+    assert to.sealed_epoch(3) is None and to.handle_request(0, "g", Given(3, 6), None)[0].ok
+    assert not to.handle_request(0, "g", OFFER, None)[0].ok
 
 
 def test_records_written_twice_restore_the_same_copy() -> None:
     to = taker()
     later = Chunk(3, 5, 1, (Piece("m:1", b"new"),), 7)
     seal = Seal(3, 5, 2, part_digest({"m:1": piece_digest(b"new")}), (), 7)
-    log = [record for ask in (OFFER, CHUNK, later, seal) for _ in range(2)
-           for record in to.heard(0, "g", ask, HOLDING)[1]]
+    log = [record for request in (OFFER, CHUNK, later, seal) for _ in range(2)
+           for record in to.handle_request(0, "g", request, HOLDING)[1]]
     assert taker(stored=log).pieces(3) == to.pieces(3) == [Piece("m:1", b"new")]
 
 
 def test_a_replaced_piece_counts_once_against_the_size_limit() -> None:
-    to = taker_after(OFFER, room=TakerLimits(most_bytes=500))
+    to = taker_after(OFFER, room=TakerLimits(max_bytes=500))
     for place in range(20):
-        assert to.heard(0, "g", Chunk(3, 5, place, (Piece("m:1", b"%d" % place),), 7), HOLDING)[0].ok
+        assert to.handle_request(0, "g", Chunk(3, 5, place, (Piece("m:1", b"%d" % place),), 7), HOLDING)[0].ok
 
 
 def test_a_log_without_one_chunk_restores_no_whole_copy() -> None:
     to = taker()
-    records = [record for ask in (OFFER, CHUNK, SEAL) for record in to.heard(0, "g", ask, HOLDING)[1]]
+    records = [record for request in (OFFER, CHUNK, SEAL) for record in to.handle_request(0, "g", request, HOLDING)[1]]
     assert taker(stored=records).sealed_epoch(3) == 5
     assert (lost := taker(stored=[records[0], records[2]])).sealed_epoch(3) is None and lost.forgotten == 1
 
@@ -145,10 +146,10 @@
 
 def test_a_copy_confirmed_by_given_stays_valid_when_the_register_skips_an_epoch() -> None:
     to, log = taker_after(OFFER, CHUNK, SEAL), []
-    assert to.heard(0, "g", Given(3, 6, 7), HOLDING)[0].again_us > 0  # the owner of epoch 6 is not known
+    assert to.handle_request(0, "g", Given(3, 6, 7), HOLDING)[0].again_us > 0  # the owner of epoch 6 is not known
     assert to.observe_holding(3, 7, "t") and to.sealed_epoch(3) is None
     to = taker_after(OFFER, CHUNK, SEAL)
-    log = to.snapshot() + to.heard(0, "g", Given(3, 6), HOLDING)[1]
+    log = to.snapshot() + to.handle_request(0, "g", Given(3, 6), HOLDING)[1]
     for each in (to, taker(stored=log), taker(stored=taker(stored=log).snapshot())):
         assert each.observe_holding(3, 7, "t") and each.sealed_epoch(3) == 5
 
@@ -157,24 +158,24 @@
     for name in ("t", "g"):
         to = taker_after(OFFER, CHUNK)
         assert to.observe_holding(3, 6, name) and to.snapshot() == []
-    to = taker_after(OFFER, CHUNK, room=TakerLimits(most_parts=1, idle_us=100))
-    assert to.heard(99, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].again_us > 0
-    assert to.heard(100, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok
-    whole = taker_after(OFFER, CHUNK, SEAL, room=TakerLimits(most_parts=1, idle_us=100))
-    assert not whole.heard(100, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok
+    to = taker_after(OFFER, CHUNK, room=TakerLimits(max_parts=1, idle_us=100))
+    assert to.handle_request(99, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].again_us > 0
+    assert to.handle_request(100, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok
+    whole = taker_after(OFFER, CHUNK, SEAL, room=TakerLimits(max_parts=1, idle_us=100))
+    assert not whole.handle_request(100, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok
 
 
 def test_a_later_offer_restarts_the_copy_and_an_earlier_cancel_is_ignored() -> None:
     to = taker_after(OFFER, CHUNK, Offer(3, 5, 2, 1, 70, 8), Cancel(3, 5, 7))
     seal = Seal(3, 5, 0, part_digest({"c:p": piece_digest(b"two")}), (TWO,), 8)
-    assert to.heard(0, "g", seal, HOLDING)[0].ok and to.pieces(3) == [TWO]
+    assert to.handle_request(0, "g", seal, HOLDING)[0].ok and to.pieces(3) == [TWO]
 
 
 def test_a_leaving_courier_refuses_new_parts_but_completes_copies_in_progress() -> None:
     to = taker_after(OFFER, CHUNK)
     to.leaving = True
-    assert not to.heard(0, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok and to.refused == {"leaving": 1}
-    assert to.heard(0, "g", SEAL, HOLDING)[0].ok
+    assert not to.handle_request(0, "g", Offer(4, 5, 2, 1, 70), HOLDING)[0].ok and to.refused == {"leaving": 1}
+    assert to.handle_request(0, "g", SEAL, HOLDING)[0].ok
 
 
 def test_a_part_digest_depends_on_names_and_data_but_not_on_order() -> None:
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -13,9 +13,9 @@
 from wheelstep.moves.taker import Taker
 from wheelstep.moves.types import Cancel, Chunk, Given, Move, Moved, Piece, Seal
 
-LIMITS = GiverLimits(chunk_pieces=4, tail=2, rounds=3, pace_us=10, call_bound_us=1_000, shut_bound_us=5_000,
-                     poll_us=100, backoff_us=50, backoff_most_us=150, tries=3, silence_us=2_000, commit_us=500,
-                     undecided_us=20_000)
+LIMITS = GiverLimits(chunk_pieces=4, max_tail_pieces=2, max_rounds=3, pace_us=10, call_bound_us=1_000,
+                     shut_bound_us=5_000, poll_us=100, backoff_us=50, max_backoff_us=150, max_tries=3, silence_us=2_000,
+                     commit_us=500, undecided_us=20_000)
 HOLDING = Ownership(5, "g")
 
 
@@ -65,7 +65,7 @@
 
 
 def requests(acts: list[Act]) -> list[Move]:
-    return [act.ask for act in acts if isinstance(act, SendRequest)]
+    return [act.request for act in acts if isinstance(act, SendRequest)]
 
 
 def taker(room: TakerLimits = TakerLimits(), stored: Iterable[bytes] = ()) -> Taker:  # noqa: B008
@@ -78,8 +78,8 @@
     acts = giver.tick(now_us) if acts is None else acts
     while giver.step is not until and not giver.over:
         if requests(acts):
-            moved, _ = to.heard(now_us, "g", requests(acts)[0], HOLDING)  # type: ignore[arg-type]
-            acts = giver.answered(now_us, requests(acts)[0], moved)
+            moved, _ = to.handle_request(now_us, "g", requests(acts)[0], HOLDING)  # type: ignore[arg-type]
+            acts = giver.handle_answer(now_us, requests(acts)[0], moved)
         else:
             now_us = max(now_us, giver.next_us())
             acts = giver.tick(now_us)
@@ -98,16 +98,16 @@
     content.out = 0
     now_us, acts = run_until(giver, to, Step.HANDING)
     assert isinstance(seal := requests(acts)[0], Seal) and to.sealed_epoch(3) is None and to.pieces(3) == []
-    moved, _ = to.heard(now_us, "g", seal, HOLDING)
+    moved, _ = to.handle_request(now_us, "g", seal, HOLDING)
     assert moved.ok and to.sealed_epoch(3) == 5
     assert {piece.name: piece.data for piece in to.pieces(3)} == content.held
-    assert giver.answered(now_us, seal, moved) == [Commit(3, "t")] and giver.step is Step.COMMITTING
-    assert giver.decided(now_us, 5, "g") == [] and not content.dropped  # the holding that the move began with
-    assert giver.decided(
+    assert giver.handle_answer(now_us, seal, moved) == [Commit(3, "t")] and giver.step is Step.COMMITTING
+    assert giver.observe_holding(now_us, 5, "g") == [] and not content.dropped  # the holding that the move began with
+    assert giver.observe_holding(
         now_us, 6, "t") == [SendRequest(Given(3, 6))] and giver.step is Step.OPEN and content.dropped == 1
     assert to.observe_holding(3, 6, "t") and to.sealed_epoch(3) == 5 and to.adopted(3, 6) and to.sealed_epoch(3) is None
-    moved, _ = to.heard(now_us, "g", Given(3, 6), Ownership(6, "t"))
-    assert giver.answered(now_us, Given(3, 6), moved) == [Ended(True, "given to t")] and giver.step is Step.DONE
+    moved, _ = to.handle_request(now_us, "g", Given(3, 6), Ownership(6, "t"))
+    assert giver.handle_answer(now_us, Given(3, 6), moved) == [Ended(True, "given to t")] and giver.step is Step.DONE
     assert giver.next_us() == NEVER_US and giver.tick(10**12) == [] and content.dropped == 1 and not content.opened
 
 
@@ -115,7 +115,7 @@
     content, to = MemoryContent(pieces=40, busy=20), taker()
     giver = new_giver(content)
     run_until(giver, to, Step.COMMITTING)
-    assert giver.step is Step.COMMITTING and content.turn == LIMITS.rounds and content.shuts == 1
+    assert giver.step is Step.COMMITTING and content.turn == LIMITS.max_rounds and content.shuts == 1
     assert {piece.name: piece.data for piece in to.pieces(3)} == content.held
 
 
@@ -133,15 +133,15 @@
     giver = new_giver(content, replace(LIMITS, call_bound_us=10**6))
     _, acts = run_until(giver, to, Step.HANDING)
     assert giver.step is Step.UNDONE and content.opened == [5] and content.is_open and "tail" in giver.why
-    assert requests(acts) == [Cancel(3, 5, 0)] and to.heard(0, "g", Cancel(3, 5, 0), HOLDING)[1] != []
+    assert requests(acts) == [Cancel(3, 5, 0)] and to.handle_request(0, "g", Cancel(3, 5, 0), HOLDING)[1] != []
     assert to.snapshot() == []
 
 
 def leave_unanswered(giver: Giver, acts: list[Act]) -> tuple[int, list[Act], int]:
     """Leave every request unanswered. Returns when the giver gives up, what it does then, and its number of tries."""
-    tries, step, now_us, ask = 1, giver.step, 0, requests(acts)[0]
+    tries, step, now_us, request = 1, giver.step, 0, requests(acts)[0]
     while True:
-        acts = giver.answered(now_us, ask, None)
+        acts = giver.handle_answer(now_us, request, None)
         while giver.step is step and not requests(acts):
             now_us = giver.next_us()
             acts = giver.tick(now_us)
@@ -154,7 +154,7 @@
     content = MemoryContent()
     giver = new_giver(content)
     now_us, acts, tries = leave_unanswered(giver, giver.tick(0))
-    assert tries == LIMITS.tries and 50 + 100 <= now_us <= LIMITS.silence_us
+    assert tries == LIMITS.max_tries and 50 + 100 <= now_us <= LIMITS.silence_us
     assert giver.step is Step.UNDONE and content.opened == [5] and acts[-1] == Ended(False, "t does not answer")
 
 
@@ -175,11 +175,12 @@
     if answer is None or answer.epoch != 5:
         _, acts, _ = leave_unanswered(giver, acts)
     else:
-        acts = giver.answered(now_us, seal, answer)
+        acts = giver.handle_answer(now_us, seal, answer)
     assert acts == [TakeBack(3)] and giver.step is Step.UNDOING and not content.opened
-    assert giver.answered(now_us, seal, None) == []
+    assert giver.handle_answer(now_us, seal, None) == []
     assert giver.tick(giver.next_us()) == [TakeBack(3)]
-    assert isinstance(giver.decided(now_us, 6, "g")[-1], Ended) and content.opened == [6] and not content.dropped
+    assert (isinstance(giver.observe_holding(now_us, 6, "g")[-1], Ended)
+            and content.opened == [6] and not content.dropped)
 
 
 def test_a_register_that_never_decides_leaves_the_part_shut() -> None:
@@ -202,8 +203,8 @@
     content = MemoryContent()
     giver = new_giver(content)
     _, acts = run_until(giver, taker(), Step.COMMITTING if safe else Step.HANDING)
-    acts = giver.decided(0, 6, "t")
-    acts = leave_unanswered(giver, acts)[1] if answer is None else giver.answered(0, Given(3, 6), answer)
+    acts = giver.observe_holding(0, 6, "t")
+    acts = leave_unanswered(giver, acts)[1] if answer is None else giver.handle_answer(0, Given(3, 6), answer)
     assert isinstance(end := acts[-1], Ended) and end.done is done and content.dropped == done and not content.opened
 
 
@@ -216,28 +217,28 @@
         giver.lease_lost(now_us)
         refused = Moved(3, 5, False, why="full")
         assert not content.is_open and giver.next_us() == now_us
-        acts = giver.answered(now_us, requests(acts)[0], refused) if acts else giver.tick(now_us)
+        acts = giver.handle_answer(now_us, requests(acts)[0], refused) if acts else giver.tick(now_us)
         assert giver.step is Step.UNDONE and not content.opened
     giver = new_giver(content := MemoryContent())
     now_us, acts = run_until(giver, taker(), Step.HANDING)
     giver.lease_lost(now_us)
     assert giver.step is Step.HANDING
-    giver.decided(now_us, 6, "x")
+    giver.observe_holding(now_us, 6, "x")
     assert giver.step is Step.UNDONE and not content.is_open and not content.dropped
 
 
 def test_a_holding_two_epochs_later_leaves_the_part_shut() -> None:
     giver = new_giver(content := MemoryContent())
     run_until(giver, taker(), Step.COMMITTING)
-    giver.decided(0, 7, "g")
+    giver.observe_holding(0, 7, "g")
     assert giver.step is Step.UNDONE and not content.opened and not content.dropped
 
 
 def test_a_part_is_not_dropped_when_its_taker_owned_it_before_the_seal_or_at_a_later_epoch() -> None:
     giver = new_giver(content := MemoryContent())
     run_until(giver, taker(), Step.COPYING)
-    giver.decided(0, 6, "t")
+    giver.observe_holding(0, 6, "t")
     assert giver.step is Step.UNDONE and not content.dropped and not content.is_open
     giver = new_giver(content := MemoryContent())
     run_until(giver, taker(), Step.COMMITTING)
-    assert giver.decided(0, 7, "t") == [SendRequest(Given(3, 6, 7))] and not content.dropped
+    assert giver.observe_holding(0, 7, "t") == [SendRequest(Given(3, 6, 7))] and not content.dropped
--- a/wheelstep/fleet/placing.py
+++ b/wheelstep/fleet/placing.py
@@ -14,7 +14,7 @@
 from wheelstep.fleet.tenure import PartCoordinator
 from wheelstep.fleet.types import Action, Answer, Member, Ownership, Stand, State, Stood
 from wheelstep.moves.steps import GiverLimits, TakerLimits
-from wheelstep.moves.swap import Swap, SwapLimits
+from wheelstep.moves.swap import Evacuation, EvacuationLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     members: MemberLimits = field(default_factory=MemberLimits)
     moves: GiverLimits = field(default_factory=GiverLimits)
     room: TakerLimits = field(default_factory=TakerLimits)
-    leaving: SwapLimits = field(default_factory=SwapLimits)
+    leaving: EvacuationLimits = field(default_factory=EvacuationLimits)
 
 
 class PlacementRunner:
@@ -44,7 +44,7 @@
         self._tenure, self._errands, self._rng, self._me = tenure, errands, rng, me.name
         self._placement = Placement(me.name, settings.parts, settings.at_once, settings.pace_us, settings.probation_us)
         self._placement.record_member(now_us, me)
-        self._swap: Swap | None = None
+        self._evacuation: Evacuation | None = None
         self._next_plan_us = now_us
         self._next_query_us = now_us  # next query of a voter for the registers
         self._reported: dict[int, Ownership] = {}  # holdings reported by voters; not known to be decided
@@ -63,20 +63,20 @@
     @property
     def leaving(self) -> bool:
         """Whether this courier is giving all its parts away."""
-        return self._swap is not None
+        return self._evacuation is not None
 
     @property
     def left(self) -> bool:
         """Whether all parts are given away or the time for it is over. Parts received but not opened yet must be given
         away first."""
-        if self._swap is None or self._tenure.givers or not self._swap.over(self._next_plan_us):
+        if self._evacuation is None or self._tenure.givers or not self._evacuation.over(self._next_plan_us):
             return False
-        late = self._swap.progress(self._next_plan_us).state == "late"
+        late = self._evacuation.progress(self._next_plan_us).state == "late"
         return late or not (self._owner.leased() or self._tenure.opening or self._tenure.taker.sealed_parts())
 
     def leave(self, now_us: int) -> None:
         """Start giving all parts away."""
-        self._swap = Swap(self._settings.leaving, now_us)
+        self._evacuation = Evacuation(self._settings.leaving, now_us)
         self._tenure.taker.leaving = True
         self._next_plan_us = now_us
 
@@ -120,14 +120,14 @@
     def _apply_plan(self, now_us: int) -> list[Action]:
         """Acquire the parts that this courier should own, and start moving the others."""
         for part, done, why in self._tenure.ended:
-            if self._swap is not None:
-                self._swap.ended(now_us, part, done, why)
+            if self._evacuation is not None:
+                self._evacuation.ended(now_us, part, done, why)
         self._tenure.ended.clear()
         parts = range(self._settings.parts)
         for part in parts:
             self._placement.owned(part, self.owner_of(part))
-        if self._swap is not None:
-            return self._give_away_all(now_us, self._swap)
+        if self._evacuation is not None:
+            return self._give_away_all(now_us, self._evacuation)
         if not self._has_report or self._membership.name_in_use:
             return []
         plan = self._placement.plan(now_us, self._tenure.givers)
@@ -145,12 +145,12 @@
         member = self._membership.members().get(name)
         return member is not None and member.state is State.ALIVE
 
-    def _give_away_all(self, now_us: int, swap: Swap) -> list[Action]:
+    def _give_away_all(self, now_us: int, evacuation: Evacuation) -> list[Action]:
         mine = {part: self._tenure.weight(part) for part in range(self._settings.parts)
                 if self._owner.epoch(part, now_us) is not None}
         target = self._placement.target(now_us)
         staying = [name for name in self._membership.members() if self._alive(name) and name != self._me]
         ranked = {part: sorted(staying, key=lambda name, part=part: (name != target.get(part), name))  # type: ignore[misc]
                   for part in mine}
-        return [action for start in swap.tick(now_us, mine, ranked)
+        return [action for start in evacuation.tick(now_us, mine, ranked)
                 for action in self._tenure.give(now_us, start.part, start.to)]
--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -13,7 +13,7 @@
 from wheelstep.fleet.membership import Limits as MemberLimits
 from wheelstep.fleet.placing import NodeSettings
 from wheelstep.moves.steps import GiverLimits
-from wheelstep.moves.swap import SwapLimits
+from wheelstep.moves.swap import EvacuationLimits
 
 KEY_BYTES = 32  # minimum length of a fleet key
 
@@ -73,7 +73,7 @@
         part.voters, part.parts, part.lease, part.clock_drift, margin_us=part.lease // 30, at_once=part.moves_at_once,
         pace_us=part.move_pace, probation_us=part.probation, members=MemberLimits(period_us=part.probe_every),
         moves=GiverLimits(call_bound_us=part.call_bound),
-        leaving=SwapLimits(at_once=part.moves_at_once * 2, pause_us=100_000, bound_us=part.give_away_within))
+        leaving=EvacuationLimits(max_moves=part.moves_at_once * 2, pause_us=100_000, timeout_us=part.give_away_within))
 
 
 class Fleet:
--- a/wheelstep/fleet/tenure.py
+++ b/wheelstep/fleet/tenure.py
@@ -87,7 +87,7 @@
             records = self.taker.observe_holding(event.part, holding.epoch, holding.owner, first)
             if (giver := self.givers.get(event.part)) is not None:
                 actions += self._errands.save(now_us, records)
-                actions += self._execute(now_us, giver, giver.decided(now_us, holding.epoch, holding.owner))
+                actions += self._execute(now_us, giver, giver.observe_holding(now_us, holding.epoch, holding.owner))
                 if not giver.over or giver.epoch + 1 == holding.epoch:
                     continue
                 records = []
@@ -153,7 +153,7 @@
 
     def _on_answer(self, giver: Giver, ask: Move, now_us: int, answer: Answer | None) -> list[Action]:
         moved = answer if isinstance(answer, Moved) else None
-        return self._execute(now_us, giver, giver.answered(now_us, ask, moved))
+        return self._execute(now_us, giver, giver.handle_answer(now_us, ask, moved))
 
     # --- moves to this courier, and reports of former owners ---
 
@@ -162,7 +162,7 @@
         if isinstance(ask, Late):
             return self._late(now_us, token, ask)
         assert isinstance(ask, Offer | Chunk | Seal | Cancel | Given)
-        moved, records = self.taker.heard(now_us, sender, ask, self._decided.get(ask.part))
+        moved, records = self.taker.handle_request(now_us, sender, ask, self._decided.get(ask.part))
         if isinstance(ask, Seal) and moved.ok:
             self._sealed_check_us[ask.part] = now_us + self.owner.timeout_us * 3
         if isinstance(ask, Given) and moved.ok:
--- a/wheelstep/moves/giver.py
+++ b/wheelstep/moves/giver.py
@@ -61,7 +61,7 @@
         """Return the time at which `tick` has to be called next, NEVER_US once the move has ended."""
         if self.over:
             return NEVER_US
-        if self._pending.ask is None or (self._lease_lost and self._seal is None):
+        if self._pending.request is None or (self._lease_lost and self._seal is None):
             return self._due_us
         return self._pending.next_us()
 
@@ -76,8 +76,8 @@
         if self.over:
             return []
         if self._lease_lost and self._seal is None:
-            return self._off("the lease ran out: kept here, shut")
-        if self._pending.ask is not None:
+            return self._end_undone("the lease ran out: kept here, shut")
+        if self._pending.request is not None:
             acts = self._pending.retry_if_due(now_us)
             return self._handle_silence(now_us) if acts is None else acts
         if now_us < self._due_us:
@@ -94,38 +94,38 @@
             case _:
                 return self._take_back(now_us)
 
-    def answered(self, now_us: int, ask: Move, moved: Moved | None) -> list[Act]:
+    def handle_answer(self, now_us: int, request: Move, moved: Moved | None) -> list[Act]:
         """Handle the taker's answer, None after a timeout; late and duplicate ones can only confirm a sealed copy."""
-        if moved is not None and (moved.part, moved.epoch) != (ask.part, ask.epoch):
+        if moved is not None and (moved.part, moved.epoch) != (request.part, request.epoch):
             moved = None
-        if moved is not None and moved.ok and ask == self._seal and self.step is not Step.OPEN:
+        if moved is not None and moved.ok and request == self._seal and self.step is not Step.OPEN:
             self._copy_confirmed = moved.place == self._seal.place
         if self._lease_lost and self._seal is None:
             return self.tick(now_us)
-        if self.over or not self._pending.awaits(ask):
+        if self.over or not self._pending.awaits(request):
             return []
-        if moved is None or (not moved.ok and moved.again_us > 0 and not isinstance(ask, Offer)):
+        if moved is None or (not moved.ok and moved.again_us > 0 and not isinstance(request, Offer)):
             more = self._pending.schedule_retry(now_us, moved.again_us if moved is not None else 0)
             return [] if more else self._handle_silence(now_us)
-        if isinstance(ask, Given):
+        if isinstance(request, Given):
             return self._handle_given_answer(moved.ok, moved.why)
         if not moved.ok:
-            return self._failed(now_us, f"{self.to} refused: {moved.why}")
-        if isinstance(ask, Chunk | Seal) and moved.place != ask.place:
-            return self._failed(now_us, f"{self.to} answered for place {moved.place}, expected {ask.place}")
-        self._pending.ask = None
-        if isinstance(ask, Seal):
+            return self._abandon(now_us, f"{self.to} refused: {moved.why}")
+        if isinstance(request, Chunk | Seal) and moved.place != request.place:
+            return self._abandon(now_us, f"{self.to} answered for place {moved.place}, expected {request.place}")
+        self._pending.request = None
+        if isinstance(request, Seal):
             self.step = Step.COMMITTING
             self._due_us = now_us + self._limits.commit_us
             return [Commit(self.part, self.to)]
         self._due_us = now_us
-        if isinstance(ask, Offer):
+        if isinstance(request, Offer):
             self.step = Step.COPYING
         elif self.step is Step.COPYING:
             self._due_us = now_us + self._limits.pace_us
         return self.tick(now_us)
 
-    def decided(self, now_us: int, epoch: int, owner: str) -> list[Act]:
+    def observe_holding(self, now_us: int, epoch: int, owner: str) -> list[Act]:
         """Handle the newest holding of the register that the node knows. The part is opened here only under the epoch
         right after this move's: under a later one another courier may have owned it in between, and it stays shut for
         the node to settle, unless the taker owns it now and confirms that it used its copy. The node keeps the
@@ -133,7 +133,7 @@
         if self.over or epoch <= self.epoch or self.step is Step.OPEN:
             return []
         if epoch == self.epoch + 1 and owner == self.me:
-            acts = self._off(self.why or "the register gave the part back")
+            acts = self._end_undone(self.why or "the register gave the part back")
             self._content.open(self.part, epoch)
             return acts
         if owner == self.to and self._seal is not None:
@@ -144,7 +144,7 @@
             stands = epoch if epoch > self.epoch + 1 else 0
             return self._pending.send(now_us, Given(self.part, self.epoch + 1, stands))
         self._content.shut(self.part)
-        return self._off(f"the register is at epoch {epoch}, owner {owner}: kept here, shut")
+        return self._end_undone(f"the register is at epoch {epoch}, owner {owner}: kept here, shut")
 
     # --- the steps ---
 
@@ -158,10 +158,10 @@
     def _copy_next(self, now_us: int) -> list[Act]:
         if self._unsent:
             return self._send_chunk(now_us)
-        if self._rounds_done < self._limits.rounds:
+        if self._rounds_done < self._limits.max_rounds:
             self._rounds_done += 1
             self._unsent.extend(self._content.changed(self.part))
-            if len(self._unsent) > self._limits.tail:
+            if len(self._unsent) > self._limits.max_tail_pieces:
                 return self._send_chunk(now_us)
         self.step = Step.CLOSING
         self.shut_us = now_us
@@ -172,11 +172,11 @@
         """Send changed pieces of the shut part while calls are under way, then the last of them with the `Seal`."""
         limits = self._limits
         if now_us - self.shut_us >= limits.shut_bound_us:
-            return self._failed(now_us, "the tail was not sent in time after the part was shut")
-        quiet = self._quiet(now_us)
+            return self._abandon(now_us, "the tail was not sent in time after the part was shut")
+        calls_done = self._calls_done(now_us)
         self._unsent.extend(self._content.changed(self.part))
-        if not quiet:
-            if len(self._unsent) > limits.tail:
+        if not calls_done:
+            if len(self._unsent) > limits.max_tail_pieces:
                 return self._send_chunk(now_us)
             self._due_us = now_us + limits.poll_us
             return []
@@ -187,7 +187,7 @@
         self._seal = Seal(self.part, self.epoch, self._next_place, part_digest(self._digests), pieces, self._attempt)
         return self._pending.send(now_us, self._seal)
 
-    def _quiet(self, now_us: int) -> bool:
+    def _calls_done(self, now_us: int) -> bool:
         """Whether no call is under way, or `call_bound_us` is over and the content shows the calls as possibly run."""
         return self._content.under_way(self.part) == 0 or now_us - self.shut_us >= self._limits.call_bound_us
 
@@ -211,40 +211,40 @@
             self._content.drop(self.part)
         if self._copy_confirmed:
             return self._finish(Step.DONE, f"given to {self.to}")
-        return self._off(f"{self.to} has the part without its whole copy ({why}): kept here, shut")
+        return self._end_undone(f"{self.to} has the part without its whole copy ({why}): kept here, shut")
 
     def _handle_silence(self, now_us: int) -> list[Act]:
         if self.step is Step.OPEN:
             return self._handle_given_answer(False, "no answer")
-        return self._failed(now_us, f"{self.to} does not answer")
+        return self._abandon(now_us, f"{self.to} does not answer")
 
-    def _failed(self, now_us: int, why: str) -> list[Act]:
+    def _abandon(self, now_us: int, why: str) -> list[Act]:
         """Abandon the move: before the `Seal` the part is opened again; after it the register is asked first."""
         if self._seal is not None:
             return self._begin_undo(now_us, why)
         self._content.open(self.part, self.epoch)
-        return self._off(why)
+        return self._end_undone(why)
 
     def _begin_undo(self, now_us: int, why: str) -> list[Act]:
-        self.step, self.why, self._pending.ask = Step.UNDOING, why, None
+        self.step, self.why, self._pending.request = Step.UNDOING, why, None
         self._undo_since_us = now_us
         return self._take_back(now_us)
 
     def _take_back(self, now_us: int) -> list[Act]:
         limits = self._limits
         if now_us - self._undo_since_us >= limits.undecided_us:
-            return self._off(f"{self.why}; the register has not decided: kept here, shut")
+            return self._end_undone(f"{self.why}; the register has not decided: kept here, shut")
         self._due_us = now_us + min(limits.undecided_us, limits.commit_us << min(self._take_back_count, 3))
         self._take_back_count += 1
         return [TakeBack(self.part)]
 
-    def _off(self, why: str) -> list[Act]:
+    def _end_undone(self, why: str) -> list[Act]:
         """End the move as undone; cancel a copy without a `Seal`. The caller decides whether the part is open here."""
         acts: list[Act] = [SendRequest(Cancel(self.part, self.epoch, self._attempt))] if self._seal is None else []
         return [*acts, *self._finish(Step.UNDONE, why)]
 
     def _finish(self, step: Step, why: str) -> list[Act]:
-        self.step, self.why, self._pending.ask = step, why, None
+        self.step, self.why, self._pending.request = step, why, None
         self._unsent.clear()
         self._digests.clear()
         return [Ended(step is Step.DONE, why)]
--- a/wheelstep/moves/steps.py
+++ b/wheelstep/moves/steps.py
@@ -39,14 +39,14 @@
     chunk_bytes: int = 64 * 1024  # a larger piece is sent in a chunk of its own
     chunk_pieces: int = 256
     pace_us: int = 2_000  # pause between chunks while the part is still served
-    tail: int = 64  # pieces; the part is shut once a round has at most this many changed ones
-    rounds: int = 8  # after so many rounds of changed pieces the part is shut in any case
+    max_tail_pieces: int = 64  # the part is shut once a round has at most this many changed ones
+    max_rounds: int = 8  # after so many rounds of changed pieces the part is shut in any case
     call_bound_us: int = 2_000_000  # wait for calls under way once the part is shut
     shut_bound_us: int = 5_000_000  # from shutting the part until the `Seal` is sent
     silence_us: int = 3_000_000  # for one request with all its tries
-    tries: int = 6  # of one request, with the first
+    max_tries: int = 6  # of one request, with the first
     backoff_us: int = 20_000  # before the second try; doubles with each further one
-    backoff_most_us: int = 1_000_000
+    max_backoff_us: int = 1_000_000
     poll_us: int = 1_000  # interval of the check for calls under way
     commit_us: int = 1_000_000  # for the register to accept the commit
     undecided_us: int = 60_000_000  # for the register to answer who owns the part
@@ -56,28 +56,30 @@
 class TakerLimits:
     """A taker's limits for the parts that are being copied to it."""
 
-    most_parts: int = 8
-    most_bytes: int = 64 * 1024 * 1024  # of all copies that are not in the journal yet
+    max_parts: int = 8
+    max_bytes: int = 64 * 1024 * 1024  # of all copies that are not in the journal yet
     idle_us: int = 60_000_000  # an incomplete copy may be dropped for another part after so long without a message
     again_us: int = 1_000_000  # retry delay that is sent to a giver when there is no room
     parts: int = 1024  # in the fleet, at most
 
 
 class SendRequest(msgspec.Struct, frozen=True):
-    """Send `ask` to the taker; its answer, None after a timeout, goes to `Giver.answered` with the same `ask`."""
+    """Send `request` to the taker; its answer, None after a timeout, goes to `Giver.handle_answer` with the request."""
 
-    ask: Move
+    request: Move
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """Set the register to (epoch + 1, to) if it is still at (epoch, me); the outcome goes to `Giver.decided`."""
+    """Set the register to (epoch + 1, to) if it is still at (epoch, me); the outcome goes to
+    `Giver.observe_holding`."""
 
     part: int
     to: str
 
 
 class TakeBack(msgspec.Struct, frozen=True):
-    """Set the register to (epoch + 1, me) if it is still at (epoch, me); its holding then goes to `Giver.decided`."""
+    """Set the register to (epoch + 1, me) if it is still at (epoch, me); its holding then goes to
+    `Giver.observe_holding`."""
 
     part: int
 
--- a/wheelstep/moves/swap.py
+++ b/wheelstep/moves/swap.py
@@ -12,17 +12,17 @@
 
 
 @dataclass(frozen=True)
-class SwapLimits:
-    """Limits on the rate and duration of a swap."""
+class EvacuationLimits:
+    """Limits on the rate and duration of an evacuation."""
 
-    at_once: int = 4  # moves in progress at the same time
+    max_moves: int = 4  # moves in progress at the same time
     pause_us: int = 1_000_000  # before a part whose move failed is tried again; doubles with each failure
-    pause_most_us: int = 30_000_000
-    bound_us: int = 600_000_000  # for the whole swap; after it no move begins
+    max_pause_us: int = 30_000_000
+    timeout_us: int = 600_000_000  # for the whole evacuation; after it no move begins
 
 
 @dataclass(frozen=True)
-class Start:
+class StartMove:
     """Begin to move `part` to courier `to`."""
 
     part: int
@@ -31,7 +31,8 @@
 
 @dataclass(frozen=True)
 class Progress:
-    """Progress of a swap. `estimated_us`: time until all parts are moved at the rate so far, -1 if none has moved."""
+    """Progress of an evacuation. `estimated_us`: time until all parts are moved at the rate so far, -1 if none is
+    moved."""
 
     left: int  # parts still owned, with those in progress; 0 before the first tick
     moving: int  # moves in progress
@@ -50,11 +51,11 @@
     tried: list[str] = field(default_factory=list)
 
 
-class Swap:
+class Evacuation:
     """Moves all parts of one courier away. After `cancel`, moves in progress run to their end and no more begin."""
 
-    def __init__(self, pace: SwapLimits, now_us: int) -> None:
-        self._pace, self._started_us = pace, now_us
+    def __init__(self, limits: EvacuationLimits, now_us: int) -> None:
+        self._limits, self._started_us = limits, now_us
         self._moving: dict[int, str] = {}
         self._failed_moves: dict[int, _FailedMoves] = {}
         self._left = -1  # unknown until the first tick
@@ -63,25 +64,25 @@
         self.failed = 0
         self.why: deque[str] = deque(maxlen=16)  # reasons of the newest failures
 
-    def tick(self, now_us: int, mine: Mapping[int, int], takers: Mapping[int, Sequence[str]]) -> list[Start]:
-        """Return the moves to begin now. `mine` maps each part still owned to its approximate number of pieces,
+    def tick(self, now_us: int, owned: Mapping[int, int], takers: Mapping[int, Sequence[str]]) -> list[StartMove]:
+        """Return the moves to begin now. `owned` maps each part still owned to its approximate number of pieces,
         `takers` each part to its possible takers, the preferred one first. The smallest part goes first: most channels
         are safe early."""
-        self._left = len(mine)
-        for part in [part for part in self._failed_moves if part not in mine]:
+        self._left = len(owned)
+        for part in [part for part in self._failed_moves if part not in owned]:
             del self._failed_moves[part]
-        starts: list[Start] = []
+        starts: list[StartMove] = []
         if self._cancelled or self._out_of_time(now_us):
             return starts
-        for part in sorted(mine, key=lambda part: (mine[part], part)):
-            if len(self._moving) >= self._pace.at_once:
+        for part in sorted(owned, key=lambda part: (owned[part], part)):
+            if len(self._moving) >= self._limits.max_moves:
                 break
             earlier = self._failed_moves.get(part)
             if part in self._moving or not takers.get(part) or (earlier is not None and now_us < earlier.again_us):
                 continue
             to = self._choose_taker(takers[part], earlier)
             self._moving[part] = to
-            starts.append(Start(part, to))
+            starts.append(StartMove(part, to))
         return starts
 
     def _choose_taker(self, takers: Sequence[str], earlier: _FailedMoves | None) -> str:
@@ -94,7 +95,7 @@
         return (untried or takers)[0]
 
     def ended(self, now_us: int, part: int, done: bool, why: str) -> None:
-        """Record the end of a move; moves that this swap did not begin are ignored."""
+        """Record the end of a move; moves that this evacuation did not begin are ignored."""
         to = self._moving.pop(part, None)
         if to is None:
             return
@@ -106,7 +107,7 @@
         self.failed += 1
         self.why.append(f"part {part} to {to}: {why}")
         earlier = self._failed_moves.setdefault(part, _FailedMoves())
-        pause_us = min(self._pace.pause_most_us, self._pace.pause_us << min(earlier.failure_count, 16))
+        pause_us = min(self._limits.max_pause_us, self._limits.pause_us << min(earlier.failure_count, 16))
         earlier.again_us, earlier.failure_count = now_us + pause_us, earlier.failure_count + 1
         earlier.tried.append(to)
 
@@ -134,4 +135,4 @@
                         0 if self._left == 0 else estimated_us, state)
 
     def _out_of_time(self, now_us: int) -> bool:
-        return now_us - self._started_us >= self._pace.bound_us
+        return now_us - self._started_us >= self._limits.timeout_us
--- a/wheelstep/rehearsal/fleet/broken/moves.py
+++ b/wheelstep/rehearsal/fleet/broken/moves.py
@@ -7,4 +7,4 @@
 
 def moves_with_a_call_out() -> None:
     """No call is waited for before a part is handed over."""
-    Giver._quiet = lambda self, now_us: True  # type: ignore[method-assign]
+    Giver._calls_done = lambda self, now_us: True  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/fleet/points.py
+++ b/wheelstep/rehearsal/fleet/points.py
@@ -51,7 +51,7 @@
             print(f"\nthe rig signals this process: {now}", flush=True)
             os.kill(os.getpid(), signal.Signals[sent])
 
-    call, asked, gained, answered = PendingOperations.call, Node.asked, PartCoordinator._gained, Giver.answered
+    call, asked, gained, answered = PendingOperations.call, Node.asked, PartCoordinator._gained, Giver.handle_answer
     may_start = Dispatcher.may_start
 
     def sends(self: PendingOperations, member: str, ask: Ask, *more: Any) -> Action:
@@ -71,10 +71,10 @@
             reached("adopted")
         return gained(self, *given)
 
-    def is_answered(self: Giver, now_us: int, ask: Move, moved: Moved | None) -> list[Act]:
+    def is_answered(self: Giver, now_us: int, request: Move, moved: Moved | None) -> list[Act]:
         if moved is not None and moved.ok:
-            reached(f"answered {type(ask).__name__}")
-        return answered(self, now_us, ask, moved)
+            reached(f"answered {type(request).__name__}")
+        return answered(self, now_us, request, moved)
 
     def may_still(self: Dispatcher, endpoint: str, item: Item) -> bool:
         reached("first byte")
@@ -84,4 +84,4 @@
     PendingOperations.call = sends  # type: ignore[method-assign, assignment]
     Node.asked = hears  # type: ignore[method-assign]
     PartCoordinator._gained = gains  # type: ignore[method-assign, assignment]
-    Giver.answered = is_answered  # type: ignore[method-assign]
+    Giver.handle_answer = is_answered  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/simulation/nodes.py
+++ b/wheelstep/rehearsal/simulation/nodes.py
@@ -12,7 +12,7 @@
 from wheelstep.fleet.roster import Limits as MemberLimits
 from wheelstep.fleet.types import Member, State
 from wheelstep.moves.steps import GiverLimits, TakerLimits
-from wheelstep.moves.swap import SwapLimits
+from wheelstep.moves.swap import EvacuationLimits
 from wheelstep.rehearsal.simulation.content import SimContent
 from wheelstep.rehearsal.simulation.machine import Machine
 from wheelstep.rehearsal.simulation.run import Setup
@@ -25,7 +25,7 @@
         setup.names()[:setup.voters], setup.parts, setup.lease_us, setup.drift_ppm / 1_000_000, 50 * MS,
         probation_us=2 * S, members=MemberLimits(heal_periods=4, hello_periods=20, gone_kept_us=600 * S),
         moves=GiverLimits(call_bound_us=300 * MS, silence_us=S, commit_us=500 * MS), room=TakerLimits(idle_us=5 * S),
-        leaving=SwapLimits(pause_us=200 * MS, pause_most_us=S, bound_us=8 * S))
+        leaving=EvacuationLimits(pause_us=200 * MS, max_pause_us=S, timeout_us=8 * S))
 
 
 def real(machine: Machine, content: SimContent, setup: Setup, fleet: dict[str, Machine]) -> Node:
