--- a/tests/move_world.py
+++ b/tests/move_world.py
@@ -1,4 +1,4 @@
-"""Two couriers `g` and `t` and a register in virtual time: `g` gives one part to `t` while clients hand in messages.
+"""Two couriers `g` and `t` and a register in virtual time: `g` gives one part to `t` while clients submit messages.
 The invariants are asserted whenever a courier serves. The same arguments give the same run."""
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
         heapq.heappush(self._heap, (self.now_us + delay_us, next(self._order), do))
 
     def run(self, end_us: int = END_US) -> World:
-        """Hand in every 7 ms for 310 ms, then every 500 ms; the move begins at `START_US`."""
+        """Submit every 7 ms for 310 ms, then every 500 ms; the move begins at `START_US`."""
         for when_us in [*range(0, 310 * MS, 7 * MS), *range(310 * MS, end_us, 500 * MS), end_us]:
             self.at(when_us, self.submit)
         self.at(START_US, lambda: self.couriers["g"].give("t"))
--- a/tests/test_move_crashes.py
+++ b/tests/test_move_crashes.py
@@ -183,14 +183,14 @@
     ("nothing else", {"taker_class": ForgetsWhenNamed}, "t opens 3 at 1, the channel stood at"),
 ])
 def test_a_faulty_giver_or_taker_is_detected(script: str, broken: dict[str, Any], seen: str) -> None:
-    told = set()
+    found = set()
     for place in range(event_count(SCRIPTS[script])):
         for who in ("", "g", "t", "gt"):
             for down_us in DOWN_US:
                 try:
                     run_checked(World({place: who} if who else {}, down_us, **SCRIPTS[script], **broken))
                 except AssertionError as error:
-                    told.add(str(error))
+                    found.add(str(error))
                     if seen in str(error):
                         return
-    pytest.fail(f"not caught as {seen!r}, but as {told}")
+    pytest.fail(f"not caught as {seen!r}, but as {found}")
--- a/tests/test_move_swap.py
+++ b/tests/test_move_swap.py
@@ -21,13 +21,14 @@
 
 def test_a_failed_move_is_retried_with_another_taker_after_a_pause() -> None:
     evacuation, takers = Evacuation(EvacuationLimits(pause_us=100), 0), {1: ["a", "b"]}
-    told, now_us = [], 0
+    chosen, now_us = [], 0
     for _ in range(4):
-        told += [start.to for start in evacuation.tick(now_us, {1: 5}, takers)]
+        chosen += [start.to for start in evacuation.tick(now_us, {1: 5}, takers)]
         evacuation.ended(now_us, 1, False, "full")
         assert evacuation.tick(now_us + 99, {1: 5}, takers) == []
         now_us += 1_000
-    assert told == ["a", "b", "a", "b"] and evacuation.progress(0).failed == 4 and "part 1 to b: full" in evacuation.why
+    assert (chosen == ["a", "b", "a", "b"] and evacuation.progress(0).failed == 4
+            and "part 1 to b: full" in evacuation.why)
     assert evacuation.tick(now_us, {1: 5}, {1: []}) == []  # no possible taker: the part waits
 
 
--- a/tests/test_overtaken.py
+++ b/tests/test_overtaken.py
@@ -1,4 +1,4 @@
-"""A silent connection is told from a slow endpoint, and a call gets no less time than it needs."""
+"""How a connection that has fallen silent is distinguished from a slow endpoint, and how much time a call gets."""
 
 from __future__ import annotations
 
--- a/wheelstep/standalone/ends.py
+++ b/wheelstep/standalone/ends.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TerminalOutcome:
-    """How a message ended: `delivered`, `refused` (safe to hand in again after `retry_ms`) or `failed`."""
+    """How a message ended: `delivered`, `refused` (safe to submit again after `retry_ms` milliseconds) or `failed`."""
 
     end: str
     at_ms: int  # Unix time
