--- a/wheelstep/fleet/settings.py
+++ b/wheelstep/fleet/settings.py
@@ -12,7 +12,7 @@
 from wheelstep.fleet.membership import MemberLimits
 from wheelstep.fleet.placing import NodeSettings
 from wheelstep.moves.steps import GiverLimits
-from wheelstep.moves.swap import SwapLimits
+from wheelstep.moves.swap import EvacuationLimits
 
 KEY_BYTES = 32  # minimum length of a fleet key
 
@@ -74,7 +74,8 @@
         at_once=table.moves_at_once, pace_us=table.move_pace, probation_us=table.probation,
         members=MemberLimits(period_us=table.probe_every),
         moves=GiverLimits(call_bound_us=table.call_bound),
-        leaving=SwapLimits(at_once=table.moves_at_once * 2, pause_us=100_000, bound_us=table.give_away_within))
+        leaving=EvacuationLimits(max_moves=table.moves_at_once * 2, pause_us=100_000,
+                                 timeout_us=table.give_away_within))
 
 
 class FleetConfig:
