--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The wall clock of a courier's machine is set forward or back by an hour; deadlines are spans of real time."""
+"""A step of the wall clock by an hour, forward or back, neither extends nor shortens deadlines."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 import pytest
 from loopback import LIMIT_S, Call, Reply, Scene, run
 
-from wheelstep.rehearsal.soak.control import PAGE, FaultPage
+from wheelstep.rehearsal.soak.control import FAULT_PAGE_VARIABLE, FaultPage
 
 STEPS_S = (3600.0, -3600.0)
 
 
 @contextlib.asynccontextmanager
-async def stepping(folder: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[tuple[Scene, FaultPage, list[str]]]:
-    """A courier whose wall clock the test sets; its endpoint hangs for the messages that the list names."""
+async def courier_with_settable_clock(
+        folder: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[tuple[Scene, FaultPage, list[str]]]:
+    """Run a courier whose wall clock the test can set; its endpoint doesn't answer the messages named in the list."""
     page = FaultPage(folder / "page")
-    monkeypatch.setenv(PAGE, str(folder / "page"))
+    monkeypatch.setenv(FAULT_PAGE_VARIABLE, str(folder / "page"))
     scene, hanging = Scene(folder), list[str]()
     scene.courier.program = ("wheelstep.rehearsal.soak.faulty",)
     async with scene as s:
@@ -32,53 +33,54 @@
         yield s, page, hanging
 
 
-def called(scene: Scene, message: str) -> bool:
+def was_called(scene: Scene, message: str) -> bool:
     return any(call.headers.get("x-request-id") == message for call in scene.endpoint.calls)
 
 
-async def until_called(scene: Scene, message: str) -> None:
+async def wait_until_called(scene: Scene, message: str) -> None:
     async with asyncio.timeout(LIMIT_S):
-        while not called(scene, message):
+        while not was_called(scene, message):
             await asyncio.sleep(0.01)
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_key_goes_on_after_a_step(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
-    """The first of a key is answered after the step: it is delivered, and the second one follows at once."""
-    async def play() -> None:
-        async with stepping(tmp_path, monkeypatch) as (s, page, hanging):
+def test_after_a_clock_step_the_next_messages_of_a_key_follow_at_once(
+        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
+    """The key's first message is answered after the step: it counts as delivered, and the others follow at once."""
+    async def scenario() -> None:
+        async with courier_with_settable_clock(tmp_path, monkeypatch) as (s, page, hanging):
             hanging.append("first")
             assert await s.courier.hand_in("first", "ordered", "k") == 202
-            await until_called(s, "first")
+            await wait_until_called(s, "first")
             assert await s.courier.hand_in("second", "ordered", "k") == 202
-            page.clock_s = step_s
+            page.clock_offset_s = step_s
             assert await s.courier.hand_in("third", "ordered", "k") == 202
             hanging.clear()
             began = time.monotonic()
-            await until_called(s, "third")
+            await wait_until_called(s, "third")
             assert time.monotonic() - began < 2.0 and not s.platform.notices_heard
             assert [call.headers["x-request-id"] for call in s.endpoint.calls] == ["first", "second", "third"]
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_after_a_step_and_a_restart_messages_have_the_time_that_they_had(
+def test_after_a_clock_step_and_a_restart_messages_keep_their_remaining_time(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
-    """What has time left is tried, and what has none is ended."""
-    async def play() -> None:
-        async with stepping(tmp_path, monkeypatch) as (s, page, hanging):
+    """A message with time left is tried, and one without is ended."""
+    async def scenario() -> None:
+        async with courier_with_settable_clock(tmp_path, monkeypatch) as (s, page, hanging):
             hanging.append("first")
             assert await s.courier.hand_in("first", "ordered", "k") == 202
-            await until_called(s, "first")
+            await wait_until_called(s, "first")
             assert await s.courier.hand_in("long", "ordered", "k", X_Deadline_Ms="14000") == 202
             assert await s.courier.hand_in("short", "ordered", "k", X_Deadline_Ms="2500") == 202
             began = time.monotonic()
-            page.clock_s = step_s
+            page.clock_offset_s = step_s
             await s.courier.kill()
             await s.courier.start()
             assert (await s.platform.wait_notice("short"))["message"] == "short"
-            assert time.monotonic() - began < 2.5 + 0.3 + 1.5  # its time, the slack, and that of a restart
+            assert time.monotonic() - began < 2.5 + 0.3 + 1.5  # its deadline, slack for the end, and the restart
             hanging.clear()
-            await until_called(s, "long")
+            await wait_until_called(s, "long")
             assert "long" not in s.platform.notices_heard
-    run(play())
+    run(scenario())
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plans, the faults inside a process, and a small play of real couriers."""
+"""The soak test itself: its plans, the faults inside a process, and a small run of real couriers."""
 
 from __future__ import annotations
 
@@ -15,43 +15,45 @@
 from wheelstep.rehearsal.rig import module_command
 from wheelstep.rehearsal.soak import faulty
 from wheelstep.rehearsal.soak.control import FaultPage
-from wheelstep.rehearsal.soak.plan import COURIER_FAULTS, ENDPOINT_FAULTS, PROCESS_INSIDE, Soak, plan
+from wheelstep.rehearsal.soak.plan import COURIER_FAULTS, ENDPOINT_FAULTS, IN_PROCESS_FAULTS, SoakConfig, draw_plan
 from wheelstep.rehearsal.soak.run import run
 
-SMALL = Soak(couriers=3, length_s=4.0)
+SMALL = SoakConfig(couriers=3, length_s=4.0)
 
 
-def test_a_seed_gives_the_same_play_and_all_kinds_of_faults_come() -> None:
-    assert plan(1, SMALL).digest() == plan(1, SMALL).digest() != plan(2, SMALL).digest()
-    kinds = {fault.kind for seed in range(20) for fault in plan(seed, Soak()).faults}
-    assert kinds == {*COURIER_FAULTS, *PROCESS_INSIDE, *ENDPOINT_FAULTS} - {"upgrades", "upgrade-kill"}
+def test_a_seed_always_gives_the_same_plan_and_every_kind_of_fault_is_drawn() -> None:
+    assert draw_plan(1, SMALL).digest() == draw_plan(1, SMALL).digest() != draw_plan(2, SMALL).digest()
+    kinds = {fault.kind for seed in range(20) for fault in draw_plan(seed, SoakConfig()).faults}
+    assert kinds == {*COURIER_FAULTS, *IN_PROCESS_FAULTS, *ENDPOINT_FAULTS} - {"upgrades", "upgrade-kill"}
 
 
-def test_faults_overlap() -> None:
-    faults = plan(3, Soak()).faults
+def test_at_least_five_faults_of_a_plan_overlap() -> None:
+    faults = draw_plan(3, SoakConfig()).faults
     assert max(sum(one.at_us <= other.at_us < one.until_us for one in faults) for other in faults) >= 5
 
 
-def test_a_page_is_shared_by_all_that_map_it(tmp_path: Path) -> None:
+def test_values_written_to_a_page_are_read_through_every_mapping_of_it(tmp_path: Path) -> None:
     here, there = FaultPage(tmp_path / "page"), FaultPage(tmp_path / "page")
-    here.clock_s, here.sockets, here.disk, here.most_bytes = -5.0, 0.5, 1.0, 7
-    assert (there.clock_s, there.sockets, there.disk, there.most_bytes) == (-5.0, 0.5, 1.0, 7)
-    there.sockets = 0.0
-    assert here.sockets == 0.0 and here.disk == 1.0
+    here.clock_offset_s, here.socket_failure_share, here.disk_failure_share, here.max_socket_bytes = -5.0, 0.5, 1.0, 7
+    assert (there.clock_offset_s, there.socket_failure_share, there.disk_failure_share,
+            there.max_socket_bytes) == (-5.0, 0.5, 1.0, 7)
+    there.socket_failure_share = 0.0
+    assert here.socket_failure_share == 0.0 and here.disk_failure_share == 1.0
 
 
-def test_the_wall_clock_steps_and_the_monotonic_one_runs_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_clock_offset_moves_the_wall_clock_and_leaves_the_monotonic_one(
+        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("time", "time_ns"):
         monkeypatch.setattr(time, name, getattr(time, name))
     page = FaultPage(tmp_path / "page")
     faulty.patch_clock(page)
     wall, steady = time.time(), time.monotonic()
-    page.clock_s = 3600.0
+    page.clock_offset_s = 3600.0
     assert 3599 < time.time() - wall < 3601 and time.monotonic() - steady < 1.0
     assert abs(time.time_ns() / 1e9 - time.time()) < 1.0
 
 
-def test_system_calls_fail_as_linux_documents(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_patched_system_calls_fail_with_documented_errors(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("connect", "accept", "send", "recv"):
         monkeypatch.setattr(socket.socket, name, getattr(socket.socket, name))
     for name in ("write", "fsync", "ftruncate", "open"):
@@ -60,19 +62,19 @@
     faulty.patch_sockets(page, rng)
     faulty.patch_disk(page, rng)
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as client:
-        page.sockets = 1.0
+        page.socket_failure_share = 1.0
         with pytest.raises(OSError) as connect:
             client.connect(listener.getsockname())
         assert connect.value.errno in faulty.CONNECT_ERRORS
         with pytest.raises(OSError) as accept:
             listener.accept()
         assert accept.value.errno in faulty.ACCEPT_ERRORS
-        page.sockets, page.most_bytes = 0.0, 3
+        page.socket_failure_share, page.max_socket_bytes = 0.0, 3
         client.connect(listener.getsockname())
         with listener.accept()[0] as served:
             assert client.send(b"12345") == 3 and served.recv(10) == b"123"
     with open(tmp_path / "file", "wb") as file:
-        page.disk = 1.0
+        page.disk_failure_share = 1.0
         wrote = []
         for _ in range(20):
             try:
@@ -87,17 +89,17 @@
             assert disk.value.errno in faulty.DISK_ERRORS
 
 
-def test_a_play_of_real_couriers_is_clean() -> None:
-    result, played = asyncio.run(asyncio.wait_for(run(plan(1, SMALL)), 120))
-    told = [f"{finding.courier} {finding.rule.name}: {finding.text}" for finding in result.findings]
-    assert result.clean, "\n".join([*told, *result.suspect, *played.logs.values()])
+def test_a_run_of_real_couriers_is_clean() -> None:
+    result, played = asyncio.run(asyncio.wait_for(run(draw_plan(1, SMALL)), 120))
+    findings = [f"{finding.courier} {finding.rule.name}: {finding.text}" for finding in result.findings]
+    assert result.clean, "\n".join([*findings, *result.suspect_lines, *played.logs.values()])
 
 
-def test_a_courier_that_breaks_its_word_is_caught() -> None:
+def test_a_courier_that_ignores_the_order_of_keys_is_found() -> None:
     broken = module_command("wheelstep.rehearsal.broken", "ignores-keys")
     for seed in range(1, 4):
-        result, _ = asyncio.run(asyncio.wait_for(run(plan(seed, SMALL), broken), 120))
+        result, _ = asyncio.run(asyncio.wait_for(run(draw_plan(seed, SMALL), broken), 120))
         if any(finding.rule is Rule.ORDER for finding in result.findings):
             assert result.ruling is not Ruling.KEPT
             return
-    raise AssertionError("the order was kept")
+    raise AssertionError("no seed of 1 to 3 led to a finding of the rule of order")
--- a/wheelstep/rehearsal/soak/control.py
+++ b/wheelstep/rehearsal/soak/control.py
@@ -1,4 +1,4 @@
-"""The page of memory through which the rig tells a courier's process what fails in it. Shared by a mapped file."""
+"""A memory page, shared through a mapped file, by which the rig sets the faults inside a courier's process."""
 
 from __future__ import annotations
 
@@ -7,41 +7,42 @@
 import struct
 from pathlib import Path
 
-PAGE = "UMBERCHUTE_FAULT_PAGE"
-"""The environment variable that names the file."""
+FAULT_PAGE_VARIABLE = "UMBERCHUTE_FAULT_PAGE"
+"""Environment variable with the path of the mapped file."""
 
-_SIZE = 4096
+_PAGE_BYTES = 4096
 
 
-class _Number:
-    """One number of the page, read and written where it stands."""
+class _FloatField:
+    """Descriptor of one number that is stored at a fixed offset of the page."""
 
-    def __init__(self, form: str, at: int) -> None:
-        self._form, self._at = struct.Struct(form), at
+    def __init__(self, layout: str, offset: int) -> None:
+        self._struct, self._offset = struct.Struct(layout), offset
 
     def __get__(self, page: FaultPage, owner: type[FaultPage]) -> float:
-        return float(self._form.unpack_from(page.memory, self._at)[0])
+        return float(self._struct.unpack_from(page.memory, self._offset)[0])
 
     def __set__(self, page: FaultPage, value: float) -> None:
-        self._form.pack_into(page.memory, self._at, value)
+        self._struct.pack_into(page.memory, self._offset, value)
 
 
 class FaultPage:
-    """What fails just now. Numbers are read and written one by one; a reader may see some old and some new ones."""
+    """The faults that are active now. Each number is read and written by itself: a reader may see a mix of old and new
+    ones. The file is created, filled with zeros, if it does not exist; raises OSError where it can't be mapped."""
 
-    clock_s = _Number("<d", 0)  # seconds that the wall clock is off
-    sockets = _Number("<d", 8)  # share of connects and accepts that fail
-    disk = _Number("<d", 16)  # share of writes and syncs that fail, half of them in the middle
-    most_bytes = _Number("<d", 24)  # so many are read or written at once on a socket at most; 0: any number
+    clock_offset_s = _FloatField("<d", 0)  # added to the wall clock
+    socket_failure_share = _FloatField("<d", 8)  # share of connects and accepts that fail
+    disk_failure_share = _FloatField("<d", 16)  # share of calls that fail; half of the failing writes write a part
+    max_socket_bytes = _FloatField("<d", 24)  # read or written by one call on a socket at most; 0: no limit
 
     def __init__(self, path: Path) -> None:
-        handle = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        file_descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            os.ftruncate(handle, _SIZE)
-            self.memory = mmap.mmap(handle, _SIZE)
+            os.ftruncate(file_descriptor, _PAGE_BYTES)
+            self.memory = mmap.mmap(file_descriptor, _PAGE_BYTES)
         finally:
-            os.close(handle)
+            os.close(file_descriptor)
 
     def close(self) -> None:
-        """Unmap it."""
+        """Unmap the page."""
         self.memory.close()
--- a/wheelstep/rehearsal/soak/courier.py
+++ b/wheelstep/rehearsal/soak/courier.py
@@ -1,4 +1,4 @@
-"""One courier over restarts, new versions that take over from the one that serves, and faults inside its process."""
+"""A courier's process under restarts, upgrades (a new process takes over from the serving one) and faults inside it."""
 
 from __future__ import annotations
 
@@ -10,46 +10,48 @@
 
 from wheelstep.rehearsal.history import Turn
 from wheelstep.rehearsal.planned import Fault
-from wheelstep.rehearsal.soak.control import PAGE, FaultPage
+from wheelstep.rehearsal.soak.control import FAULT_PAGE_VARIABLE, FaultPage
 from wheelstep.rehearsal.standins.machine import CourierPort
 from wheelstep.rehearsal.standins.process import Courier
 
-UPGRADE_READY_S = 6.0  # the new version serves within this
-TERM_S = 3.7  # from SIGTERM until SIGKILL
-RESTART_S = 0.6  # from an end until the next start
-MOST_SUSPECT = 40  # lines of a courier's logs
-_POLL_S = 0.02
-SUSPECT = ("invariant violated", "Traceback", "unexpectedly", "a turn failed", "could not carry out", "never retrieved")
-"""Words that a courier's log may not hold, whatever is done to it."""
+UPGRADE_READY_TIMEOUT_S = 6.0  # until an upgraded process must report ready on its console
+TERM_TIMEOUT_S = 3.7  # from SIGTERM until SIGKILL
+RESTART_DELAY_S = 0.6  # from an end until the next start
+MAX_SUSPECT_LINES = 40  # that are kept of a courier's logs
+_POLL_INTERVAL_S = 0.02
+SUSPECT_PHRASES = ("invariant violated", "Traceback", "unexpectedly", "a turn failed", "could not carry out",
+                   "never retrieved")
+"""Texts that must not appear in a courier's log under any fault."""
 
 
 class SoakCourier(Courier):
-    """Ends and new versions follow one another: each begins once the one before is done, maybe at once."""
+    """Serialises a courier's restarts and upgrades: each begins once the previous one has finished."""
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
         self.page = FaultPage(self._folder / "faults")
-        self._before: set[asyncio.subprocess.Process] = set()  # that hand over or have done so, and still run
-        self._serving: asyncio.subprocess.Process | None = None  # the newest that was ready
-        self._console = CourierPort()
-        self._turns = asyncio.Lock()
+        self._retiring: set[asyncio.subprocess.Process] = set()  # replaced by an upgrade, or about to be; still running
+        self._serving_process: asyncio.subprocess.Process | None = None  # the newest process that became ready
+        self._console_port = CourierPort()
+        self._transition_lock = asyncio.Lock()
 
     # --- starting ---
 
     async def _spawn(self) -> asyncio.subprocess.Process:
-        self._console.renew()
-        configure = self._configure
-        console = f"127.0.0.1:{self._console.port}"
-        self._configure = lambda listen: {**configure(listen), "console": console}
-        os.environ[PAGE] = str(self._folder / "faults")  # the process inherits it; nothing else reads it
+        self._console_port.renew()
+        base_configure = self._configure
+        console_address = f"127.0.0.1:{self._console_port.port}"
+        self._configure = lambda listen: {**base_configure(listen), "console": console_address}
+        os.environ[FAULT_PAGE_VARIABLE] = str(self._folder / "faults")  # the process inherits it; nothing else reads it
         try:
             return await super()._spawn()
         finally:
-            self._configure = configure
+            self._configure = base_configure
 
     async def start(self) -> bool:
+        """Start the process and wait until it is ready; return False if it never is. Raises `NoStartError`."""
         ready = await super().start()
-        self._serving = self.process if ready else None
+        self._serving_process = self.process if ready else None
         return ready
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
@@ -60,93 +62,95 @@
             if len(self.log) > 5_000:
                 self.log.popleft()
             text = line.decode("utf-8", "replace").rstrip()
-            told = any(word in text for word in SUSPECT) or "  before it: " in text
-            if told and len(self.suspect) < MOST_SUSPECT:
+            suspect = any(word in text for word in SUSPECT_PHRASES) or "  before it: " in text
+            if suspect and len(self.suspect) < MAX_SUSPECT_LINES:
                 self.suspect.append(f"{self.name}: {text}")
 
-    async def _ready_console(self, process: asyncio.subprocess.Process) -> bool:
-        end = asyncio.get_running_loop().time() + UPGRADE_READY_S
+    async def _wait_console_ready(self, process: asyncio.subprocess.Process) -> bool:
+        end = asyncio.get_running_loop().time() + UPGRADE_READY_TIMEOUT_S
         while asyncio.get_running_loop().time() < end and process.returncode is None:
             with contextlib.suppress(OSError, TimeoutError):
                 async with asyncio.timeout(1.0):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", self._console.port)
+                    reader, writer = await asyncio.open_connection("127.0.0.1", self._console_port.port)
                     writer.write(b"readyz\n")
                     answer = await reader.readline()
                     writer.close()
                 if answer.startswith(b"+OK"):
                     return True
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return False
 
     # --- faults ---
 
     async def meet(self, fault: Fault) -> None:
-        """Play one fault of this courier's, from its begin to its end."""
-        for_s = (fault.until_us - fault.at_us) / 1e6
+        """Apply one fault to this courier and return when it is over. Kinds that it does not know are ignored."""
+        duration_s = (fault.until_us - fault.at_us) / 1e6
         match fault.kind:
             case "upgrade":
                 await self._upgrade()
             case "reload":
-                if self.ready.is_set() and self._serving is not None and self._serving.returncode is None:
-                    self._serving.send_signal(signal.SIGHUP)
+                if (self.ready.is_set() and self._serving_process is not None
+                        and self._serving_process.returncode is None):
+                    self._serving_process.send_signal(signal.SIGHUP)
             case "clock":
-                self.page.clock_s += fault.share
+                self.page.clock_offset_s += fault.share
             case "sockets":
-                self.page.sockets = fault.share
-                await asyncio.sleep(for_s)
-                self.page.sockets = 0.0
+                self.page.socket_failure_share = fault.share
+                await asyncio.sleep(duration_s)
+                self.page.socket_failure_share = 0.0
             case "short":
-                self.page.most_bytes = fault.share
-                await asyncio.sleep(for_s)
-                self.page.most_bytes = 0
+                self.page.max_socket_bytes = fault.share
+                await asyncio.sleep(duration_s)
+                self.page.max_socket_bytes = 0
             case "disk":
-                self.page.disk = fault.share
-                await asyncio.sleep(for_s)
-                self.page.disk = 0.0
+                self.page.disk_failure_share = fault.share
+                await asyncio.sleep(duration_s)
+                self.page.disk_failure_share = 0.0
 
     async def _upgrade(self) -> None:
-        async with self._turns:
-            before = self.process
-            if before is None or before.returncode is not None or not self.ready.is_set():
+        async with self._transition_lock:
+            predecessor = self.process
+            if predecessor is None or predecessor.returncode is not None or not self.ready.is_set():
                 return
-            self._before.add(before)  # from here on, so that `stop` ends it whatever comes
+            self._retiring.add(predecessor)  # before the first await, so that `stop` always ends it
             process = await self._spawn()
-            ready = await self._ready_console(process)
-            if before.returncode is not None:
-                self._turn(Turn.CRASHED, before.returncode)
+            ready = await self._wait_console_ready(process)
+            if predecessor.returncode is not None:
+                self._turn(Turn.CRASHED, predecessor.returncode)
             if not ready:
                 self._turn(Turn.CRASHED if process.returncode is not None else Turn.NEVER_READY,
                            process.returncode or 0)
                 return
             self._keep(self._watch(process))
-            self._serving = process
-            self._keep(self._dismiss(before))
+            self._serving_process = process
+            self._keep(self._retire(predecessor))
 
-    async def _dismiss(self, process: asyncio.subprocess.Process) -> None:
+    async def _retire(self, process: asyncio.subprocess.Process) -> None:
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(process.wait(), TERM_S)
+            await asyncio.wait_for(process.wait(), TERM_TIMEOUT_S)
         if process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(process.pid, signal.SIGKILL)
             await process.wait()
         if process.returncode not in (0, -signal.SIGKILL):
             self._turn(Turn.CRASHED, process.returncode or 0)
-        self._before.discard(process)
+        self._retiring.discard(process)
 
     async def _end(self, number: int, turn: Turn, back_s: float) -> None:
-        async with self._turns:
+        async with self._transition_lock:
             if number == signal.SIGKILL:
-                for process in self._before:
+                for process in self._retiring:
                     with contextlib.suppress(ProcessLookupError):
                         os.killpg(process.pid, signal.SIGKILL)
             await super()._end(number, turn, back_s)
 
     async def stop(self) -> None:
-        for process in self._before:
+        """Kill all processes of this courier and release its ports and its fault page."""
+        for process in self._retiring:
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(process.pid, signal.SIGKILL)
         await super().stop()
-        self._console.close()
+        self._console_port.close()
         self.page.close()
--- a/wheelstep/rehearsal/soak/plan.py
+++ b/wheelstep/rehearsal/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a play of the soak is made of, drawn whole from its seed: settings, traffic, and faults that overlap. No I/O."""
+"""Draws a run of the soak test from its seed: settings, traffic, and faults that may overlap. No I/O."""
 
 from __future__ import annotations
 
@@ -12,111 +12,113 @@
 from wheelstep.rehearsal.planned import Fault, Plan
 from wheelstep.rehearsal.scenario import Scenario
 
-RATE_PER_S = 5.0  # messages of each courier
+RATE_PER_S = 5.0  # messages submitted to each courier
 CLOCK_STEPS_S = (-3600.0, -5.0, -0.4, 0.4, 5.0, 3600.0)
 COURIER_FAULTS = ("kill", "term", "upgrade", "upgrades", "upgrade-kill", "pause", "reload", "discovery")
-PROCESS_INSIDE = ("clock", "sockets", "short", "disk")
-"""Faults that need the courier to run under `faulty`."""
+IN_PROCESS_FAULTS = ("clock", "sockets", "short", "disk")
+"""Faults inside a courier's process; they need it to run under `faulty`."""
 ENDPOINT_FAULTS = ("stall", "silent", "hang", "refuse", "shut", "fail", "reset", "spoil", "leave", "replace")
 _MS, _S = 1_000, 1_000_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Soak:
-    """How large a play is, and which kinds of faults it has."""
+class SoakConfig:
+    """The size of a run, and the kinds of faults to draw from. An empty tuple leaves that group of faults out."""
 
     couriers: int = 24
     length_s: float = 12.0
     courier_faults: tuple[str, ...] = COURIER_FAULTS
-    inside: tuple[str, ...] = PROCESS_INSIDE
+    in_process_faults: tuple[str, ...] = IN_PROCESS_FAULTS
     endpoint_faults: tuple[str, ...] = ENDPOINT_FAULTS
 
 
-def plan(seed: int, soak: Soak) -> Plan:
-    """Return the play of one seed."""
+def draw_plan(seed: int, config: SoakConfig) -> Plan:
+    """Return the plan of one seed; the same seed and configuration give the same plan."""
     rng = random.Random(f"soak {seed}")
-    made = draw("soak", _scenario(rng, soak), seed)
-    faults = sorted([*_at_couriers(rng, soak), *_inside(rng, soak), *_at_endpoints(rng, soak, made)],
-                    key=lambda fault: fault.at_us)
-    last_us = max([made.length_us, *(fault.until_us for fault in faults)])
-    return dataclasses.replace(made, faults=tuple(faults), end_us=made.end_us + last_us - made.length_us)
+    base_plan = draw("soak", _scenario(rng, config), seed)
+    faults = sorted([*_draw_courier_faults(rng, config), *_draw_in_process_faults(rng, config),
+                     *_draw_endpoint_faults(rng, config, base_plan)], key=lambda fault: fault.at_us)
+    last_us = max([base_plan.length_us, *(fault.until_us for fault in faults)])
+    return dataclasses.replace(base_plan, faults=tuple(faults), end_us=base_plan.end_us + last_us - base_plan.length_us)
 
 
-def _scenario(rng: random.Random, soak: Soak) -> Scenario:
+def _scenario(rng: random.Random, config: SoakConfig) -> Scenario:
     settle_us = rng.choice([300 * _MS, 300 * _MS, 500 * _MS, 1_200 * _MS])
     deadline_us = rng.choice([2, 3, 4]) * _S
     promise_us = rng.choice([300 * _MS, 800 * _MS])
 
-    def cls(name: str, effect: Effect, ordered: bool = False) -> dict[str, Any]:
+    def message_class(name: str, effect: Effect, ordered: bool = False) -> dict[str, Any]:
         return {"name": name, "promise": f"{promise_us}us", "deadline": f"{deadline_us}us", "effect": effect,
                 "key_life": "2500ms" if effect is Effect.KEYED else "0us", "ordered": ordered,
                 "share": 2.0 if ordered else 1.0}
 
-    limit = {"rate_per_s": soak.couriers * 1.5, "tells_wait": "400ms"}
+    limit = {"rate_per_s": config.couriers * 1.5, "tells_wait": "400ms"}
     partners = [{"name": f"p{number}", "kind": rng.choice(["single", "batch"]), "endpoints": rng.choice([1, 2, 3]),
-                 "lanes": 8 + soak.couriers // 2, "queue": 4 * soak.couriers,
+                 "lanes": 8 + config.couriers // 2, "queue": 4 * config.couriers,
                  "pace": f"{rng.choice([20, 60, 150])}ms", "limit": limit if number == 0 else None}
                 for number in range(6)]
     return Scenario.model_validate({
-        "title": "random overlapping faults", "rule": "all", "length": f"{soak.length_s}s",
-        "couriers": soak.couriers, "slots": 24, "hold": 300, "idle": rng.choice(["1500ms", "10s"]), "dial": "800ms",
+        "title": "random overlapping faults", "rule": "all", "length": f"{config.length_s}s",
+        "couriers": config.couriers, "slots": 24, "hold": 300, "idle": rng.choice(["1500ms", "10s"]), "dial": "800ms",
         "rules": {"settle": f"{settle_us}us", "cold": "4s"},
         "kind": [{"name": "single"}, {"name": "batch", "batch": 5}], "partner": partners,
-        "class": [cls("safe", Effect.SAFE), cls("unsafe", Effect.UNSAFE), cls("keyed", Effect.KEYED),
-                  cls("ordered-safe", Effect.SAFE, True), cls("ordered-unsafe", Effect.UNSAFE, True)],
-        "traffic": {"rate_per_s": RATE_PER_S * soak.couriers, "keys": max(1, soak.couriers // 3), "fresh": 0.2}})
+        "class": [message_class("safe", Effect.SAFE), message_class("unsafe", Effect.UNSAFE),
+                  message_class("keyed", Effect.KEYED), message_class("ordered-safe", Effect.SAFE, True),
+                  message_class("ordered-unsafe", Effect.UNSAFE, True)],
+        "traffic": {"rate_per_s": RATE_PER_S * config.couriers, "keys": max(1, config.couriers // 3), "fresh": 0.2}})
 
 
-def _span(rng: random.Random, soak: Soak, least_s: float, most_s: float) -> tuple[int, int]:
-    at_s = rng.uniform(0.5, soak.length_s)
-    return int(at_s * 1e6), int((at_s + rng.uniform(least_s, most_s)) * 1e6)
+def _draw_interval(rng: random.Random, config: SoakConfig, min_s: float, max_s: float) -> tuple[int, int]:
+    at_s = rng.uniform(0.5, config.length_s)
+    return int(at_s * 1e6), int((at_s + rng.uniform(min_s, max_s)) * 1e6)
 
 
-def _at_couriers(rng: random.Random, soak: Soak) -> Iterator[Fault]:
-    """One to three for each courier, whenever they come."""
-    for courier in range(soak.couriers):
+def _draw_courier_faults(rng: random.Random, config: SoakConfig) -> Iterator[Fault]:
+    """Yield one to three faults for each courier, at random times."""
+    for courier in range(config.couriers):
         for _ in range(rng.choice([1, 2, 3])):
-            if not soak.courier_faults:
+            if not config.courier_faults:
                 return
-            kind, who = rng.choice(soak.courier_faults), (courier,)
-            at_us, until_us = _span(rng, soak, 0.3, 1.5)
+            kind, targets = rng.choice(config.courier_faults), (courier,)
+            at_us, until_us = _draw_interval(rng, config, 0.3, 1.5)
             match kind:
                 case "kill" | "term":
-                    yield Fault(kind, at_us, at_us + 600 * _MS, couriers=who)
-                case "upgrades":  # two new versions in a row
-                    yield Fault("upgrade", at_us, at_us, couriers=who)
-                    yield Fault("upgrade", at_us + 1, at_us + 1, couriers=who)
-                case "upgrade-kill":  # around the moment of the hand-over
-                    yield Fault("upgrade", at_us, at_us, couriers=who)
+                    yield Fault(kind, at_us, at_us + 600 * _MS, couriers=targets)
+                case "upgrades":  # two upgrades in a row
+                    yield Fault("upgrade", at_us, at_us, couriers=targets)
+                    yield Fault("upgrade", at_us + 1, at_us + 1, couriers=targets)
+                case "upgrade-kill":  # a kill around the moment of the handover
+                    yield Fault("upgrade", at_us, at_us, couriers=targets)
                     killed_us = at_us + int(rng.uniform(0.3, 1.2) * 1e6)
-                    yield Fault("kill", killed_us, killed_us + 600 * _MS, couriers=who)
+                    yield Fault("kill", killed_us, killed_us + 600 * _MS, couriers=targets)
                 case "upgrade" | "reload":
-                    yield Fault(kind, at_us, at_us, couriers=who)
+                    yield Fault(kind, at_us, at_us, couriers=targets)
                 case "pause":
-                    yield Fault(kind, at_us, at_us + int(rng.uniform(0.03, 0.14) * 1e6), couriers=who)
+                    yield Fault(kind, at_us, at_us + int(rng.uniform(0.03, 0.14) * 1e6), couriers=targets)
                 case _:
-                    yield Fault(kind, at_us, until_us, couriers=who)
+                    yield Fault(kind, at_us, until_us, couriers=targets)
 
 
-def _inside(rng: random.Random, soak: Soak) -> Iterator[Fault]:
-    """For half of the couriers: the wall clock steps, sockets and the disk fail for a while."""
-    for courier in range(0, soak.couriers, 2):
-        for kind in rng.sample(soak.inside, min(len(soak.inside), rng.choice([1, 2]))):
-            at_us, until_us = _span(rng, soak, 0.3, 1.2)
+def _draw_in_process_faults(rng: random.Random, config: SoakConfig) -> Iterator[Fault]:
+    """Yield one or two faults for every other courier: a step of its wall clock, failing or short socket calls for a
+    while, a failing disk."""
+    for courier in range(0, config.couriers, 2):
+        for kind in rng.sample(config.in_process_faults, min(len(config.in_process_faults), rng.choice([1, 2]))):
+            at_us, until_us = _draw_interval(rng, config, 0.3, 1.2)
             share = {"clock": rng.choice(CLOCK_STEPS_S), "sockets": 0.5, "short": float(rng.choice([1, 7, 100])),
                      "disk": rng.choice([0.3, 1.0])}[kind]
             yield Fault(kind, at_us, at_us if kind == "clock" else until_us, couriers=(courier,), share=share)
 
 
-def _at_endpoints(rng: random.Random, soak: Soak, made: Plan) -> Iterator[Fault]:
-    """One or two for each partner: at all of its endpoints, or one."""
-    for partner in made.partners:
-        for kind in rng.sample(soak.endpoint_faults, min(len(soak.endpoint_faults), rng.choice([1, 2]))):
-            at_us, until_us = _span(rng, soak, 0.5, 3.0)
-            names = partner.endpoints if rng.random() < 0.4 else (rng.choice(partner.endpoints),)
-            stops = tuple((begin, begin + int(rng.uniform(0.1, 0.4) * 1e6))
+def _draw_endpoint_faults(rng: random.Random, config: SoakConfig, base_plan: Plan) -> Iterator[Fault]:
+    """Yield one or two faults for each partner, at all of its endpoints or at one."""
+    for partner in base_plan.partners:
+        for kind in rng.sample(config.endpoint_faults, min(len(config.endpoint_faults), rng.choice([1, 2]))):
+            at_us, until_us = _draw_interval(rng, config, 0.5, 3.0)
+            targets = partner.endpoints if rng.random() < 0.4 else (rng.choice(partner.endpoints),)
+            stall_intervals = tuple((begin, begin + int(rng.uniform(0.1, 0.4) * 1e6))
                           for begin in range(at_us, until_us, 700 * _MS))
-            yield Fault(kind, at_us, until_us, endpoints=names, share=rng.choice([0.1, 0.4, 1.0]),
+            yield Fault(kind, at_us, until_us, endpoints=targets, share=rng.choice([0.1, 0.4, 1.0]),
                         when=rng.choice(["before", "after"]), wait_us=rng.choice([0, 600 * _MS]),
-                        stops_us=stops if kind == "stall" else (),
-                        told_us=tuple(int(rng.uniform(0.1, 0.3) * 1e6) for _ in range(soak.couriers)))
+                        stops_us=stall_intervals if kind == "stall" else (),
+                        told_us=tuple(int(rng.uniform(0.1, 0.3) * 1e6) for _ in range(config.couriers)))
--- a/wheelstep/rehearsal/soak/run.py
+++ b/wheelstep/rehearsal/soak/run.py
@@ -1,4 +1,4 @@
-"""One play of the soak: real processes, the faults of its seed, and what the judge and the couriers' own checks say."""
+"""Runs one plan of the soak test on real processes, and collects the judge's verdict and the couriers' own checks."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
 
 @dataclass(slots=True)
 class SoakResult:
-    """What came of one seed."""
+    """The result of one seed."""
 
     seed: int
     ruling: Ruling
     findings: tuple[Finding, ...]
-    suspect: list[str]  # lines of logs that tell of a fault of the program, violated invariants among them
-    late_us: int
-    counts: dict[str, int] = field(default_factory=dict)
+    suspect_lines: list[str]  # log lines that tell of a fault in the courier, such as a violated invariant
+    late_us: int  # the longest that the rig or a courier waited for a core; too long a wait makes a run inconclusive
+    counts: dict[str, int] = field(default_factory=dict)  # messages, calls, starts, and faults of each kind
 
     @property
     def clean(self) -> bool:
-        """Nothing was broken, and something was played."""
-        return self.ruling is not Ruling.BROKEN and not self.suspect and self.counts.get("accepted", 0) > 0
+        """Whether no rule was broken, no suspect line was logged, and at least one message was accepted."""
+        return self.ruling is not Ruling.BROKEN and not self.suspect_lines and self.counts.get("accepted", 0) > 0
 
 
 async def run(plan: Plan, command: str = COMMAND) -> tuple[SoakResult, Played]:
-    """Play and judge. Raises `NoStartError` where the command can't be started."""
+    """Run a plan against couriers that `command` starts, and judge what was seen. Raises `NoStartError` where the
+    command can't be started."""
     played = await play(plan, command, made=SoakCourier)
     verdict = judge(played.history)
     counts: Counter[str] = Counter(f"fault {fault.kind}" for fault in plan.faults)
