--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""The fleet's decisions in a simulation of network, clocks, disks and crashes, in numbers that CI has no time for.
+"""Simulates the fleet's decisions with a simulated network, clocks, disks and crashes, for more seeds than CI has time.
 
     python benchmarks/fleet_simulation.py [--seeds 0-1999] [--couriers N] [--jobs 8]
     python benchmarks/fleet_simulation.py --seed N [--couriers N] --trace
@@ -6,9 +6,10 @@
     python benchmarks/fleet_simulation.py --seed N --crash-at M --trace
     python benchmarks/fleet_simulation.py --twice-over [--seeds 0-9 | --seed N --trace]
 
-Without `--couriers` each seed draws its fleet: 3 to 12, mostly small. Failing seeds are printed with the invariant that
-was broken; `--seed` with `--trace` plays one again, event by event. `--crash-points` ends a process at each action
-boundary of a move, one after another; `--twice-over` ends a part's owner and then who took it over.
+Without `--couriers` each seed draws the size of its fleet, 3 to 12 and mostly small. Failing seeds are printed with the
+invariant that was broken; `--seed` with `--trace` repeats one and prints its events. `--crash-points` repeats a move
+and ends a process at one action boundary after another; `--twice-over` ends a part's owner, and then the courier that
+took the part over.
 """
 
 from __future__ import annotations
@@ -21,17 +22,24 @@
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
 
-from wheelstep.rehearsal.simulation.nodes import real
-from wheelstep.rehearsal.simulation.run import Result, Run, crash_point, crash_points, drawn, twice_over
+from wheelstep.rehearsal.simulation.nodes import make_node
+from wheelstep.rehearsal.simulation.run import (
+    Result,
+    Run,
+    draw_setup,
+    run_crash_point,
+    run_crash_points,
+    run_double_takeover,
+)
 
 
-def one(seed: int, couriers: int = 0, traced: bool = False) -> Result:
-    """One run."""
-    return Run(seed, drawn(seed, couriers), real, traced).play()
+def run_seed(seed: int, couriers: int = 0, traced: bool = False) -> Result:
+    """Return the result of one seed."""
+    return Run(seed, draw_setup(seed, couriers), make_node, traced).execute()
 
 
 def main() -> None:
-    """Play, and exit with 1 if anything was broken."""
+    """Run the seeds; exit with 1 if an invariant was broken in any."""
     options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     options.add_argument("--seeds", default="0-1999")
     options.add_argument("--seed", type=int)
@@ -42,30 +50,31 @@
     options.add_argument("--crash-at", type=int, default=0)
     options.add_argument("--twice-over", action="store_true")
     options.add_argument("--stride", type=int, default=1)
-    given = options.parse_args()
-    if given.seed is not None:
-        result = twice_over(given.seed, real, given.trace) if given.twice_over \
-            else crash_point(given.seed, real, given.crash_at, given.trace)[1] if given.crash_at \
-            else one(given.seed, given.couriers, given.trace)
-        print("\n".join(result.lines))
-        print(result.text or f"seed {given.seed}: nothing broken; {result.events} events, {dict(result.count)}")
+    arguments = options.parse_args()
+    if arguments.seed is not None:
+        result = run_double_takeover(arguments.seed, make_node, arguments.trace) if arguments.twice_over \
+            else run_crash_point(arguments.seed, make_node, arguments.crash_at, arguments.trace)[1] \
+            if arguments.crash_at \
+            else run_seed(arguments.seed, arguments.couriers, arguments.trace)
+        print("\n".join(result.trace_lines))
+        print(result.text or f"seed {arguments.seed}: nothing broken; {result.events} events, {dict(result.counts)}")
         sys.exit(bool(result.text))
-    first, _, last = given.seeds.partition("-")
+    first, _, last = arguments.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
-    began, events, broken, count = time.monotonic(), 0, Counter[str](), Counter[str]()
-    with ProcessPoolExecutor(given.jobs) as pool:
-        play = partial(twice_over, maker=real) if given.twice_over \
-            else partial(crash_points, maker=real, stride=given.stride) if given.crash_points \
-            else partial(one, couriers=given.couriers)
-        for result in pool.map(play, seeds, chunksize=1 if given.crash_points else 4):
+    began, events, broken, counts = time.monotonic(), 0, Counter[str](), Counter[str]()
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        run_one = partial(run_double_takeover, node_factory=make_node) if arguments.twice_over \
+            else partial(run_crash_points, node_factory=make_node, stride=arguments.stride) if arguments.crash_points \
+            else partial(run_seed, couriers=arguments.couriers)
+        for result in pool.map(run_one, seeds, chunksize=1 if arguments.crash_points else 4):
             events += result.events
-            count += result.count
+            counts += result.counts
             if result.text:
                 print(result.text, flush=True)
                 broken[result.rule] += 1
     took = time.monotonic() - began
     print(f"{len(seeds)} seeds, {broken.total()} broken {dict(broken)}; {events} events in {took:.1f} s with "
-          f"{given.jobs} processes, {events / took / given.jobs:.0f} a second and process; {dict(count)}")
+          f"{arguments.jobs} processes, {events / took / arguments.jobs:.0f} a second and process; {dict(counts)}")
     sys.exit(bool(broken))
 
 
--- a/benchmarks/measure/membership.py
+++ b/benchmarks/measure/membership.py
@@ -56,8 +56,8 @@
                         zone=f"region-{number % 2}/zone-{number % 6}")
             seeds = {f"courier-{int(seed[1:]):04d}": address for seed, address in self.seeds.items()}
             courier = Membership(me, seeds, self.limits, random.Random(self.rng.random()), self.now_us)
-            self.couriers[process], self.at[me.address] = courier, process
-            self._push(courier.next_us(), process, None)
+            self.couriers[process], self.process_by_address[me.address] = courier, process
+            self._push_event(courier.next_us(), process, None)
         seal = Weighed(b"k" * 16, "fleet", courier.me.name, self.now_us + 1)
         seal.counts, seal.sizes = self.counts, self.sizes
         self.seals[process] = seal
@@ -71,7 +71,7 @@
     gc.collect()
     base = resident()
     world = Real(couriers, SEED, names == "short")
-    world.form()
+    world.introduce_all()
     for courier in world.couriers.values():
         courier._quiet_rolls = courier._quiet_rolls if asks else QUIET_ROLLS
     gc.collect()
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -21,13 +21,13 @@
 def cost(couriers: int, seed: int, seconds: float) -> str:
     """In quiet, nothing lost."""
     world = World(couriers, seed, sealed=True)
-    world.form()
+    world.introduce_all()
     world.run(2)
     world.sent.clear()
-    world.bytes, world.cpu_s = 0, 0.0
+    world.bytes_sent, world.cpu_s = 0, 0.0
     world.run(seconds)
     each = couriers * seconds
-    return (f"packets {world.sent.total() / each:.2f}/s, bytes {world.bytes / each:.0f}/s, "
+    return (f"packets {world.sent.total() / each:.2f}/s, bytes {world.bytes_sent / each:.0f}/s, "
             f"CPU {world.cpu_s / each * 1e6:.0f} us/s")
 
 
@@ -36,19 +36,20 @@
     took: list[float] = []
     never = 0
     world = World(couriers, seed, loss=loss)
-    world.form()
+    world.introduce_all()
     world.run(3)
     for number in range(count):
         if len(world.running()) < max(3, couriers * 0.9):
             world = World(couriers, seed + 1_000 * number, loss=loss)
-            world.form()
+            world.introduce_all()
             world.run(3)
         victim = world.rng.choice(world.running())
         world.dead.add(victim)
         unaware = set(world.running())
 
         def all_know(world: World = world, victim: str = victim, unaware: set[str] = unaware) -> bool:
-            unaware.difference_update([process for process in unaware if world.sees(process, victim) is State.GONE])
+            unaware.difference_update(
+                [process for process in unaware if world.state_seen(process, victim) is State.GONE])
             return not unaware
 
         seconds = world.run(120, all_know)
@@ -66,11 +67,11 @@
 def falsely(couriers: int, seed: int, seconds: float, loss: float) -> str:
     """Nobody dies: each suspicion that was refuted, and each verdict, is false."""
     world = World(couriers, seed, loss=loss)
-    world.form()
+    world.introduce_all()
     world.run(seconds)
     refuted = sum(courier.me.incarnation for courier in world.couriers.values())
     hours = couriers * seconds / 3_600
-    return (f"{refuted} false suspicions ({refuted / hours:.1f} a courier an hour), {len(world.dead_notes())} false "
+    return (f"{refuted} false suspicions ({refuted / hours:.1f} a courier an hour), {len(world.death_notes())} false "
             f"verdicts in {hours:.1f} courier hours, packets {world.sent.total() / couriers / seconds:.2f}/s")
 
 
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -1,5 +1,5 @@
-"""The fleet's decisions in the simulation: few seeds here, 2,000 by `benchmarks/fleet_simulation.py`. Each broken
-decision below must be found within the seeds that it is given."""
+"""The fleet's decisions in the simulation, for a few seeds; `benchmarks/fleet_simulation.py` runs 2,000. Each of the
+deliberately broken decisions below must be found within the given number of seeds."""
 
 from __future__ import annotations
 
@@ -24,39 +24,47 @@
 from wheelstep.rehearsal.simulation import store
 from wheelstep.rehearsal.simulation.disk import Disk
 from wheelstep.rehearsal.simulation.machine import Machine
-from wheelstep.rehearsal.simulation.nodes import real
-from wheelstep.rehearsal.simulation.run import CALM, Result, Run, crash_points, drawn, twice_over
+from wheelstep.rehearsal.simulation.nodes import make_node
+from wheelstep.rehearsal.simulation.run import (
+    FAULT_FREE,
+    Result,
+    Run,
+    draw_setup,
+    run_crash_points,
+    run_double_takeover,
+)
 from wheelstep.rehearsal.simulation.world import MS, S
 
-Break = Callable[[pytest.MonkeyPatch], None]
+Breakage = Callable[[pytest.MonkeyPatch], None]
 
 
 @pytest.mark.parametrize(("seeds", "couriers"), [(range(0, 3), 3), (range(4, 7), 3), (range(8, 9), 5)], ids=str)
-def test_no_invariant_is_broken(seeds: Iterable[int], couriers: int) -> None:
+def test_real_decisions_break_no_invariant(seeds: Iterable[int], couriers: int) -> None:
     for seed in seeds:
-        result = Run(seed, drawn(seed, couriers), real).play()
+        result = Run(seed, draw_setup(seed, couriers), make_node).execute()
         assert result.text == ""
-        assert result.count["delivered"] > 20
+        assert result.counts["delivered"] > 20
 
 
-def test_crash_points_of_a_move() -> None:
-    result = crash_points(1, real, stride=25)
-    assert result.text == "" and result.count["points"] > 2
+def test_a_crash_at_any_boundary_of_a_move_breaks_no_invariant() -> None:
+    result = run_crash_points(1, make_node, stride=25)
+    assert result.text == "" and result.counts["points"] > 2
 
 
-def test_the_same_seed_plays_the_same_run_in_another_process() -> None:
-    """Whatever the order of its sets of texts."""
-    code = ("from wheelstep.rehearsal.simulation.nodes import real\n"
-            "from wheelstep.rehearsal.simulation.run import Run, drawn\n"
+def test_the_same_seed_gives_the_same_run_under_any_hash_seed() -> None:
+    """The order in which sets of strings are iterated differs between processes; runs must not depend on it."""
+    code = ("from wheelstep.rehearsal.simulation.nodes import make_node\n"
+            "from wheelstep.rehearsal.simulation.run import Run, draw_setup\n"
             "import hashlib\n"
-            "print(hashlib.sha256('\\n'.join(Run(3, drawn(3), real, True).play().lines).encode()).hexdigest())")
-    seen = {subprocess.run([sys.executable, "-c", code], cwd=Path(__file__).parent.parent, check=True, text=True,
-                           capture_output=True, env={**os.environ, "PYTHONHASHSEED": seed}).stdout
-            for seed in ("1", "2")}
-    assert len(seen) == 1
+            "run = Run(3, draw_setup(3), make_node, True)\n"
+            "print(hashlib.sha256('\\n'.join(run.execute().trace_lines).encode()).hexdigest())")
+    digests = {subprocess.run([sys.executable, "-c", code], cwd=Path(__file__).parent.parent, check=True, text=True,
+                              capture_output=True, env={**os.environ, "PYTHONHASHSEED": seed}).stdout
+               for seed in ("1", "2")}
+    assert len(digests) == 1
 
 
-# --- decisions that are broken on purpose ---
+# --- deliberately broken decisions ---
 
 def _ignores_its_lease(patch: pytest.MonkeyPatch) -> None:
     heed = PartCoordinator.heed
@@ -69,7 +77,7 @@
     voted = Node._voted
     patch.setattr(Node, "_voted", lambda self, now_us, answer, records, then: [
         *then(now_us), *voted(self, now_us, answer, records, lambda _: [])])
-    patch.setattr(Disk, "delay", lambda self: 60_000)
+    patch.setattr(Disk, "draw_sync_us", lambda self: 60_000)
 
 
 def _votes_blank(patch: pytest.MonkeyPatch) -> None:
@@ -108,67 +116,70 @@
 @pytest.mark.parametrize(("broken", "seeds"), [
     (_ignores_its_lease, 5), (_votes_blank, 12), (_forgets_positions, 10), (_opens_before_adopting, 8)],
     ids=lambda value: getattr(value, "__name__", ""))
-def test_a_broken_decision_is_found(broken: Break, seeds: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_broken_decision_is_found(broken: Breakage, seeds: int, monkeypatch: pytest.MonkeyPatch) -> None:
     broken(monkeypatch)
-    assert any(Run(seed, drawn(seed, 3), real).play().rule for seed in range(seeds))
+    assert any(Run(seed, draw_setup(seed, 3), make_node).execute().rule for seed in range(seeds))
 
 
-def dark(seed: int) -> Result:
-    """All machines lose their power at a moment right after a part was opened, three times."""
-    run = Run(seed, replace(CALM, faults_us=12 * S), real)
-    opened, seen = run.check.opened, set[tuple[int, int]]()
+def run_with_power_losses(seed: int) -> Result:
+    """Run a fleet in which all machines lose power a millisecond after a part was opened, three times."""
+    run = Run(seed, replace(FAULT_FREE, faults_us=12 * S), make_node)
+    on_part_opened_before, openings = run.check.on_part_opened, set[tuple[int, int]]()
 
-    def watch(courier: str, part: int, epoch: int) -> None:
-        opened(courier, part, epoch)
-        if (part, epoch) not in seen and len(seen) < 3:
-            seen.add((part, epoch))
+    def on_part_opened(courier: str, part: int, epoch: int) -> None:
+        on_part_opened_before(courier, part, epoch)
+        if (part, epoch) not in openings and len(openings) < 3:
+            openings.add((part, epoch))
             for machine in run.fleet.values():
-                run.world.after(MS, machine.crash, True)
-    run.check.opened = watch
-    result = run.play()
-    assert seen
+                run.world.schedule_after(MS, machine.crash, True)
+    run.check.on_part_opened = on_part_opened
+    result = run.execute()
+    assert openings
     return result
 
 
 def test_a_voter_that_answers_before_saving_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert [dark(seed).text for seed in range(2)] == ["", ""]
+    assert [run_with_power_losses(seed).text for seed in range(2)] == ["", ""]
     _answers_before_saving(monkeypatch)
-    assert any(dark(seed).rule for seed in range(4))
+    assert any(run_with_power_losses(seed).rule for seed in range(4))
 
 
-def unanswered_seal(seed: int) -> Result:
-    """The giver hears nothing more from the taker once its `Seal` is out; a while later it dies, and stays away."""
-    run = Run(seed, replace(CALM, messages=24, faults_us=14 * S), real)
-    world, part = run.world, part_of(run.clients[0].channel, CALM.parts)
+def run_with_unanswered_seal(seed: int) -> Result:
+    """Run a fleet in which a giver that has sent its `Seal` receives nothing from the taker for 1.4 s; 2.2 s after the
+    `Seal` it crashes and stays down for 8 s."""
+    run = Run(seed, replace(FAULT_FREE, messages=24, faults_us=14 * S), make_node)
+    world, part = run.world, part_of(run.clients[0].channel, FAULT_FREE.parts)
     pairs: list[tuple[str, str]] = []
 
     def give() -> None:
-        giver = run.fleet[run.owners()[part][0]]
+        giver = run.fleet[run.current_owners()[part][0]]
         to = next(name for name in run.fleet if name != giver.name)
-        giver.enter(giver.life, lambda: giver.do(giver.node.tenure.give(giver.own_us(), part, to)))
-        look(giver)
+        giver.run_event(giver.generation, lambda: giver.perform(giver.node.tenure.give(giver.local_us(), part, to)))
+        cut_off_when_sealed(giver)
 
-    def look(giver: Machine) -> None:
-        sealed = [one.to for one in giver.node.tenure.givers.values() if one.step is Step.HANDING]
+    def cut_off_when_sealed(giver: Machine) -> None:
+        sealed = [move.to for move in giver.node.tenure.givers.values() if move.step is Step.HANDING]
         if not sealed:
-            return world.after(MS // 2, look, giver) if world.now_us < 5 * S and giver.alive else None
+            return world.schedule_after(MS // 2, cut_off_when_sealed, giver) \
+                if world.now_us < 5 * S and giver.alive else None
         pairs.extend((to, giver.name) for to in sealed)
-        world.net.cuts.update(pairs)
-        world.after(1_400 * MS, world.net.cuts.difference_update, pairs)
-        run.faults.down_us[giver.name] = 8 * S
-        world.after(2_200 * MS, giver.crash)
-    world.at(3 * S, give)
-    result = run.play()
+        world.net.blocked_links.update(pairs)
+        world.schedule_after(1_400 * MS, world.net.blocked_links.difference_update, pairs)
+        run.faults.downtime_us[giver.name] = 8 * S
+        world.schedule_after(2_200 * MS, giver.crash)
+    world.schedule_at(3 * S, give)
+    result = run.execute()
     assert pairs
     return result
 
 
 def test_a_giver_that_reopens_after_the_seal_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert [unanswered_seal(seed).text for seed in range(2)] == ["", ""]
+    assert [run_with_unanswered_seal(seed).text for seed in range(2)] == ["", ""]
     _reopens_after_seal(monkeypatch)
-    assert any(unanswered_seal(seed).rule for seed in range(2))
+    assert any(run_with_unanswered_seal(seed).rule for seed in range(2))
 
 
-def test_a_former_owner_that_takes_over_again_does_not_take_a_position_back() -> None:
-    """Once, its own old position became the channel's, though another had served it since."""
-    assert [twice_over(seed, real).text for seed in (0, 3)] == ["", ""]
+def test_a_former_owner_that_takes_over_again_does_not_restore_an_old_position() -> None:
+    """Guards against a fault in which the former owner's old position became the channel's, although another courier
+    had served the channel in the meantime."""
+    assert [run_double_takeover(seed, make_node).text for seed in (0, 3)] == ["", ""]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -37,7 +37,7 @@
     world.dead.add("c1")
     assert world.run(within_s, lambda: world.all_see(["c1"], GONE)) is not None
     assert world.all_see(set(world.couriers) - {"c1"}, ALIVE) and not world.couriers["c0"].refused["malformed"]
-    assert all("c1" in text for text in world.dead_notes())
+    assert all("c1" in text for text in world.death_notes())
 
 
 @pytest.mark.parametrize("count", [3, 30])
@@ -45,9 +45,9 @@
 def test_at_20_percent_loss_no_member_is_declared_gone_and_a_death_is_detected(count: int, seed: int) -> None:
     """Lost probes must be covered by indirect probes and refutation."""
     world = World(count, seed, loss=0.2)
-    world.form()
+    world.introduce_all()
     world.run(240 if count == 3 else 60)  # 480 and 120 periods
-    assert not world.dead_notes() and world.all_see(world.couriers, {State.ALIVE, State.SUSPECT})
+    assert not world.death_notes() and world.all_see(world.couriers, {State.ALIVE, State.SUSPECT})
     assert sum(courier.me.incarnation for courier in world.couriers.values()) > 0  # some suspicions were refuted
     world.dead.add("c1")
     assert world.run(40, lambda: world.all_see(["c1"], GONE)) is not None
@@ -57,23 +57,23 @@
 def test_with_a_one_way_link_no_member_is_declared_gone(count: int) -> None:
     """A member whose packets are lost only towards one courier must be reached through others."""
     world = World(count, 1)
-    world.form()
-    world.cut = lambda sender, receiver: (sender, receiver) == ("c0", "c1")
+    world.introduce_all()
+    world.link_blocked = lambda sender, receiver: (sender, receiver) == ("c0", "c1")
     world.run(120)
-    assert not world.dead_notes() and world.sent["PingReq"] > 0
+    assert not world.death_notes() and world.sent["PingReq"] > 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_stalled_courier_suspects_nobody_and_rejoins(seed: int) -> None:
     """Packets missed during a stall must not count as failures of others."""
     world = World(12, seed)
-    world.form()
+    world.introduce_all()
     world.run(5)
-    world.stop("c1")
+    world.pause("c1")
     world.run(20)
     assert world.all_see(["c1"], GONE)
     world.notes.clear()
-    world.wake("c1")
+    world.resume("c1")
     assert world.run(10, lambda: world.all_see(world.couriers, ALIVE)) is not None
     assert world.couriers["c1"].me.incarnation == 1
     assert [text for _, _, text in world.notes] == ["fleet: this courier was stalled for "
@@ -81,29 +81,29 @@
                                                     "meanwhile are ignored"]
     # It suspected nobody, so no other courier had to refute.
     world.run(10)
-    assert sum(courier.me.incarnation for courier in world.couriers.values()) == 1 and not world.dead_notes()
+    assert sum(courier.me.incarnation for courier in world.couriers.values()) == 1 and not world.death_notes()
 
 
 def test_partition_heals() -> None:
     """Members declared gone on both sides must be retried, or the halves stay apart."""
     world = World(20, 5)
-    world.form()
+    world.introduce_all()
     world.run(3)
     left = {f"c{number}" for number in range(10)}
     right = set(world.couriers) - left
-    world.cut = lambda sender, receiver: (sender in left) != (receiver in left)
+    world.link_blocked = lambda sender, receiver: (sender in left) != (receiver in left)
     assert world.run(60, lambda: world.all_see(left, GONE, right) and world.all_see(right, GONE, left)) is not None
     world.notes.clear()
-    world.cut = lambda sender, receiver: False
+    world.link_blocked = lambda sender, receiver: False
     assert world.run(30, lambda: world.all_see(world.couriers, ALIVE)) is not None
     world.run(10)
-    assert not world.dead_notes()
+    assert not world.death_notes()
 
 
 def test_duplicate_name_is_refused_until_the_first_courier_is_dead() -> None:
     """Two couriers with one name would share leases."""
     world = World(5, 1)
-    world.form()
+    world.introduce_all()
     world.run(3)
     world.add("twin", name="c3", incarnation=50)
     world.run(20)
@@ -124,21 +124,21 @@
 
 def test_leaving_member_is_not_declared_dead() -> None:
     world = World(6, 2)
-    world.form()
+    world.introduce_all()
     world.run(2)
-    world._act("c2", world.couriers["c2"].leave(world.now_us))
+    world._perform("c2", world.couriers["c2"].leave(world.now_us))
     assert world.run(5, lambda: world.all_see(["c2"], {State.LEAVING})) is not None
     world.run(20)
     assert world.all_see(["c2"], {State.LEAVING})
-    world._act("c2", world.couriers["c2"].announce_gone(world.now_us))
+    world._perform("c2", world.couriers["c2"].announce_gone(world.now_us))
     assert world.run(5, lambda: world.all_see(["c2"], GONE)) is not None
-    assert not world.dead_notes() and "c2" not in world.couriers["c2"].members()
+    assert not world.death_notes() and "c2" not in world.couriers["c2"].members()
 
 
 def test_death_of_a_leaving_member_is_detected() -> None:
     world = World(6, 2, loss=0.1)
-    world.form()
-    world._act("c2", world.couriers["c2"].leave(world.now_us))
+    world.introduce_all()
+    world._perform("c2", world.couriers["c2"].leave(world.now_us))
     world.run(60)
     assert world.all_see(["c2"], {State.LEAVING})
     world.dead.add("c2")
--- a/wheelstep/rehearsal/simulation/__init__.py
+++ b/wheelstep/rehearsal/simulation/__init__.py
@@ -1,8 +1,8 @@
-"""A fleet in one process and one thread: network, clocks, disks and crashes drawn from one seed, around the decision
-modules that the daemon runs. The same seed plays the same run, event by event.
+"""Simulates a fleet in one process and one thread. The decision modules are those that the daemon runs; network,
+clocks, disks and crashes are simulated and drawn from one seed. The same seed gives the same run, event by event.
 
-Imports `wheelstep.fleet`, `wheelstep.moves` and `wheelstep.channels`; nothing of the daemon imports it. Reading order:
-`world` (time and links), `disk`, `ports`, `machine` (a process around a node),
-`store`, `attempts`, `content`, `partners`, `clients`, `faults`
-(what is drawn), `check` (the invariants), `run`, `nodes`. Apart from these: `membership_world`, membership alone.
+Imports `wheelstep.fleet`, `wheelstep.moves` and `wheelstep.channels`; no module of the daemon imports it. Reading
+order: `world` (time and links), `disk`, `ports`, `machine` (a process around a node), `store`, `attempts`, `content`,
+`partners`, `clients`, `faults`, `check` (the invariants), `run`, `nodes`. `membership_world` stands alone and simulates
+membership only.
 """
--- a/wheelstep/rehearsal/simulation/attempts.py
+++ b/wheelstep/rehearsal/simulation/attempts.py
@@ -1,8 +1,8 @@
-"""A stand-in for the daemon's decision module: what the book releases is sent at once, and again after a refusal or an
-unknown outcome where the contract lets it. The attempt is journalled before; epoch and contract are asked right before
-the send.
+"""A stand-in for the daemon's decision module. It sends what the book releases at once, and again after a refusal or an
+unknown outcome where the contract allows it. Each attempt is journalled before it is sent; epoch and contract are
+checked right before the send.
 
-Imports `wheelstep.channels` and its neighbours.
+Imports `wheelstep.channels` and neighbouring modules.
 """
 
 from __future__ import annotations
@@ -11,126 +11,133 @@
 
 from wheelstep.channels.contracts import part_of
 from wheelstep.channels.terms import End
-from wheelstep.rehearsal.simulation.check import Check
+from wheelstep.rehearsal.simulation.check import InvariantChecker
 from wheelstep.rehearsal.simulation.machine import Machine
 from wheelstep.rehearsal.simulation.partners import OK, REFUSED, Partners
 from wheelstep.rehearsal.simulation.store import Message, Store
 from wheelstep.rehearsal.simulation.world import MS, S
 
-CALL_US = S  # an attempt without an answer has an unknown outcome after so long
-TRIES = 6
+CALL_TIMEOUT_US = S  # an attempt without an answer by then has an unknown outcome
+MAX_ATTEMPTS = 6
 
 
 class Attempts:
-    """`may` gives the epoch under which a part may be sent for right now."""
+    """Sends the messages of one process. `servable_epoch` returns the epoch under which a part's messages may be sent
+    now, None if they may not."""
 
-    def __init__(self, machine: Machine, store: Store, partners: Partners, check: Check,
-                 may: Callable[[int], int | None]) -> None:
-        self.machine, self._store, self._partners, self._check, self._may = machine, store, partners, check, may
-        self._waiting: dict[str, None] = {}  # released, and an attempt is due or waits for the lease
+    def __init__(self, machine: Machine, store: Store, partners: Partners, check: InvariantChecker,
+                 servable_epoch: Callable[[int], int | None]) -> None:
+        self.machine, self._store, self._partners, self._check, self._servable_epoch = \
+            machine, store, partners, check, servable_epoch
+        self._waiting: dict[str, None] = {}  # released messages whose next attempt is due or waits for the lease
 
-    def _part(self, held: Message) -> int:
-        return part_of(held.channel, self._store.parts)
+    def _part(self, record: Message) -> int:
+        return part_of(record.channel, self._store.parts)
 
-    def pump(self) -> None:
-        """Whatever the book gives out now."""
+    def start_released(self) -> None:
+        """Schedule an attempt for each message that the book releases, and report the ends that it decides."""
         store = self._store
-        for one in store.book.release(store.now_ms()):
-            if isinstance(one, End):
-                self._ended(one.message, one.how)
+        for released in store.book.release(store.now_ms()):
+            if isinstance(released, End):
+                self._record_end(released.message, released.how)
             else:
-                self._soon(one.message, 300)
+                self._schedule_attempt(released.message, 300)
         store.flush()
 
-    def again(self, part: int) -> None:
-        """The part is open again: go on with what was given out."""
+    def resume_part(self, part: int) -> None:
+        """Schedule an attempt for each waiting message of a part that is open again."""
         for message in [one for one in self._waiting if self._part(self._store.messages[one]) == part]:
-            self._soon(message, 300)
+            self._schedule_attempt(message, 300)
 
     def forget(self, message: str) -> None:
-        """It is another's now."""
+        """Drop a message that this process no longer owes."""
         self._waiting.pop(message, None)
 
-    def _soon(self, message: str, in_us: int) -> None:
+    def _schedule_attempt(self, message: str, delay_us: int) -> None:
         self._waiting[message] = None
-        self.machine.later(in_us, self._begin, message)
+        self.machine.schedule_local(delay_us, self._start_attempt, message)
 
-    def _begin(self, message: str) -> None:
-        held = self._store.messages.get(message)
-        if held is None or held.out or held.end or message not in self._waiting or self._may(self._part(held)) is None:
+    def _start_attempt(self, message: str) -> None:
+        record = self._store.messages.get(message)
+        if record is None or record.in_flight or record.end or message not in self._waiting \
+                or self._servable_epoch(self._part(record)) is None:
             return
         del self._waiting[message]
-        held.out = True
-        held.attempts += 1
-        doubted, held.doubt = held.doubt, True
-        self.machine.sync(self._store.file, self._store.put(message), lambda: self._send(message, held, doubted))
+        record.in_flight = True
+        record.attempts += 1
+        may_have_run_before, record.may_have_run = record.may_have_run, True
+        self.machine.sync(self._store.file, self._store.save_message(message),
+                          lambda: self._send(message, record, may_have_run_before))
 
-    def _send(self, message: str, held: Message, doubted: bool) -> None:
+    def _send(self, message: str, record: Message, may_have_run_before: bool) -> None:
         store = self._store
-        if store.messages.get(message) is not held:
+        if store.messages.get(message) is not record:
             return
-        epoch = self._may(self._part(held))
+        epoch = self._servable_epoch(self._part(record))
         if epoch is None or not store.book.may_send(store.now_ms(), message):
-            held.out, held.doubt = False, doubted
-            if doubted and epoch is not None and not store.book.may_repeat(message):
-                self.end(message, "failed")
+            record.in_flight, record.may_have_run = False, may_have_run_before
+            if may_have_run_before and epoch is not None and not store.book.may_repeat(message):
+                self.end_message(message, "failed")
             else:
-                store.put(message)
-                self._soon(message, 100 * MS)  # the lease may come back, or what is before it end
+                store.save_message(message)
+                self._schedule_attempt(message, 100 * MS)  # by then the lease may be back, or a blocking message ended
             return
-        self.machine.boundary()
-        self._partners.call(self.machine, self._part(held), held.channel, held.number, epoch, message,
-                            lambda answer: self._outcome(message, held, held.attempts, answer))
-        self.machine.later(CALL_US, self._outcome, message, held, held.attempts, "")
+        self.machine.pass_boundary()
+        self._partners.call(self.machine, self._part(record), record.channel, record.number, epoch, message,
+                            lambda answer: self._on_outcome(message, record, record.attempts, answer))
+        self.machine.schedule_local(CALL_TIMEOUT_US, self._on_outcome, message, record, record.attempts, "")
 
-    def _outcome(self, message: str, held: Message, attempt: int, answer: str) -> None:
+    def _on_outcome(self, message: str, record: Message, attempt: int, answer: str) -> None:
         store = self._store
-        if not held.out or held.attempts != attempt or store.messages.get(message) is not held:
+        if not record.in_flight or record.attempts != attempt or store.messages.get(message) is not record:
             return
-        held.out = False
-        if answer == REFUSED and held.attempts == 1:
-            held.doubt = False
+        record.in_flight = False
+        if answer == REFUSED and record.attempts == 1:
+            record.may_have_run = False
         if answer == OK:
-            self.end(message, "delivered")
-        elif held.attempts >= TRIES or (answer != REFUSED and not store.book.may_repeat(message)):
-            self.end(message, "failed", answer != REFUSED)
+            self.end_message(message, "delivered")
+        elif record.attempts >= MAX_ATTEMPTS or (answer != REFUSED and not store.book.may_repeat(message)):
+            self.end_message(message, "failed", answer != REFUSED)
         else:
             if answer != REFUSED:
                 store.book.attempt_unclear(store.now_ms(), message)
             store.flush()
-            store.put(message)
-            self._soon(message, 20 * MS)
+            store.save_message(message)
+            self._schedule_attempt(message, 20 * MS)
 
-    def end(self, message: str, outcome: str, unclear: bool = False) -> None:
-        """The position first, then the message; the end is told once both are safe."""
+    def end_message(self, message: str, outcome: str, unclear: bool = False) -> None:
+        """End a message: write the channel's position, then the message, and report the end once both are synced.
+        `unclear` says that the last call may have run."""
         self._store.book.ended(self._store.now_ms(), message, outcome, unclear)
         self._store.flush()
-        self._ended(message, outcome)
-        self.pump()
-
-    def _ended(self, message: str, outcome: str) -> None:
-        held = self._store.messages[message]
-        held.end = f"{outcome}/{self._store.epochs.get(self._part(held), 0)}/{self.machine.name}"
-        held.out = False
-        self._store.put(message)
-        self.tell(message)
-
-    def end_here(self, message: str) -> None:
-        """Its finder ends it by a notice: handed back if it surely never ran."""
-        held = self._store.messages[message]
-        held.end = held.end or f"{'failed' if held.doubt else 'handed back'}/-/{self.machine.name}"
-        self._store.put(message)
-        self.tell(message, True)
-
-    def tell(self, message: str, finder: bool = False) -> None:
-        """Its end, and forget it; where the part is another's by now the end waits, unless a `finder` is to tell it."""
-        store, held = self._store, self._store.messages[message]
+        self._record_end(message, outcome)
+        self.start_released()
+
+    def _record_end(self, message: str, outcome: str) -> None:
+        record = self._store.messages[message]
+        record.end = f"{outcome}/{self._store.epochs.get(self._part(record), 0)}/{self.machine.name}"
+        record.in_flight = False
+        self._store.save_message(message)
+        self.report_end(message)
+
+    def end_orphan(self, message: str) -> None:
+        """End a message of a part that another courier owns: "handed back" if it never ran, else "failed"."""
+        record = self._store.messages[message]
+        record.end = record.end or f"{'failed' if record.may_have_run else 'handed back'}/-/{self.machine.name}"
+        self._store.save_message(message)
+        self.report_end(message, True)
+
+    def report_end(self, message: str, orphaned: bool = False) -> None:
+        """Report a message's end once it is synced, and remove the message. If the part isn't served here by then, the
+        message waits until the part is opened here again or dropped; an `orphaned` one is reported in any case."""
+        store, record = self._store, self._store.messages[message]
         self.forget(message)
 
-        def told() -> None:
-            if store.messages.get(message) is not held or (not finder and self._may(self._part(held)) is None):
+        def on_synced() -> None:
+            if store.messages.get(message) is not record \
+                    or (not orphaned and self._servable_epoch(self._part(record)) is None):
                 return
-            self._check.ended(self.machine.name, message, held.end)
-            self.machine.boundary()
-            store.over(message)
-        self.machine.sync(store.file, store.file.place, told)
+            self._check.on_ended(self.machine.name, message, record.end)
+            self.machine.pass_boundary()
+            store.remove_message(message)
+        self.machine.sync(store.file, store.file.end_offset, on_synced)
--- a/wheelstep/rehearsal/simulation/check.py
+++ b/wheelstep/rehearsal/simulation/check.py
@@ -1,7 +1,7 @@
-"""The invariants of docs/design/channels.md, held against a run as it goes and at its end.
+"""Checks the invariants of docs/design/channels.md during a run and at its end.
 
-What only one disk knew when that disk was lost, or was replaced by an older copy of itself, is set apart: such
-messages may miss their end, and their channels' positions may begin anew. Imports its neighbour `world` alone.
+Messages that only one disk held when that disk was lost or replaced by an older copy of itself are excused: they may
+miss their end, and the positions of their channels may start again. Imports only the neighbouring module `world`.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 NOT_BACK = "5 a position never goes back"
 LIVE = "6 after the faults every part has an owner and what waits is delivered"
 
-WIDE = 3  # messages that a channel with a window has out
+WINDOW_SIZE = 3  # messages that a channel with a window may have in flight
 
 
 class ViolationError(Exception):
-    """An invariant does not hold; the text says which, when and for what."""
+    """An invariant does not hold; `rule` names it, and the text says when and for what."""
 
     def __init__(self, rule: str, text: str) -> None:
         super().__init__(text)
@@ -34,8 +34,8 @@
 
 
 @dataclass(slots=True)
-class Told:
-    """A message that a client heard 202 for."""
+class AcceptedMessage:
+    """A message for which a client received 202."""
 
     channel: str
     number: int
@@ -44,109 +44,119 @@
 
 
 @dataclass
-class Check:
-    """Hooks that content, partners and clients call at the moment in true time."""
+class InvariantChecker:
+    """Hooks that content, partners, clients and faults call in the order of true time. Each raises `ViolationError` if
+    an invariant does not hold."""
 
     world: World
-    told: dict[str, Told] = field(default_factory=dict)
-    ends: dict[str, str] = field(default_factory=dict)  # message -> its end as told
-    apart: set[str] = field(default_factory=set)  # messages that only a lost disk knew
-    shaky: set[str] = field(default_factory=set)  # channels whose position a disk lost
-    count: Counter[str] = field(default_factory=Counter)
-    _epochs: dict[int, tuple[int, str]] = field(default_factory=dict)  # part -> latest first byte's epoch, owner
-    _owners: dict[tuple[int, int], str] = field(default_factory=dict)
-    _numbers: dict[tuple[str, int], str] = field(default_factory=dict)
-    _seen: dict[str, int] = field(default_factory=dict)  # channel -> highest number that a partner saw
-    _next: dict[str, int] = field(default_factory=dict)
-    _called: dict[str, bool] = field(default_factory=dict)  # may the last call have run?
-
-    def fail(self, rule: str, *about: object) -> None:
-        """This run is over."""
-        text = " ".join(str(one) for one in about)
+    accepted_messages: dict[str, AcceptedMessage] = field(default_factory=dict)
+    ends: dict[str, str] = field(default_factory=dict)  # message -> its end as reported
+    excused_messages: set[str] = field(default_factory=set)  # messages that only a lost disk held
+    excused_channels: set[str] = field(default_factory=set)  # channels whose position a disk lost
+    counts: Counter[str] = field(default_factory=Counter)  # events, outcomes and faults by name
+    _latest_epochs: dict[int, tuple[int, str]] = field(default_factory=dict)  # part -> latest first byte's epoch, owner
+    _owners_by_epoch: dict[tuple[int, int], str] = field(default_factory=dict)  # part, epoch -> owner
+    _numbers: dict[tuple[str, int], str] = field(default_factory=dict)  # channel, number -> message
+    _highest_numbers: dict[str, int] = field(default_factory=dict)  # channel -> highest number that a partner saw
+    _next_numbers: dict[str, int] = field(default_factory=dict)  # channel -> highest next number that a client received
+    _last_call_may_have_run: dict[str, bool] = field(default_factory=dict)  # by message
+
+    def fail(self, rule: str, *details: object) -> None:
+        """Raise `ViolationError`, with the seed, the time and the details in its text."""
+        text = " ".join(str(one) for one in details)
         raise ViolationError(rule, f"seed {self.world.seed} at {self.world.now_us / 1e6:.6f} s: {rule}: {text}")
 
     def _excused(self, message: str) -> bool:
-        return message in self.apart or message.split("#")[0] in self.shaky
+        return message in self.excused_messages or message.split("#")[0] in self.excused_channels
 
-    def opened(self, courier: str, part: int, epoch: int) -> None:
-        """A courier serves a part from now on."""
-        self.count["opened"] += 1
-        owner = self._owners.setdefault((part, epoch), courier)
+    def on_part_opened(self, courier: str, part: int, epoch: int) -> None:
+        """Note that a courier serves a part from now on; an epoch may have one owner only."""
+        self.counts["opened"] += 1
+        owner = self._owners_by_epoch.setdefault((part, epoch), courier)
         if owner != courier:
             self.fail(ONE_OWNER, f"part {part} epoch {epoch}: {owner} and {courier}")
 
-    def first_byte(self, courier: str, part: int, epoch: int, channel: str, number: int, message: str) -> None:
-        """Of an attempt."""
-        self.count["calls"] += 1
-        self.opened(courier, part, epoch)
-        latest, whose = self._epochs.get(part, (0, ""))
+    def on_first_byte(self, courier: str, part: int, epoch: int, channel: str, number: int, message: str) -> None:
+        """Check the first byte of an attempt: epoch, order in the channel, and repetition."""
+        self.counts["calls"] += 1
+        self.on_part_opened(courier, part, epoch)
+        latest, latest_owner = self._latest_epochs.get(part, (0, ""))
         if epoch < latest:
-            self.fail(EPOCHS_RISE, f"{courier} sent {message} of part {part} under {epoch}, {whose} was at {latest}")
-        self._epochs[part] = epoch, courier
-        seen = self._seen.get(channel, 0)
-        again = message in self._called
-        late = not again and number <= seen - WIDE if channel.startswith("wide") else number < seen
-        if late and channel not in self.shaky:
-            self.fail(IN_ORDER, f"{courier} sent {message} after number {seen}")
-        self._seen[channel] = max(number, seen)
-        if channel.startswith("once") and self._called.get(message) and channel not in self.shaky:
+            self.fail(EPOCHS_RISE,
+                      f"{courier} sent {message} of part {part} under {epoch}, {latest_owner} was at {latest}")
+        self._latest_epochs[part] = epoch, courier
+        highest = self._highest_numbers.get(channel, 0)
+        repeated = message in self._last_call_may_have_run
+        out_of_order = not repeated and number <= highest - WINDOW_SIZE if channel.startswith("wide") \
+            else number < highest
+        if out_of_order and channel not in self.excused_channels:
+            self.fail(IN_ORDER, f"{courier} sent {message} after number {highest}")
+        self._highest_numbers[channel] = max(number, highest)
+        if channel.startswith("once") and self._last_call_may_have_run.get(message) \
+                and channel not in self.excused_channels:
             self.fail(RUN_ONCE, f"{courier} sent {message} again")
-        self._called[message] = True
+        self._last_call_may_have_run[message] = True
 
-    def refused(self, message: str) -> None:
-        """A courier has heard that a call did not run."""
-        self._called[message] = False
+    def on_refused(self, message: str) -> None:
+        """Note that a courier has received the answer that a call did not run."""
+        self._last_call_may_have_run[message] = False
 
-    def accepted(self, courier: str, part: int, channel: str, number: int, message: str, then: int) -> None:
-        """A client heard 202; the next number expected is `then`."""
-        self.count["accepted"] += 1
+    def on_accepted(self, courier: str, part: int, channel: str, number: int, message: str, next_number: int) -> None:
+        """Check a 202 that a client has received, with the next number expected."""
+        self.counts["accepted"] += 1
         other = self._numbers.setdefault((channel, number), message)
-        if other != message and channel not in self.shaky:
+        if other != message and channel not in self.excused_channels:
             self.fail(GIVEN_ONCE, f"{courier} gave number {number} to {message}, {other} had it")
-        self.told.setdefault(message, Told(channel, number, part, courier))
-        self.position(courier, channel, then)
-
-    def position(self, courier: str, channel: str, then: int) -> None:
-        """A client heard of the next number expected."""
-        if then < self._next.get(channel, 0) and channel not in self.shaky:
-            self.fail(NOT_BACK, f"{courier} told {then} for {channel}, {self._next[channel]} was told before")
-        self._next[channel] = max(then, self._next.get(channel, 0))
-
-    def ended(self, courier: str, message: str, outcome: str) -> None:
-        """An end (`outcome/epoch/courier`) is on disk and told; after a crash the same may be told again."""
-        self.count[outcome.split("/")[0]] += 1
-        before = self.ends.setdefault(message, outcome)
-        if before != outcome and not self._excused(message):
-            self.fail(END_ONCE, f"{message}: {before}, then {courier} told {outcome}")
-
-    def dropped(self, courier: str, messages: Iterable[str], kept: Callable[[str], bool]) -> None:
-        """A courier forgets these; `kept`: does another disk hold it?"""
+        self.accepted_messages.setdefault(message, AcceptedMessage(channel, number, part, courier))
+        self.on_position(courier, channel, next_number)
+
+    def on_position(self, courier: str, channel: str, next_number: int) -> None:
+        """Check the next number expected that a client has received: it must not fall."""
+        if next_number < self._next_numbers.get(channel, 0) and channel not in self.excused_channels:
+            self.fail(NOT_BACK,
+                      f"{courier} answered {next_number} for {channel}, {self._next_numbers[channel]} came before")
+        self._next_numbers[channel] = max(next_number, self._next_numbers.get(channel, 0))
+
+    def on_ended(self, courier: str, message: str, outcome: str) -> None:
+        """Check an end (`outcome/epoch/courier`) that is on disk and reported; a crash may repeat the same report."""
+        self.counts[outcome.split("/")[0]] += 1
+        reported = self.ends.setdefault(message, outcome)
+        if reported != outcome and not self._excused(message):
+            self.fail(END_ONCE, f"{message}: {reported}, then {courier} reported {outcome}")
+
+    def on_dropped(self, courier: str, messages: Iterable[str], held_elsewhere: Callable[[str], bool]) -> None:
+        """Check messages that a courier removes before their end; `held_elsewhere` returns whether another disk holds
+        one."""
         for message in messages:
-            if message in self.told and message not in self.ends and not self._excused(message) and not kept(message):
+            if message in self.accepted_messages and message not in self.ends and not self._excused(message) \
+                    and not held_elsewhere(message):
                 self.fail(ON_DISK, f"{courier} drops {message}, which no other disk holds")
 
-    def forgotten(self, channels: Iterable[str], messages: Iterable[str], held: Callable[[str], bool]) -> None:
-        """A disk is not what it was: these channels were on it, and these messages are told otherwise by it now."""
-        self.shaky.update(channels)
-        self.apart.update(messages)
-        for message, told in self.told.items():
-            if message not in self.ends and not held(message):
-                self.apart.add(message)
-                self.shaky.add(told.channel)
-
-    def owners(self, owners: dict[int, list[str]]) -> None:
-        """Who may send for each part at this moment, by themselves: nobody or one."""
+    def on_disk_replaced(self, channels: Iterable[str], messages: Iterable[str],
+                         held_on_disk: Callable[[str], bool]) -> None:
+        """Excuse what a disk that lost data, or was replaced, affects: `channels` that were or are on it, `messages` on
+        which the old and the new state differ, and unended ones for which `held_on_disk` is false on every disk."""
+        self.excused_channels.update(channels)
+        self.excused_messages.update(messages)
+        for message, accepted in self.accepted_messages.items():
+            if message not in self.ends and not held_on_disk(message):
+                self.excused_messages.add(message)
+                self.excused_channels.add(accepted.channel)
+
+    def check_owners(self, owners: dict[int, list[str]]) -> None:
+        """Check that at most one courier considers itself the owner of a part; `owners` lists those that do."""
         for part, names in owners.items():
             if len(names) > 1:
-                self.fail(ONE_OWNER, f"part {part} is sent for by {' and '.join(names)} at one time")
+                self.fail(ONE_OWNER, f"part {part} is owned by {' and '.join(names)} at the same time")
 
-    def final(self, owners: dict[int, list[str]], waiting: list[str]) -> None:
-        """After the quiet time: `owners` of each part, by themselves; channels whose clients are not done."""
+    def check_final(self, owners: dict[int, list[str]], unfinished: list[str]) -> None:
+        """Check the state after the quiet time: each part has one owner, each accepted message its end, and no channel
+        is among the `unfinished`, whose clients still have messages to submit."""
         for part, names in owners.items():
             if len(names) != 1:
                 self.fail(LIVE, f"part {part} has {' and '.join(names) or 'no owner'}")
-        for message, told in self.told.items():
+        for message, accepted in self.accepted_messages.items():
             if message not in self.ends and not self._excused(message):
-                self.fail(LIVE, f"{message}, taken by {told.courier}, has no end")
-        if stuck := [channel for channel in waiting if channel not in self.shaky]:
-            self.fail(LIVE, f"{', '.join(stuck)}: the client could not hand in all")
+                self.fail(LIVE, f"{message}, accepted by {accepted.courier}, has no end")
+        if stuck := [channel for channel in unfinished if channel not in self.excused_channels]:
+            self.fail(LIVE, f"{', '.join(stuck)}: the client could not submit all messages")
--- a/wheelstep/rehearsal/simulation/content.py
+++ b/wheelstep/rehearsal/simulation/content.py
@@ -1,6 +1,6 @@
-"""A courier's `Content` in the simulation: takes hand-ins of clients, and gives, takes and forgets parts.
+"""A simulated courier's `Content` (`wheelstep.fleet.content`): accepts messages, and hands over and drops parts.
 
-Imports `wheelstep.channels`, `wheelstep.moves.types` and its neighbours.
+Imports `wheelstep.channels`, `wheelstep.moves.types` and neighbouring modules.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from wheelstep.channels.contracts import part_of
 from wheelstep.moves.types import Piece
 from wheelstep.rehearsal.simulation.attempts import Attempts
-from wheelstep.rehearsal.simulation.check import Check
-from wheelstep.rehearsal.simulation.disk import held
+from wheelstep.rehearsal.simulation.check import InvariantChecker
+from wheelstep.rehearsal.simulation.disk import is_held
 from wheelstep.rehearsal.simulation.machine import Machine
 from wheelstep.rehearsal.simulation.partners import Partners
 from wheelstep.rehearsal.simulation.store import CONTRACTS, Message, Store, decode
@@ -21,43 +21,43 @@
 
 
 class SimContent:
-    """Of one life of a machine; built from what its disk holds."""
+    """The channels and messages of one process, restored from its machine's disk."""
 
-    def __init__(self, machine: Machine, parts: int, check: Check, partners: Partners) -> None:
+    def __init__(self, machine: Machine, parts: int, check: InvariantChecker, partners: Partners) -> None:
         self.machine, self._check = machine, check
         self.version = 1
-        self.store = store = Store(machine.disk.journal, parts, lambda: machine.own_us() // 1000, machine.boundary)
-        self.served: dict[int, int] = {}  # part -> epoch
-        self._shut: set[int] = set()
-        self.attempts = Attempts(machine, store, partners, check, self.may)
-        for end in store.cut:
+        self.store = store = Store(
+            machine.disk.journal, parts, lambda: machine.local_us() // 1000, machine.pass_boundary)
+        self.served_epochs: dict[int, int] = {}  # part -> epoch
+        self._closed_parts: set[int] = set()
+        self.attempts = Attempts(machine, store, partners, check, self.servable_epoch)
+        for end in store.interrupted_ends:
             store.messages[end.message].end = f"{end.how}/-/{machine.name}"
-        for one in [one for one, mine in store.messages.items() if not mine.end and not store.book.holds(one)]:
-            del store.messages[one]  # withdrawn: nobody heard 202
+        for one in [one for one, record in store.messages.items() if not record.end and not store.book.holds(one)]:
+            del store.messages[one]  # withdrawn: no client received 202
 
     def next_us(self) -> int:
-        """When the book wants to be asked again."""
+        """Return when the book's next timer is due, by the machine's clock; `NEVER_US` if there is none."""
         next_ms = self.store.book.next_ms()
         return NEVER_US if next_ms is None else next_ms * 1000
 
     def tick(self, now_us: int) -> None:
-        """It is asked."""
-        self.attempts.pump()
+        """Handle the book's timers that are due."""
+        self.attempts.start_released()
 
-    def may(self, part: int) -> int | None:
-        """The epoch under which the part is served right now."""
-        if part in self._shut or part not in self.served:
+    def servable_epoch(self, part: int) -> int | None:
+        """Return the epoch under which the part is served now, None if it isn't."""
+        if part in self._closed_parts or part not in self.served_epochs:
             return None
-        epoch = self.machine.node.epoch(part, self.machine.own_us())
-        return epoch if self.served[part] == epoch else None
+        epoch = self.machine.node.epoch(part, self.machine.local_us())
+        return epoch if self.served_epochs[part] == epoch else None
 
-    # --- clients ---
-
-    def hand_in(self, channel: str, number: int, message: str, answer: Callable[[int, int, str], None]) -> None:
-        """`answer` hears status (200 for what has ended), next number expected and owner."""
+    def submit(self, channel: str, number: int, message: str, answer: Callable[[int, int, str], None]) -> None:
+        """Accept or reject a message. `answer` gets the status (200: it has ended before), the next number expected,
+        and the owner's name with 503, or the reason with 409."""
         store, now_ms = self.store, self.store.now_ms()
         part = part_of(channel, store.parts)
-        epoch = self.may(part)
+        epoch = self.servable_epoch(part)
         contract = CONTRACTS.named(channel.partition("/")[0])
         assert contract is not None
         if epoch is None:
@@ -67,166 +67,165 @@
             return answer(409, verdict.next, verdict.why)
         if isinstance(verdict, Again):
             status = 202 if verdict.outcome is None else 200
-            return self.machine.sync(store.file, store.file.place, lambda: answer(status, verdict.next, ""))
+            return self.machine.sync(store.file, store.file.end_offset, lambda: answer(status, verdict.next, ""))
         store.book.take(now_ms, channel, message, verdict.number)
         store.flush()
-        mine = store.messages[message] = Message(channel, verdict.number)
+        record = store.messages[message] = Message(channel, verdict.number)
 
-        def taken() -> None:
-            if store.messages.get(message) is not mine:
+        def on_synced() -> None:
+            if store.messages.get(message) is not record:
                 return answer(503, 0, "")
-            if self.may(part) != epoch:
+            if self.servable_epoch(part) != epoch:
                 store.book.withdraw(store.now_ms(), message)
                 store.flush()
-                store.over(message)
+                store.remove_message(message)
                 return answer(503, 0, "")
             answer(202, verdict.next, "")
-            self.machine.boundary()
+            self.machine.pass_boundary()
             store.book.said(store.now_ms(), message)
-            self.attempts.pump()
-        self.machine.sync(store.file, store.put(message), taken)
-
-    # --- Content ---
+            self.attempts.start_released()
+        self.machine.sync(store.file, store.save_message(message), on_synced)
 
     def pieces(self, part: int) -> list[Piece]:
-        """As it stands."""
+        """Return all pieces of a part, and start recording its changes for `changed`."""
         self.store.flush()
-        self.store.news[part] = {}
-        names = ["c:" + one for one in self.store.book.channels(part)] + ["m:" + one for one in self.store.of(part)]
+        self.store.changed_pieces[part] = {}
+        names = ["c:" + one for one in self.store.book.channels(part)] \
+            + ["m:" + one for one in self.store.messages_of(part)]
         inherited = [Piece("inherited", b"1")] if self.store.book.inherited(part) else []
-        return inherited + [Piece(name, self.store.piece(name)) for name in names]
+        return inherited + [Piece(name, self.store.encode_piece(name)) for name in names]
 
     def changed(self, part: int) -> list[Piece]:
-        """Since it was last asked."""
+        """Return the pieces changed since the last call; empty data for removed ones."""
         self.store.flush()
-        names, self.store.news[part] = self.store.news.get(part, {}), {}
-        return [Piece(name, self.store.piece(name)) for name in names]
+        names, self.store.changed_pieces[part] = self.store.changed_pieces.get(part, {}), {}
+        return [Piece(name, self.store.encode_piece(name)) for name in names]
 
     def weight(self, part: int) -> int:
-        """How many pieces there are, about."""
-        return len(self.store.book.channels(part)) + len(self.store.of(part))
+        """Return the number of channels and messages of the part."""
+        return len(self.store.book.channels(part)) + len(self.store.messages_of(part))
 
     def under_way(self, part: int) -> int:
-        """Calls that are out."""
-        return sum(self.store.messages[one].out for one in self.store.of(part))
+        """Return the number of the part's calls without an outcome yet."""
+        return sum(self.store.messages[one].in_flight for one in self.store.messages_of(part))
 
     def shut(self, part: int) -> None:
-        """Take and begin nothing."""
+        """Accept no message and begin no attempt for the part until `open`."""
         self.machine.world.trace(self.machine.name, "shut", part)
-        self._shut.add(part)
+        self._closed_parts.add(part)
         self.store.book.shut(part)
 
-    def open(self, part: int, epoch: int, first: int = 0) -> None:
-        """Serve it."""
+    def open(self, part: int, epoch: int, first_epoch: int = 0) -> None:
+        """Serve the part under this epoch; no other courier can have owned it since `first_epoch` (0: `epoch`)."""
         self.machine.world.trace(self.machine.name, "open", part, "epoch", epoch)
-        self._check.opened(self.machine.name, part, epoch)
+        self._check.on_part_opened(self.machine.name, part, epoch)
         store = self.store
-        if store.missed(part, epoch, first):
-            self._inherit(part)
-        store.opened(part, epoch)
-        self._shut.discard(part)
-        self.served[part] = epoch
-        store.news.pop(part, None)
+        if store.may_have_missed_owner(part, epoch, first_epoch):
+            self._take_over_without_handover(part)
+        store.record_opened(part, epoch)
+        self._closed_parts.discard(part)
+        self.served_epochs[part] = epoch
+        store.changed_pieces.pop(part, None)
         store.book.open(part)
-        for message in store.of(part):
+        for message in store.messages_of(part):
             if store.messages[message].end:
-                self.attempts.tell(message)
-        self.attempts.again(part)
-        self.attempts.pump()
+                self.attempts.report_end(message)
+        self.attempts.resume_part(part)
+        self.attempts.start_released()
 
-    def _inherit(self, part: int) -> None:
-        """Another had it last, and did not hand it over. What is here from before that is as a former owner's."""
+    def _take_over_without_handover(self, part: int) -> None:
+        """Prepare a part whose last owner did not hand it over: older state stored here counts as a former owner's."""
         book, now_ms = self.store.book, self.store.now_ms()
         former = {channel: book.export(channel) for channel in book.channels(part)}
         book.drop(part)
         book.inherit(part)
         for channel, data in former.items():
             book.learn(now_ms, channel, data)
-        self._find(part)
+        self._find_messages(part)
 
-    def _find(self, part: int) -> None:
-        """Messages that were here before the part came: taken, or ended here."""
+    def _find_messages(self, part: int) -> None:
+        """Add messages stored here before the part arrived to its book, or end them here if the book rejects them."""
         store = self.store
-        for message in store.of(part):
-            mine = store.messages[message]
-            if not mine.end and not store.book.holds(message):
+        for message in store.messages_of(part):
+            record = store.messages[message]
+            if not record.end and not store.book.holds(message):
                 self.attempts.forget(message)
-                if store.ended_here(message, mine):
-                    store.over(message)
-                elif not store.book.found(store.now_ms(), mine.channel, mine.number, message):
-                    self.attempts.end_here(message)
+                if store.has_ended(message, record):
+                    store.remove_message(message)
+                elif not store.book.found(store.now_ms(), record.channel, record.number, message):
+                    self.attempts.end_orphan(message)
         store.flush()
 
     def adopt(self, part: int, epoch: int, pieces: Iterable[Piece]) -> None:
-        """Into the journal, synced: the caller says so next."""
+        """Store the pieces of a part that was handed over, and sync the journal: the caller confirms them next."""
         store, now_ms = self.store, self.store.now_ms()
         known = store.epochs.get(part, 0) >= epoch
         former = {} if known else {one: store.book.export(one) for one in store.book.channels(part)}
         if not known:
             store.book.drop(part)
         for piece in sorted(pieces, key=lambda piece: piece.name, reverse=True):  # messages before positions
-            what, key = piece.name[:2], piece.name[2:]
+            kind, key = piece.name[:2], piece.name[2:]
             if piece.name == "inherited":
                 store.book.inherit(part)
-            if what == "m:" and piece.data:
+            if kind == "m:" and piece.data:
                 store.messages[key] = Message(*decode(piece.data))
-                store.put(key)
-            elif what == "c:" and piece.data:
+                store.save_message(key)
+            elif kind == "c:" and piece.data:
                 store.book.adopt(now_ms, key, piece.data, CONTRACTS.named(key.partition("/")[0]))
-        for message in store.of(part):
-            if store.messages[message].doubt and store.book.holds(message):
+        for message in store.messages_of(part):
+            if store.messages[message].may_have_run and store.book.holds(message):
                 store.book.attempt_unclear(now_ms, message)
         for channel, data in former.items():
             store.book.learn(now_ms, channel, data)
-        self._find(part)
-        store.opened(part, epoch)
+        self._find_messages(part)
+        store.record_opened(part, epoch)
         self.machine.disk.sync(store.file, store.flush())
-        self.machine.boundary()
+        self.machine.pass_boundary()
 
     def drop(self, part: int) -> None:
-        """Another owes it now."""
+        """Drop the part without reporting outcomes: another courier owes them now."""
         self.machine.world.trace(self.machine.name, "drop", part)
-        self._check.dropped(self.machine.name, self.store.of(part), self._elsewhere)
-        self.served.pop(part, None)
+        self._check.on_dropped(self.machine.name, self.store.messages_of(part), self._held_elsewhere)
+        self.served_epochs.pop(part, None)
         self.store.book.drop(part)
-        for message in self.store.of(part):
+        for message in self.store.messages_of(part):
             self.attempts.forget(message)
-            self.store.over(message)
+            self.store.remove_message(message)
         self.store.flush()
-        self.store.news.pop(part, None)
+        self.store.changed_pieces.pop(part, None)
 
-    def _elsewhere(self, message: str) -> bool:
-        return held((one.disk for one in self.machine.fleet.values() if one is not self.machine), message)
+    def _held_elsewhere(self, message: str) -> bool:
+        return is_held((one.disk for one in self.machine.fleet.values() if one is not self.machine), message)
 
     def orphans(self, part: int) -> list[Piece]:
-        """Of a part that is another's: positions first, then messages."""
+        """Return the positions, then the messages, stored here of a part that another courier owns."""
         names = ["c:" + one for one in self.store.book.channels(part)]
-        names += ["m:" + one for one in self.store.of(part) if not self.store.messages[one].out]
-        return [Piece(name, self.store.piece(name)) for name in names]
+        names += ["m:" + one for one in self.store.messages_of(part) if not self.store.messages[one].in_flight]
+        return [Piece(name, self.store.encode_piece(name)) for name in names]
 
     def settle(self, part: int, verdicts: Mapping[str, bool]) -> None:
-        """What the owner said of orphans."""
-        for name, taken in verdicts.items():
+        """Apply the owner's answers by message: True, the owner owes it now; False, it ends here."""
+        for name, on_synced in verdicts.items():
             message = name.removeprefix("m:")
             if message not in self.store.messages:
                 continue
-            if taken and not self.store.messages[message].end:
-                self._check.dropped(self.machine.name, [message], self._elsewhere)
+            if on_synced and not self.store.messages[message].end:
+                self._check.on_dropped(self.machine.name, [message], self._held_elsewhere)
                 self.attempts.forget(message)
-                self.store.over(message)
+                self.store.remove_message(message)
             else:
-                self.attempts.end_here(message)
-        if not self.store.of(part):
+                self.attempts.end_orphan(message)
+        if not self.store.messages_of(part):
             self.store.book.drop(part)
             self.store.flush()
 
     def late(self, part: int, message: str, outcome: str, piece: bytes) -> bool:
-        """Does this courier take what a former owner found, or the outcome of its call?"""
+        """Handle a call's outcome or a message from a former owner. Return whether it is accepted."""
         store, now_ms = self.store, self.store.now_ms()
         if message.startswith("c:"):
             store.book.learn(now_ms, message[2:], piece)
             store.flush()
-            self.attempts.pump()
+            self.attempts.start_released()
             return True
         message = message.removeprefix("m:")
         found = Message(*decode(piece)) if piece else None
@@ -234,16 +233,17 @@
         end = found.end.split("/")[0] if found is not None else outcome
         if known is not None:
             if end and not known.end:
-                self.attempts.end(message, end)
+                self.attempts.end_message(message, end)
             return True
-        if found is None or store.ended_here(message, found):
+        if found is None or store.has_ended(message, found):
             return found is not None
-        if found.end or not self.may(part) or not store.book.found(now_ms, found.channel, found.number, message):
+        if found.end or not self.servable_epoch(part) \
+                or not store.book.found(now_ms, found.channel, found.number, message):
             return False
         store.flush()
         store.messages[message] = found
-        self.machine.disk.sync(store.file, store.put(message))
-        if found.doubt:
+        self.machine.disk.sync(store.file, store.save_message(message))
+        if found.may_have_run:
             store.book.attempt_unclear(now_ms, message)
-        self.attempts.pump()
+        self.attempts.start_released()
         return True
--- a/wheelstep/rehearsal/simulation/membership_world.py
+++ b/wheelstep/rehearsal/simulation/membership_world.py
@@ -1,5 +1,5 @@
-"""A fleet's membership in virtual time: couriers, links that lose, delay and are cut, processes that die or stand
-still. All from one seed; time goes from event to event."""
+"""Simulates a fleet's membership in virtual time: couriers, links that lose and delay packets or are blocked, and
+processes that die or are paused. All is drawn from one seed, and time advances from event to event."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 
 
 class World:
-    """Couriers "c0" to "c<count-1>" at addresses "@c0" and so on, c0 to c2 as seeds. With `sealed` each packet goes
-    through real seals, so that one beyond 1,200 bytes ends the run."""
+    """`count` couriers in processes "c0", "c1" and so on at addresses "@c0", "@c1" and so on; c0 to c2 are the seeds.
+    `loss` is the probability that a packet is lost. With `sealed`, packets are sealed and opened as on the wire, so
+    that one of more than 1,200 bytes fails the run."""
 
     def __init__(self, count: int, seed: int, *, loss: float = 0.0, sealed: bool = False,
                  limits: Limits | None = None) -> None:
@@ -27,109 +28,111 @@
         self.now_us, self.loss, self.limits = 0, loss, limits or Limits()
         self.sealed = sealed
         self.couriers: dict[str, Membership] = {}
-        self.at: dict[str, str] = {}  # address -> name of the process there
+        self.process_by_address: dict[str, str] = {}
         self.dead: set[str] = set()
-        self.stopped: dict[str, list[tuple[str, Any]]] = {}  # what waits in the socket of one that stands still
-        self.cut: Callable[[str, str], bool] = lambda sender, receiver: False
+        self.paused: dict[str, list[tuple[str, Any]]] = {}  # packets that wait in the socket of a paused process
+        self.link_blocked: Callable[[str, str], bool] = lambda sender, receiver: False
         self.notes: list[tuple[int, str, str]] = []
         self.sent: Counter[str] = Counter()
-        self.bytes = 0
+        self.bytes_sent = 0
         self.cpu_s = 0.0
         self.seals: dict[str, Seal] = {}
         self._events: list[tuple[int, int, str, tuple[str, Any] | None]] = []
-        self._order = 0
-        self._ticks: dict[str, int] = {}
+        self._sequence = 0
+        self._next_ticks_us: dict[str, int] = {}
         self.seeds = {f"c{number}": f"@c{number}" for number in range(min(count, 3))}
         for number in range(count):
             self.add(f"c{number}")
 
     def add(self, process: str, *, name: str = "", incarnation: int = 0) -> Membership:
-        """Start one; `name` if it is not its address's."""
+        """Start a process with one courier, and return it; the courier's name is `name`, or the process's if empty."""
         me = Member(name or process, incarnation, State.ALIVE, f"@{process}", f"http://{process}")
         courier = Membership(me, self.seeds, self.limits, random.Random(self.rng.random()), self.now_us)
-        self.couriers[process], self.at[me.address] = courier, process
+        self.couriers[process], self.process_by_address[me.address] = courier, process
         self.seals[process] = Seal(b"k" * 16, "fleet", me.name, self.now_us + 1)
         self.dead.discard(process)
-        self._push(courier.next_us(), process, None)
+        self._push_event(courier.next_us(), process, None)
         return courier
 
-    def form(self) -> None:
-        """Everybody knows everybody, as after a quiet start."""
+    def introduce_all(self) -> None:
+        """Tell each courier of all others, as they know each other after a start without faults."""
         news = tuple(courier.me for courier in self.couriers.values())
         for process, courier in self.couriers.items():
             first = news[0] if news[0] != courier.me else news[1]
             courier.heard(self.now_us, first.name, first.address, Roll(0, (first, *news)))
             courier.changed()
-            self._wake(process)
+            self._schedule_tick(process)
 
-    def run(self, seconds: float, until: Callable[[], bool] | None = None, every_s: float = 0.1) -> float | None:
-        """Go on for so long, or until this holds (looked at every `every_s`); the seconds passed, None if it never
-        did."""
-        start_us, look_us = self.now_us, self.now_us
+    def run(self, seconds: float, until: Callable[[], bool] | None = None, interval_s: float = 0.1) -> float | None:
+        """Run for `seconds`, or until a condition holds that is evaluated every `interval_s`. Return the seconds
+        passed, None if the condition was given and never held."""
+        start_us, next_check_us = self.now_us, self.now_us
         end_us = start_us + round(seconds * SECOND)
         while self._events and self._events[0][0] <= end_us:
-            while until is not None and look_us <= self._events[0][0]:
+            while until is not None and next_check_us <= self._events[0][0]:
                 if until():
-                    return (look_us - start_us) / SECOND
-                look_us += round(every_s * SECOND)
+                    return (next_check_us - start_us) / SECOND
+                next_check_us += round(interval_s * SECOND)
             self.now_us, _, process, packet = heapq.heappop(self._events)
-            self._event(process, packet)
+            self._handle_event(process, packet)
         self.now_us = end_us
         if until is None or until():
             return seconds
         return None
 
-    def stop(self, process: str) -> None:
-        """SIGSTOP."""
-        self.stopped[process] = []
+    def pause(self, process: str) -> None:
+        """Pause a process, as SIGSTOP does."""
+        self.paused[process] = []
 
-    def wake(self, process: str) -> None:
-        """SIGCONT: the timer that is overdue and what waits in the socket, in any order."""
-        waiting = self.stopped.pop(process)
+    def resume(self, process: str) -> None:
+        """Continue a process, as SIGCONT does: it handles the overdue timer and the last 200 waiting packets, and the
+        timer comes first or last at random."""
+        waiting = self.paused.pop(process)
         if self.rng.random() < 0.5:
-            self._act(process, self.couriers[process].tick(self.now_us))
+            self._perform(process, self.couriers[process].tick(self.now_us))
         for sender, packet in waiting[-200:]:
-            self._event(process, (sender, packet))
-        self._wake(process)
+            self._handle_event(process, (sender, packet))
+        self._schedule_tick(process)
 
-    def sees(self, process: str, name: str) -> State | None:
-        """What one holds true of another."""
+    def state_seen(self, process: str, name: str) -> State | None:
+        """Return the state that a process's courier assigns to the courier `name`, None if it doesn't know it."""
         member = self.couriers[process].member(name)
         return None if member is None else member.state
 
     def all_see(self, names: Iterable[str], states: set[State], by: Iterable[str] | None = None) -> bool:
-        """Do all that run (or these) see these names so?"""
+        """Return whether every running process, or every one of `by`, sees each other courier of `names` in one of the
+        `states`."""
         names = list(names)
-        return all(self.sees(process, name) in states for process in (self.running() if by is None else by)
+        return all(self.state_seen(process, name) in states for process in (self.running() if by is None else by)
                    for name in names if self.couriers[process].me.name != name)
 
     def running(self) -> list[str]:
-        """Processes that neither are dead nor stand still."""
-        return [process for process in self.couriers if process not in self.dead and process not in self.stopped]
+        """Return the processes that are neither dead nor paused."""
+        return [process for process in self.couriers if process not in self.dead and process not in self.paused]
 
-    def dead_notes(self) -> list[str]:
-        """The lines that tell of somebody taken for dead."""
+    def death_notes(self) -> list[str]:
+        """Return the texts of the notes that declare a member dead."""
         return [text for _, _, text in self.notes if "taken for dead" in text]
 
-    def _push(self, at_us: int, process: str, packet: tuple[str, Any] | None) -> None:
-        self._order += 1
-        heapq.heappush(self._events, (at_us, self._order, process, packet))
+    def _push_event(self, at_us: int, process: str, packet: tuple[str, Any] | None) -> None:
+        self._sequence += 1
+        heapq.heappush(self._events, (at_us, self._sequence, process, packet))
         if packet is None:
-            self._ticks[process] = at_us
+            self._next_ticks_us[process] = at_us
 
-    def _wake(self, process: str) -> None:
+    def _schedule_tick(self, process: str) -> None:
         due_us = max(self.now_us, self.couriers[process].next_us())
-        if self._ticks.get(process, -1) <= self.now_us or due_us < self._ticks[process]:
-            self._push(due_us, process, None)
+        if self._next_ticks_us.get(process, -1) <= self.now_us or due_us < self._next_ticks_us[process]:
+            self._push_event(due_us, process, None)
 
-    def _event(self, process: str, packet: tuple[str, Any] | None) -> None:
+    def _handle_event(self, process: str, packet: tuple[str, Any] | None) -> None:
         if process in self.dead:
             return
-        if process in self.stopped:
+        if process in self.paused:
             if packet is not None:
-                self.stopped[process].append(packet)
+                self.paused[process].append(packet)
             return
-        if packet is None and self._ticks.get(process) != self.now_us:
+        if packet is None and self._next_ticks_us.get(process) != self.now_us:
             return
         courier, began = self.couriers[process], time.process_time()
         if packet is None:
@@ -140,11 +143,11 @@
             actions = courier.heard(self.now_us, opened.sender, f"@{packet[0]}", opened.payload)
         else:
             actions = courier.heard(self.now_us, self.couriers[packet[0]].me.name, f"@{packet[0]}", packet[1])
-        self._act(process, actions)
+        self._perform(process, actions)
         self.cpu_s += time.process_time() - began
-        self._wake(process)
+        self._schedule_tick(process)
 
-    def _act(self, process: str, actions: list[Action]) -> None:
+    def _perform(self, process: str, actions: list[Action]) -> None:
         courier = self.couriers[process]
         for action in actions:
             if isinstance(action, Note):
@@ -155,7 +158,7 @@
             packet: Any = action.packet
             if self.sealed:
                 packet = self.seals[process].pack(courier.name_at(action.address), packet)
-                self.bytes += len(packet)
-            to = self.at.get(action.address)
-            if to is not None and not self.cut(process, to) and self.rng.random() >= self.loss:
-                self._push(self.now_us + self.rng.randint(200, 5_000), to, (process, packet))
+                self.bytes_sent += len(packet)
+            receiver = self.process_by_address.get(action.address)
+            if receiver is not None and not self.link_blocked(process, receiver) and self.rng.random() >= self.loss:
+                self._push_event(self.now_us + self.rng.randint(200, 5_000), receiver, (process, packet))
--- a/wheelstep/rehearsal/simulation/nodes.py
+++ b/wheelstep/rehearsal/simulation/nodes.py
@@ -1,6 +1,6 @@
-"""The real node on a simulated machine: its settings scaled to a run, and what its log holds.
+"""Builds a real `Node` on a simulated machine, with settings scaled to the length of a run.
 
-Imports `wheelstep.fleet` and its neighbours.
+Imports `wheelstep.fleet`, `wheelstep.moves` and neighbouring modules.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from wheelstep.rehearsal.simulation.world import MS, S
 
 
-def settings(setup: Setup) -> NodeSettings:
-    """Spans that fit a run of half a minute."""
+def node_settings(setup: Setup) -> NodeSettings:
+    """Return a node's settings, with durations that suit a run of half a minute."""
     return NodeSettings(
         setup.names()[:setup.voters], setup.parts, setup.lease_us, setup.drift_ppm / 1_000_000, 50 * MS,
         probation_us=2 * S, members=MemberLimits(heal_periods=4, hello_periods=20, gone_kept_us=600 * S),
@@ -28,10 +28,10 @@
         leaving=SwapLimits(pause_us=200 * MS, pause_most_us=S, bound_us=8 * S))
 
 
-def real(machine: Machine, content: SimContent, setup: Setup, fleet: dict[str, Machine]) -> Node:
-    """From the machine's disk."""
+def make_node(machine: Machine, content: SimContent, setup: Setup, fleet: dict[str, Machine]) -> Node:
+    """Return the node of a machine that starts, restored from the log on the machine's disk."""
     name = machine.name
     me = Member(name, machine.boot, State.ALIVE, machine.address, f"{name}:80")
     seeds = {other.name: other.address for other in fleet.values() if other is not machine}
     rng = random.Random(f"{machine.world.seed} {name} {machine.boot}")
-    return Node(me, settings(setup), seeds, content, list(machine.disk.log.records), rng, machine.own_us())
+    return Node(me, node_settings(setup), seeds, content, list(machine.disk.log.records), rng, machine.local_us())
--- a/wheelstep/rehearsal/simulation/store.py
+++ b/wheelstep/rehearsal/simulation/store.py
@@ -1,7 +1,7 @@
-"""What a courier knows of its channels and messages: a real `Book`, messages beside it, and the simulated journal that
-brings both back after a start.
+"""A courier's channels and messages: a real `Book`, its messages, and the simulated journal from which both are
+restored at a start.
 
-Imports msgspec, `wheelstep.channels`, and its neighbours `disk` and `world`.
+Imports msgspec, `wheelstep.channels`, and the neighbouring module `disk`.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from wheelstep.channels.book import MARK, Book
 from wheelstep.channels.contracts import part_of, read
-from wheelstep.rehearsal.simulation.disk import File
+from wheelstep.rehearsal.simulation.disk import RecordFile
 
-MOST_CHANNELS = 1_000
+MAX_CHANNELS = 1_000
 CONTRACTS = read([
     {"name": "orders", "keys": ["orders*"], "order": "strict", "gap": "hold"},
     {"name": "skips", "keys": ["skips*"], "order": "strict", "gap": "skip", "gap_after": "1s"},
@@ -29,28 +29,31 @@
 
 @dataclass(slots=True)
 class Message:
-    """One that is owed, or whose end (`outcome/epoch/courier`) may not have been told yet. `doubt`: it may have run."""
+    """An accepted message until its end is reported. `end` is "outcome/epoch/courier" once it is decided, and
+    `may_have_run` says that a call without a known outcome may have taken effect."""
 
     channel: str
     number: int
     attempts: int = 0
-    doubt: bool = False
+    may_have_run: bool = False
     end: str = ""
-    out: bool = False  # an attempt is under way in this process
+    in_flight: bool = False  # an attempt is under way in this process
 
 
 class Store:
-    """Channels and messages by name. `now_ms` is the process's clock; `boundary` is passed before each record."""
+    """Channels and messages by name. `now_ms` is the process's clock; `pass_boundary` is called before each record is
+    written."""
 
-    def __init__(self, file: File, parts: int, now_ms: Callable[[], int], boundary: Callable[[], None]) -> None:
-        self.file, self.parts, self.now_ms, self._boundary = file, parts, now_ms, boundary
+    def __init__(self, file: RecordFile, parts: int, now_ms: Callable[[], int],
+                 pass_boundary: Callable[[], None]) -> None:
+        self.file, self.parts, self.now_ms, self._pass_boundary = file, parts, now_ms, pass_boundary
         self.messages: dict[str, Message] = {}
         self.epochs: dict[int, int] = {}  # part -> the last epoch under which it was opened or adopted here
-        self.news: dict[int, dict[str, None]] = {}  # pieces that changed, of parts that are being copied
-        self.book = Book(CONTRACTS, parts, MOST_CHANNELS, now_ms())
+        self.changed_pieces: dict[int, dict[str, None]] = {}  # by part, for parts that are being copied
+        self.book = Book(CONTRACTS, parts, MAX_CHANNELS, now_ms())
         marks: dict[str, Any] = {}
-        for record in file.records:
-            match decode(record):
+        for encoded in file.records:
+            match decode(encoded):
                 case ["k", mark, None]:
                     marks.pop(mark, None)
                 case ["k", mark, value]:
@@ -61,70 +64,73 @@
                     self.messages.pop(message, None)
                 case ["o", part, epoch]:
                     self.epochs[part] = epoch
-        owed = {message: held.doubt for message, held in self.messages.items() if not held.end}
-        self.cut = self.book.restore(now_ms(), marks, owed)  # their end was cut off after their position's
+        owed = {message: record.may_have_run for message, record in self.messages.items() if not record.end}
+        # A crash came after the position was written and before the message's end was.
+        self.interrupted_ends = self.book.restore(now_ms(), marks, owed)
 
     def channels(self) -> list[str]:
-        """All by name."""
+        """Return the names of all channels."""
         return [channel for part in range(self.parts) for channel in self.book.channels(part)]
 
-    def of(self, part: int) -> list[str]:
-        """Its messages."""
-        return [one for one, held in self.messages.items() if part_of(held.channel, self.parts) == part]
+    def messages_of(self, part: int) -> list[str]:
+        """Return the messages of a part."""
+        return [one for one, record in self.messages.items() if part_of(record.channel, self.parts) == part]
 
-    def ended_here(self, message: str, held: Message) -> bool:
-        """Does its position say that it had its end? Then it is nobody's any more."""
-        position = self.book.position(held.channel)
-        return position is not None and position.state(held.number) == "ended" \
-            and position.answer(held.number)[0] == message
+    def has_ended(self, message: str, record: Message) -> bool:
+        """Return whether the channel's position says that the message has ended, so that no courier owes it."""
+        position = self.book.position(record.channel)
+        return position is not None and position.state(record.number) == "ended" \
+            and position.answer(record.number)[0] == message
 
-    def write(self, *record: Any) -> int:
-        """A record; gives the place to sync to."""
-        self._boundary()
-        return self.file.write([encode(record)])
+    def write(self, *fields: Any) -> int:
+        """Append a record to the journal; return the offset to sync to."""
+        self._pass_boundary()
+        return self.file.write([encode(fields)])
 
     def flush(self) -> int:
-        """Write what the book has changed."""
+        """Write the book's changes; return the offset to sync to."""
         for mark, value in self.book.changes():
             name = mark.removeprefix(MARK)
             if name[0] != " ":
-                self._changed(name, "c:" + name)
+                self._mark_changed(name, "c:" + name)
             self.write("k", mark, value)
-        return self.file.place
+        return self.file.end_offset
 
-    def put(self, message: str) -> int:
-        """Write a message as it stands."""
-        self._changed(self.messages[message].channel, "m:" + message)
+    def save_message(self, message: str) -> int:
+        """Write a message's present state; return the offset to sync to."""
+        self._mark_changed(self.messages[message].channel, "m:" + message)
         return self.write("m", message, self.message(message))
 
-    def over(self, message: str) -> int:
-        """Its end is told, or another owes it: forget it."""
-        held = self.messages.pop(message)
-        self._changed(held.channel, "m:" + message)
+    def remove_message(self, message: str) -> int:
+        """Remove a message whose end is reported or which another courier owes; return the offset to sync to."""
+        record = self.messages.pop(message)
+        self._mark_changed(record.channel, "m:" + message)
         return self.write("e", message)
 
-    def missed(self, part: int, epoch: int, first: int = 0) -> bool:
-        """Can another have had it before this epoch, or before `first`, since this courier last did?"""
-        return self.epochs.get(part, 0) + 1 < min(first or epoch, epoch)
+    def may_have_missed_owner(self, part: int, epoch: int, first_epoch: int = 0) -> bool:
+        """Return whether another courier may have owned the part since this one last did: in an epoch before `epoch`,
+        or before `first_epoch` if that is given and earlier."""
+        return self.epochs.get(part, 0) + 1 < min(first_epoch or epoch, epoch)
 
-    def opened(self, part: int, epoch: int) -> None:
-        """Note the epoch; what follows from those before it has been written by now."""
+    def record_opened(self, part: int, epoch: int) -> None:
+        """Record the epoch under which a part was opened or adopted. The caller has written before what followed from
+        earlier epochs."""
         self.epochs[part] = epoch
         self.write("o", part, epoch)
 
-    def _changed(self, channel: str, name: str) -> None:
+    def _mark_changed(self, channel: str, name: str) -> None:
         part = part_of(channel, self.parts)
-        if part in self.news:
-            self.news[part][name] = None
+        if part in self.changed_pieces:
+            self.changed_pieces[part][name] = None
 
     def message(self, message: str) -> bytes:
-        """A message as it travels."""
-        held = self.messages[message]
-        return encode((held.channel, held.number, held.attempts, held.doubt, held.end))
-
-    def piece(self, name: str) -> bytes:
-        """By a piece's name; empty for what is gone."""
-        what, key = name[:2], name[2:]
-        if what == "c:":
+        """Return a message in the form in which it is stored and handed over."""
+        record = self.messages[message]
+        return encode((record.channel, record.number, record.attempts, record.may_have_run, record.end))
+
+    def encode_piece(self, name: str) -> bytes:
+        """Return the data of the piece of this name; empty for a channel or message that is gone."""
+        kind, key = name[:2], name[2:]
+        if kind == "c:":
             return self.book.export(key) if self.book.position(key) is not None else b""
         return self.message(key) if key in self.messages else b""
