--- a/wheelstep/rehearsal/shard_world/broken.py
+++ b/wheelstep/rehearsal/shard_world/broken.py
@@ -1,4 +1,4 @@
-"""Variants of the code under test that are wrong on purpose: each has to be caught, by the invariant that it breaks."""
+"""Deliberately broken variants of the code under test. Each must be found, by the invariant that it breaks."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
 
 
 def _forwards_twice() -> list[Patch]:
-    """Who is asked and is not home asks on."""
+    """A courier that is asked for a message and is not home forwards it again."""
     asked = Routing.asked
 
-    def on(self: Any, message: StoredMessage) -> Any:
+    def forward_again(self: Any, message: StoredMessage) -> Any:
         found = asked(self, message)
         away = isinstance(found, Refusal) and found.kind == "away"
         return RoutedAdmission(self._node.own_admission, self._route) if away else found
-    return [(Routing, "asked", on)]
+    return [(Routing, "asked", forward_again)]
 
 
 def _both_take() -> list[Patch]:
-    """A home that does not answer counts as one that was not asked."""
+    """A home that does not answer is treated like one that was not asked."""
     answered, tell = Router.answered, ForwardClient.tell
 
-    def taken(self: Any, now_us: int, handed: Any, courier: str, answer: Answer, sight: Any) -> Any:
+    def answer_not_asked(self: Any, now_us: int, handed: Any, courier: str, answer: Answer, sight: Any) -> Any:
         return answered(self, now_us, handed, courier, Answer.NOT_ASKED if answer is Answer.SILENT else answer, sight)
 
-    def told(self: Any, action: str, admission: Any) -> None:
+    def tell_without_withdraw(self: Any, action: str, admission: Any) -> None:
         if action != "withdraw":
             tell(self, action, admission)
-    return [(Router, "answered", taken), (ForwardClient, "tell", told)]
+    return [(Router, "answered", answer_not_asked), (ForwardClient, "tell", tell_without_withdraw)]
 
 
 def _neither_owes() -> list[Patch]:
-    """A home forgets what it took from a link that has ended, though its client may have heard 202."""
+    """A home withdraws the messages of a link that has ended, though their clients may have received 202."""
     def on_end(self: Any) -> None:
         self._ended = True
         for task in list(self._tasks.values()):
@@ -59,39 +59,39 @@
 
 
 def _drains_late() -> list[Patch]:
-    """A courier keeps to a control machine that has fallen silent."""
+    """A courier stays with a control machine that no longer answers."""
     init = ListClient.__init__
 
-    def patient(self: Any, *given: Any, **named: Any) -> None:
-        init(self, *given, **named)
+    def init_with_long_silence(self: Any, *args: Any, **kwargs: Any) -> None:
+        init(self, *args, **kwargs)
         self._silent_us = 60_000_000
-    return [(ListClient, "__init__", patient)]
+    return [(ListClient, "__init__", init_with_long_silence)]
 
 
 def _forgets_guests() -> list[Patch]:
     """A guest shard is never dropped."""
-    look = Hosting._open_or_drop
+    open_or_drop = Hosting._open_or_drop
 
-    def kept(self: Any, now_us: int, shard: int, state: Any) -> Any:
-        return [] if state.phase is ShardPhase.GUEST else look(self, now_us, shard, state)
-    return [(Hosting, "_open_or_drop", kept)]
+    def keep_guests(self: Any, now_us: int, shard: int, state: Any) -> Any:
+        return [] if state.phase is ShardPhase.GUEST else open_or_drop(self, now_us, shard, state)
+    return [(Hosting, "_open_or_drop", keep_guests)]
 
 
 def _loses_keys() -> list[Patch]:
-    """Whoever becomes home knows nothing of what former homes owe, and nobody remembers where a key was passed to."""
+    """A new home knows nothing of what former homes owe, and no courier remembers where a key was forwarded to."""
     return [(Handoff, "owed_elsewhere_us", lambda self, now_us, destination, message_class, key: 0),
             (ForwardedKeys, "holder", lambda self, now_us, message: None)]
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """What is wrong, the invariant that it breaks, and the faults that show it: so many of these kinds a run, within
-    so many seeds from 0 on."""
+    """A broken variant: its patches, the invariant that it breaks (`rule`), and the faults that show it: `fault_count`
+    of `fault_kinds` in each run, within the first `seeds` seeds from 0."""
 
     patches: Callable[[], list[Patch]]
     rule: str
-    kinds: tuple[str, ...]
-    count: int
+    fault_kinds: tuple[str, ...]
+    fault_count: int
     seeds: int
 
 
@@ -99,20 +99,20 @@
     "forwards-twice": Variant(_forwards_twice, check.ONE_HOP, ("leave", "kill", "stop"), 8, 4),
     "both-take": Variant(_both_take, check.TAKEN_ONCE, ("strain", "one way", "kill"), 12, 6),
     "neither-owes": Variant(_neither_owes, check.OWED, ("strain",), 12, 6),
-    "drains-late": Variant(_drains_late, check.TOLD_IN_TIME, ("control hang",), 1, 6),
+    "drains-late": Variant(_drains_late, check.DRAIN_HEEDED, ("control hang",), 1, 6),
     "guest-forgotten": Variant(_forgets_guests, check.GUESTS, ("kill", "cut"), 8, 4),
     "keys-lost": Variant(_loses_keys, check.IN_ORDER, ("leave", "partners", "partners", "alone"), 14, 6)}
 
 
 @contextlib.contextmanager
-def variant(name: str) -> Iterator[None]:
-    """Within it the code is wrong in that way; "" leaves it as it is."""
+def apply_variant(name: str) -> Iterator[None]:
+    """Apply a variant's patches within the context; "" applies none."""
     patches = VARIANTS[name].patches() if name else []
-    before = [(what, attribute, getattr(what, attribute)) for what, attribute, _ in patches]
+    originals = [(target, attribute, getattr(target, attribute)) for target, attribute, _ in patches]
     try:
-        for what, attribute, value in patches:
-            setattr(what, attribute, value)
+        for target, attribute, value in patches:
+            setattr(target, attribute, value)
         yield
     finally:
-        for what, attribute, value in before:
-            setattr(what, attribute, value)
+        for target, attribute, value in originals:
+            setattr(target, attribute, value)
--- a/wheelstep/rehearsal/shard_world/check.py
+++ b/wheelstep/rehearsal/shard_world/check.py
@@ -1,4 +1,4 @@
-"""The invariants, held against a run as it goes and at its end. Each fails a run by its name."""
+"""Checks the invariants during a run and at its end. A run fails with the name of the first one that is broken."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 TAKEN_ONCE = "taken at two couriers"
 OWED = "neither owes"
 ONE_HOP = "forwarded twice"
-TOLD_IN_TIME = "sent to a drained endpoint"
+DRAIN_HEEDED = "sent to a drained endpoint"
 IN_ORDER = "key out of order"
 ONCE = "unsafe one took effect twice"
 GUESTS = "guest forgotten"
-AGREED = "homes differ"
+HOMES_AGREE = "homes differ"
 REACHABLE = "destination not served"
-KNOWN = "listed destination refused"
+LISTED_ACCEPTED = "listed destination refused"
 OWN_ROWS = "rows of others' shards kept"
 ERROR = "error"
 
-TOLD_US = 6 * S
-SLACK_US = 3 * S // 2
+DRAIN_NOTICE_US = 6 * S  # within which a courier must learn of a drain that a reachable control machine knows
+DRAIN_SLACK_US = 3 * S // 2
 
 
 class ViolationError(Exception):
-    """An invariant does not hold; the text says which, when and for what."""
+    """An invariant does not hold; `rule` names it, and the text says when and for what."""
 
     def __init__(self, rule: str, text: str) -> None:
         super().__init__(text)
@@ -36,144 +36,147 @@
 
 
 @dataclass(slots=True)
-class _Chain:
-    """Messages of one key that heard 202 at one courier, in that order."""
+class _KeySequence:
+    """Messages of one key that one courier process answered with 202, in the order in which the client received it."""
 
     names: list[str] = field(default_factory=list)
-    place: dict[str, int] = field(default_factory=dict)
+    positions: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass
-class Check:
-    """Hooks that the world's parts call at the moment in true time."""
+class InvariantChecker:
+    """Hooks that the parts of the simulation call in the order of true time. They raise `ViolationError`."""
 
     world: World
-    late: Callable[[str, str], int] = lambda courier, endpoint: 0
-    disks: Callable[[], dict[str, set[str]]] = dict  # what each courier's disk holds
-    told: dict[str, tuple[str, StoredMessage]] = field(default_factory=dict)  # heard 202: at which door
-    owner: dict[str, str] = field(default_factory=dict)  # who acts on it
-    ends: dict[str, str] = field(default_factory=dict)
-    handing: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))  # ids at each one's door
-    found: ViolationError | None = None
-    lost: set[str] = field(default_factory=set)  # couriers that never come back
-    _chains: dict[tuple[str, str, int], _Chain] = field(default_factory=dict)
-    _chain_of: dict[str, _Chain] = field(default_factory=dict)
+    drain_delay_us: Callable[[str, str], int] = lambda courier, endpoint: 0
+    disk_contents: Callable[[], dict[str, set[str]]] = dict  # courier -> messages on its disk
+    accepted_messages: dict[str, tuple[str, StoredMessage]] = field(default_factory=dict)  # which courier answered 202
+    owners: dict[str, str] = field(default_factory=dict)  # message -> courier that delivers it
+    ends: dict[str, str] = field(default_factory=dict)  # message -> outcome
+    # courier -> number of open client requests of each message
+    open_submissions: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
+    violation: ViolationError | None = None
+    lost_couriers: set[str] = field(default_factory=set)  # that never come back
+    _key_sequences: dict[tuple[str, str, int], _KeySequence] = field(default_factory=dict)
+    _sequence_of: dict[str, _KeySequence] = field(default_factory=dict)
     _effects: dict[str, int] = field(default_factory=dict)
-    _open: dict[str, list[Process]] = field(default_factory=lambda: defaultdict(list))  # calls that run, and whose
+    _open_calls: dict[str, list[Process]] = field(default_factory=lambda: defaultdict(list))  # message -> its callers
 
-    def fail(self, rule: str, *about: object) -> None:
-        """This run is over, also where the code under test catches the error."""
-        text = " ".join(str(one) for one in about)
+    def fail(self, rule: str, *details: object) -> None:
+        """End the run, even if the code under test catches the error, and raise the first `ViolationError`."""
+        text = " ".join(str(one) for one in details)
         error = ViolationError(rule, f"seed {self.world.seed} at {self.world.now_us / S:.6f} s: {rule}: {text}")
-        self.found, self.world.over = self.found or error, True
-        raise self.found
+        self.violation, self.world.finished = self.violation or error, True
+        raise self.violation
 
-    # --- who has it ---
+    # --- ownership ---
 
-    def took(self, courier: str, message: StoredMessage) -> None:
-        """Written down; it may still be withdrawn."""
+    def on_stored(self, courier: str, message: StoredMessage) -> None:
+        """Note that a courier has written a message, which may still be withdrawn."""
         self.world.trace(courier, "took", message.id, message.key or "")
-        self.world.count["took"] += 1
+        self.world.counts["took"] += 1
 
-    def began(self, courier: str, message: StoredMessage, restored: bool = False) -> None:
-        """This courier acts on it from now on."""
+    def on_begun(self, courier: str, message: StoredMessage, restored: bool = False) -> None:
+        """Check that no other courier delivers a message that this one delivers from now on."""
         self.world.trace(courier, "restored" if restored else "began", message.id)
-        other = self.owner.setdefault(message.id, courier)
+        other = self.owners.setdefault(message.id, courier)
         if other != courier:
             self.fail(TAKEN_ONCE, f"{message.id} at {courier}, and {other} has begun it")
 
-    def withdrawn(self, courier: str, message: StoredMessage) -> None:
-        """Forgotten before it was begun."""
+    def on_withdrawn(self, courier: str, message: StoredMessage) -> None:
+        """Check that a message withdrawn before its delivery began is not owed."""
         self.world.trace(courier, "withdrew", message.id)
-        if message.id in self.told and message.id not in self.ends and not self._kept(message.id):
-            self.fail(OWED, f"{message.id}, answered 202 by {self.told[message.id][0]}, is withdrawn at {courier}")
+        if message.id in self.accepted_messages and message.id not in self.ends and not self._on_any_disk(message.id):
+            self.fail(OWED, f"{message.id}, answered 202 by {self.accepted_messages[message.id][0]}, "
+                            f"is withdrawn at {courier}")
 
-    def _kept(self, name: str) -> bool:
-        return any(name in held for held in self.disks().values())
+    def _on_any_disk(self, name: str) -> bool:
+        return any(name in held_messages for held_messages in self.disk_contents().values())
 
-    def answered(self, courier: str, boot: int, message: StoredMessage, status: int) -> None:
-        """A door has said so."""
+    def on_answered(self, courier: str, boot: int, message: StoredMessage, status: int) -> None:
+        """Check the status with which a courier answers a client."""
         self.world.trace(courier, "says", status, message.id)
-        self.world.count[f"says {status}"] += 1
-        if status == 400:  # all that clients name is on the list throughout
-            self.fail(KNOWN, f"{message.destination} handed in as {message.id} at {courier}")
+        self.world.counts[f"says {status}"] += 1
+        if status == 400:  # all destinations of clients are on the list throughout the run
+            self.fail(LISTED_ACCEPTED, f"{message.destination} submitted as {message.id} at {courier}")
         if status != 202:
             return
-        if message.id not in self.ends and not self._kept(message.id):
+        if message.id not in self.ends and not self._on_any_disk(message.id):
             self.fail(OWED, f"{message.id}, answered 202 by {courier}, is on no disk")
-        self.told.setdefault(message.id, (courier, message))
-
-    def heard(self, courier: str, boot: int, message: StoredMessage) -> None:
-        """Its client has heard 202, and hands in the next of its key only then."""
-        if message.key is not None and message.id not in self._chain_of:
-            chain = self._chains.setdefault((message.key, courier, boot), _Chain())
-            chain.place[message.id] = len(chain.names)
-            chain.names.append(message.id)
-            self._chain_of[message.id] = chain
-
-    def ended(self, courier: str, message: StoredMessage, outcome: str) -> None:
-        """Told, and forgotten there."""
+        self.accepted_messages.setdefault(message.id, (courier, message))
+
+    def on_client_accepted(self, courier: str, boot: int, message: StoredMessage) -> None:
+        """Note that a client has received 202; it submits the next message of the key only after that."""
+        if message.key is not None and message.id not in self._sequence_of:
+            sequence = self._key_sequences.setdefault((message.key, courier, boot), _KeySequence())
+            sequence.positions[message.id] = len(sequence.names)
+            sequence.names.append(message.id)
+            self._sequence_of[message.id] = sequence
+
+    def on_ended(self, courier: str, message: StoredMessage, outcome: str) -> None:
+        """Note the end of a message."""
         self.world.trace(courier, "ended", message.id, outcome)
-        self.world.count[outcome] += 1
+        self.world.counts[outcome] += 1
         self.ends[message.id] = outcome
 
-    def dropped_owed(self, courier: str, message: StoredMessage) -> None:
-        """A courier gives up a destination that it owes a message of."""
+    def on_owed_dropped(self, courier: str, message: StoredMessage) -> None:
+        """Fail: a courier drops a destination for which it owes a message."""
         self.fail(OWED, f"{courier} drops destination {message.destination}, and owes {message.id}")
 
-    # --- the hop ---
+    # --- forwarding ---
 
-    def asked(self, courier: str, to: str, name: str) -> None:
-        """A courier passes a message on."""
-        self.world.trace(courier, "asks", to, name)
-        self.world.count["hops"] += 1
-        if not self.handing[courier][name]:
-            self.fail(ONE_HOP, f"{courier} asks {to} for {name}, and no client hands that in at {courier}")
+    def on_forwarded(self, courier: str, receiver: str, name: str) -> None:
+        """Check that a courier forwards only messages that clients submit to it."""
+        self.world.trace(courier, "asks", receiver, name)
+        self.world.counts["hops"] += 1
+        if not self.open_submissions[courier][name]:
+            self.fail(ONE_HOP, f"{courier} asks {receiver} for {name}, and no client submits that at {courier}")
 
     # --- partners ---
 
-    def sent(self, process: Process, endpoint: str, message: StoredMessage) -> None:
-        """The first byte of a call."""
+    def on_call(self, process: Process, endpoint: str, message: StoredMessage) -> None:
+        """Check the first byte of a call: drains are heeded, and the order of a key is kept."""
         name, courier = message.id, process.name
         self.world.trace(courier, "calls", endpoint, name)
-        self.world.count["calls"] += 1
-        late_us = self.late(courier, endpoint)
-        if late_us > TOLD_US + SLACK_US:
-            self.fail(TOLD_IN_TIME, f"{courier} calls {endpoint} for {name} {late_us / S:.1f} s after a control "
+        self.world.counts["calls"] += 1
+        delay_us = self.drain_delay_us(courier, endpoint)
+        if delay_us > DRAIN_NOTICE_US + DRAIN_SLACK_US:
+            self.fail(DRAIN_HEEDED, f"{courier} calls {endpoint} for {name} {delay_us / S:.1f} s after a control "
                                     "machine that it could reach knew that it is off")
-        chain = self._chain_of.get(name)
-        if chain is not None:
-            place = chain.place[name]
-            for at, other in enumerate(chain.names):
-                if at != place and any(one.alive for one in self._open[other]):
+        sequence = self._sequence_of.get(name)
+        if sequence is not None:
+            position = sequence.positions[name]
+            for index, other in enumerate(sequence.names):
+                if index != position and any(one.alive for one in self._open_calls[other]):
                     self.fail(IN_ORDER, f"{courier} calls for {name} while a call for {other} is out")
-                if at < place and other not in self.ends and not self._effects.get(other) and not self._expired(other):
-                    self.fail(IN_ORDER, f"{courier} calls for {name} before {other}, which was handed in before")
-                if at > place and self._effects.get(other):
-                    self.fail(IN_ORDER, f"{courier} calls for {name} after {other}, which was handed in later")
-        self._open[name].append(process)
+                if index < position and other not in self.ends and not self._effects.get(other) \
+                        and not self._expired(other):
+                    self.fail(IN_ORDER, f"{courier} calls for {name} before {other}, which was submitted before")
+                if index > position and self._effects.get(other):
+                    self.fail(IN_ORDER, f"{courier} calls for {name} after {other}, which was submitted later")
+        self._open_calls[name].append(process)
 
     def _expired(self, name: str) -> bool:
-        """Is its time up? It is not called for any more, though a courier that is down may still hold it."""
-        return self.world.wall_us() >= self.told[name][1].deadline_ms * MS
+        """Return whether the deadline has passed: it is not called for, though a courier that is down may hold it."""
+        return self.world.wall_us() >= self.accepted_messages[name][1].deadline_ms * MS
 
-    def effect(self, message: StoredMessage) -> None:
-        """It takes effect at its destination."""
+    def on_effect(self, message: StoredMessage) -> None:
+        """Check a message that takes effect at its destination: an unsafe one may do so only once."""
         self.world.trace("", "effect", message.id)
         self._effects[message.id] = self._effects.get(message.id, 0) + 1
         if message.message_class == "unsafe" and self._effects[message.id] > 1:
             self.fail(ONCE, f"{message.id} takes effect at destination {message.destination} again")
 
-    def call_over(self, process: Process, message: StoredMessage) -> None:
-        """A call of it runs no more."""
-        self._open[message.id].remove(process)
+    def on_call_over(self, process: Process, message: StoredMessage) -> None:
+        """Note that a call of a message has ended at its endpoint."""
+        self._open_calls[message.id].remove(process)
 
-    # --- the end ---
+    # --- end of the run ---
 
-    def final(self) -> None:
-        """After the quiet time."""
-        disks = self.disks()
-        for name, (courier, _) in self.told.items():
-            if name not in self.ends and not any(name in disks[one] for one in self.lost):
-                where = [one for one, held in disks.items() if name in held]
-                self.fail(OWED, f"{name}, answered 202 by {courier}, has no end; held by {where or 'nobody'}")
+    def check_final(self) -> None:
+        """Check after the quiet time that each accepted message has its end, or is held by a courier lost for good."""
+        disk_contents = self.disk_contents()
+        for name, (courier, _) in self.accepted_messages.items():
+            if name not in self.ends and not any(name in disk_contents[one] for one in self.lost_couriers):
+                holders = [one for one, held_messages in disk_contents.items() if name in held_messages]
+                self.fail(OWED, f"{name}, answered 202 by {courier}, has no end; held by {holders or 'nobody'}")
--- a/wheelstep/rehearsal/shard_world/courier.py
+++ b/wheelstep/rehearsal/shard_world/courier.py
@@ -1,4 +1,4 @@
-"""A courier of the fleet: the real `ShardNode` between a simulated shelf, net and door."""
+"""A courier of the fleet: a real `ShardNode` with a simulated courier port, network and client server."""
 
 from __future__ import annotations
 
@@ -9,99 +9,101 @@
 
 from wheelstep.fleet.types import Member, State
 from wheelstep.forwarding.client import ForwardClient
-from wheelstep.rehearsal.shard_world.discovery import read
-from wheelstep.rehearsal.shard_world.door import Door
-from wheelstep.rehearsal.shard_world.machine import FLEET, KEYS, Machine, Ordered
+from wheelstep.rehearsal.shard_world.discovery import parse_row
+from wheelstep.rehearsal.shard_world.door import SimClientServer
+from wheelstep.rehearsal.shard_world.machine import FLEET_KEYS, FLEET_NAME, Machine, OrderedSet
 from wheelstep.rehearsal.shard_world.net import SimNet
 from wheelstep.rehearsal.shard_world.partners import Partners
 from wheelstep.rehearsal.shard_world.process import Process
-from wheelstep.rehearsal.shard_world.shelf import SimShelf
+from wheelstep.rehearsal.shard_world.shelf import SimCourierPort
 from wheelstep.shards.node import ShardNode
 from wheelstep.shards.settings import NodeSettings
 
-END_S = 1.0  # from the last message taken to the end of its process
+SHUTDOWN_STEP_S = 1.0  # from the end of a departure until clients are refused, and from then until the process ends
 
 
 class Courier(Machine):
-    """Over its lives; its disk and name stay."""
+    """A courier over all its starts; `node`, `courier_port` and `client_server` belong to the present one."""
 
     partners: Partners
     settings: NodeSettings
     seeds: Mapping[str, str]
-    control: Mapping[str, str]
+    control_addresses: Mapping[str, str]
     weight = 1.0
     node: ShardNode | None = None
-    shelf: SimShelf | None = None
-    door: Door | None = None
+    courier_port: SimCourierPort | None = None
+    client_server: SimClientServer | None = None
 
     async def main(self, process: Process) -> None:
+        """Start the node, and accept clients once it is ready."""
         boot = self.disk.boot
         rng = random.Random(f"{self.world.seed} {self.name} {boot}")
-        shelf = SimShelf(process, self.disk, self.partners, self.check, self.settings.shards, rng)
-        me = Member(self.name, boot, State.ALIVE, self.address, self.address, self.weight, self.place)
+        courier_port = SimCourierPort(process, self.disk, self.partners, self.check, self.settings.shards, rng)
+        me = Member(self.name, boot, State.ALIVE, self.address, self.address, self.weight, self.zone)
         seeds = {name: address for name, address in self.seeds.items() if name != self.name}
-        node = ShardNode(me, self.settings, seeds, self.control, KEYS, FLEET, boot, shelf,
-                         SimNet(self.fabric, process), read,
+        node = ShardNode(me, self.settings, seeds, self.control_addresses, FLEET_KEYS, FLEET_NAME, boot, courier_port,
+                         SimNet(self.fabric, process), parse_row,
                          random.Random(f"{self.world.seed} {self.name} {boot} node"),
                          lambda text: self.world.trace(self.name, "notes", text))
-        cast(Any, node.streams)._links, cast(Any, node.links)._tasks = Ordered(), Ordered()
-        ways = node.client
-        cast(Any, node).client = lambda courier: _Watched(ways(courier), self, courier)
-        self.node, self.shelf, self.door = node, shelf, None
+        cast(Any, node.streams)._links, cast(Any, node.links)._tasks = OrderedSet(), OrderedSet()
+        make_client = node.client
+        cast(Any, node).client = lambda courier: _RecordingClient(make_client(courier), self, courier)
+        self.node, self.courier_port, self.client_server = node, courier_port, None
         await node.start(self.address)
         while not node.ready:
             await asyncio.sleep(0.01)
         self.world.trace(self.name, "is ready")
-        self.door = Door(process, boot, shelf, node.desk, self.check)
+        self.client_server = SimClientServer(process, boot, courier_port, node.desk, self.check)
 
-    def kill(self, vanish: bool = False) -> None:
+    def kill(self, machine_lost: bool = False) -> None:
+        """End the process as SIGKILL does; with `machine_lost` the machine loses its power."""
         if self.process is not None:
-            self.total()
-        super().kill(vanish)
-        self.door = None
-
-    def total(self) -> None:
-        """Add this life's figures to the run's."""
-        node, shelf = self.node, self.shelf
-        if node is None or shelf is None:
+            self.add_counts()
+        super().kill(machine_lost)
+        self.client_server = None
+
+    def add_counts(self) -> None:
+        """Add this process's counters to the run's."""
+        node, courier_port = self.node, self.courier_port
+        if node is None or courier_port is None:
             return
         self.node = None
         for name, number in (*node.router.counts.items(), *((f"list {one}", number) for one, number
                                                             in node.lifecycles.list_client.refused.items())):
-            self.world.count[name] += number
-        self.world.count["healths adopted"] += shelf.adopted
+            self.world.counts[name] += number
+        self.world.counts["healths adopted"] += courier_port.adopted_count
 
     def leave(self) -> None:
-        """SIGTERM: others become home, then the process ends."""
+        """Start a departure, as SIGTERM does: others become home, then the process ends."""
         process = self.process
-        if process is not None and not process.stopped and self.node is not None:
+        if process is not None and not process.paused and self.node is not None:
             self.world.trace(self.name, "leaves")
             process.start(self._leave(process, self.node))
 
     async def _leave(self, process: Process, node: ShardNode) -> None:
         await node.leave()
-        await asyncio.sleep(END_S)
-        if self.door is not None:
-            self.door.server.refuse_messages()
-        await asyncio.sleep(END_S)
-        self.door = None
+        await asyncio.sleep(SHUTDOWN_STEP_S)
+        if self.client_server is not None:
+            self.client_server.server.refuse_messages()
+        await asyncio.sleep(SHUTDOWN_STEP_S)
+        self.client_server = None
         await node.close()
         await asyncio.sleep(0.005)
-        self.world.after(0, self._end, process)
+        self.world.schedule_after(0, self._end, process)
 
     def _end(self, process: Process) -> None:
         if self.process is process:
             self.kill()
 
 
-class _Watched:
-    """A `ForwardClient` whose asks are seen."""
+class _RecordingClient:
+    """A `ForwardClient` whose requests the invariant checker sees."""
 
-    def __init__(self, inner: ForwardClient, courier: Courier, to: str) -> None:
-        self._inner, self._courier, self._to = inner, courier, to
+    def __init__(self, inner: ForwardClient, courier: Courier, receiver: str) -> None:
+        self._inner, self._courier, self._to = inner, courier, receiver
 
     def ask(self, admission: Any, message: Any) -> asyncio.Future[None]:
-        self._courier.check.asked(self._courier.name, self._to, message.id)
+        self._courier.check.on_forwarded(self._courier.name, self._to, message.id)
         return self._inner.ask(admission, message)
 
     def __getattr__(self, name: str) -> Any:
--- a/wheelstep/rehearsal/shard_world/disk.py
+++ b/wheelstep/rehearsal/shard_world/disk.py
@@ -1,6 +1,6 @@
-"""What a courier's process leaves behind: its journal, as a table of what it owes, and its boot number.
+"""A courier's disk: its journal, as a table of the messages that it owes, and its boot number.
 
-A process that ends loses nothing that it wrote; a machine that goes takes with it what was not synced."""
+The end of a process loses nothing that it wrote; the loss of a machine loses what was not synced."""
 
 from __future__ import annotations
 
@@ -12,58 +12,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """A message on disk. `ran`: an attempt of it may have run; `seq` tells the order in which they were taken."""
+class DiskRecord:
+    """A message on disk. `seq` gives the order of acceptance; `may_have_run` says that an attempt may have run."""
 
     message: StoredMessage
     seq: int
-    ran: bool = False
+    may_have_run: bool = False
 
 
 @dataclass(slots=True)
 class Disk:
-    """One courier's."""
+    """The disk of one courier."""
 
     boot: int = 1_700_000_000
     seq: int = 0
-    rows: dict[str, Kept] = field(default_factory=dict)
-    _undo: list[tuple[str, Kept | None]] = field(default_factory=list)  # what was there before what is not synced
+    records: dict[str, DiskRecord] = field(default_factory=dict)
+    _undo: list[tuple[str, DiskRecord | None]] = field(default_factory=list)  # unsynced writes and the records before
 
-    def put(self, name: str, kept: Kept) -> None:
-        """Write it, or write it anew."""
-        self._undo.append((name, self.rows.get(name)))
-        self.rows[name] = kept
+    def write(self, name: str, record: DiskRecord) -> None:
+        """Write a record, or overwrite it."""
+        self._undo.append((name, self.records.get(name)))
+        self.records[name] = record
 
-    def take(self, message: StoredMessage) -> Kept:
-        """A new message, behind all others."""
+    def append(self, message: StoredMessage) -> DiskRecord:
+        """Write a new message behind all others."""
         self.seq += 1
-        kept = Kept(message, self.seq)
-        self.put(message.id, kept)
-        return kept
+        record = DiskRecord(message, self.seq)
+        self.write(message.id, record)
+        return record
 
-    def ran(self, name: str, ran: bool) -> bool:
-        """Whether an attempt of it may have run; what stood there before."""
-        kept = self.rows[name]
-        self.put(name, replace(kept, ran=ran))
-        return kept.ran
+    def set_may_have_run(self, name: str, may_have_run: bool) -> bool:
+        """Set whether an attempt of a message may have run; return the previous value."""
+        record = self.records[name]
+        self.write(name, replace(record, may_have_run=may_have_run))
+        return record.may_have_run
 
-    def over(self, name: str) -> None:
-        """It is owed no more."""
-        self._undo.append((name, self.rows.pop(name)))
+    def remove(self, name: str) -> None:
+        """Remove a message that is no longer owed."""
+        self._undo.append((name, self.records.pop(name)))
 
     def sync(self) -> None:
-        """What is written by now stays, whatever happens."""
+        """Make all writes so far permanent."""
         self._undo.clear()
 
-    def power_lost(self, rng: random.Random) -> None:
-        """The last of what was not synced is gone."""
-        for name, before in self._undo[rng.randint(0, len(self._undo)):][::-1]:
-            if before is None:
-                self.rows.pop(name, None)
+    def lose_unsynced(self, rng: random.Random) -> None:
+        """Undo the last of the unsynced writes, a random number of them, as a power loss does."""
+        for name, previous in self._undo[rng.randint(0, len(self._undo)):][::-1]:
+            if previous is None:
+                self.records.pop(name, None)
             else:
-                self.rows[name] = before
+                self.records[name] = previous
         self._undo.clear()
 
-    def owed(self) -> Iterator[Kept]:
-        """In the order in which they were taken."""
-        return iter(sorted(self.rows.values(), key=lambda kept: kept.seq))
+    def owed_records(self) -> Iterator[DiskRecord]:
+        """Return all records in the order of acceptance."""
+        return iter(sorted(self.records.values(), key=lambda record: record.seq))
--- a/wheelstep/rehearsal/shard_world/partners.py
+++ b/wheelstep/rehearsal/shard_world/partners.py
@@ -1,4 +1,4 @@
-"""Destinations' endpoints: calls take a while, take effect once they run, and answer, or not."""
+"""The endpoints of simulated destinations: a call takes effect after some time, and is answered or not."""
 
 from __future__ import annotations
 
@@ -8,54 +8,57 @@
 from enum import Enum
 
 from wheelstep.journal import StoredMessage
-from wheelstep.rehearsal.shard_world.check import Check
+from wheelstep.rehearsal.shard_world.check import InvariantChecker
 from wheelstep.rehearsal.shard_world.process import Process
 from wheelstep.rehearsal.shard_world.world import MS, World
 
-LATEST_US = 600 * MS  # after its first byte a call takes effect, if it does
+MAX_EFFECT_DELAY_US = 600 * MS  # from a call's first byte until it takes effect
 
 
 class Outcome(Enum):
-    """Of a call, as its caller hears it."""
+    """The outcome of a call that its caller receives."""
 
     OK = "ok"
-    REFUSED = "refused"  # it did not run
-    DOWN = "down"  # nobody there
+    REFUSED = "refused"  # the call did not run
+    DOWN = "down"  # the endpoint is not there
 
 
 @dataclass(slots=True)
 class Partners:
-    """All of them. `down`: endpoints that nobody answers for."""
+    """All endpoints; those named in `down` can't be reached."""
 
     world: World
-    check: Check
+    check: InvariantChecker
     rng: random.Random
-    refuse: float = 0.05
-    silent: float = 0.05
-    slow: float = 0.15
+    refusal_probability: float = 0.05
+    no_answer_probability: float = 0.05
+    slow_probability: float = 0.15
     down: set[str] = field(default_factory=set)
 
-    def call(self, process: Process, endpoint: str, message: StoredMessage, heard: Callable[[Outcome], None]) -> None:
-        """The first byte goes out now; `heard` may never be told."""
+    def call(self, process: Process, endpoint: str, message: StoredMessage,
+             on_outcome: Callable[[Outcome], None]) -> None:
+        """Send the first byte of a call now. `on_outcome` is not called if the answer is lost."""
         rng = self.rng
-        self.check.sent(process, endpoint, message)
-        there = 300 + int(rng.random() * 2 * MS)
+        self.check.on_call(process, endpoint, message)
+        transit_us = 300 + int(rng.random() * 2 * MS)
         if endpoint in self.down:
-            self.world.after(there, self._unrun, process, message, heard, Outcome.DOWN)
+            self.world.schedule_after(transit_us, self._report_not_run, process, message, on_outcome, Outcome.DOWN)
             return
-        if rng.random() < self.refuse:
-            self.world.after(there + MS, self._unrun, process, message, heard, Outcome.REFUSED)
+        if rng.random() < self.refusal_probability:
+            self.world.schedule_after(
+                transit_us + MS, self._report_not_run, process, message, on_outcome, Outcome.REFUSED)
             return
-        works = int(rng.random() * (LATEST_US - 10 * MS if rng.random() < self.slow else 30 * MS))
-        self.world.after(there + works, self._effect, process, message)
-        if rng.random() >= self.silent:
-            self.world.after(there + works + MS, process.deliver, heard, Outcome.OK)
+        work_us = int(rng.random() * (
+            MAX_EFFECT_DELAY_US - 10 * MS if rng.random() < self.slow_probability else 30 * MS))
+        self.world.schedule_after(transit_us + work_us, self._take_effect, process, message)
+        if rng.random() >= self.no_answer_probability:
+            self.world.schedule_after(transit_us + work_us + MS, process.deliver, on_outcome, Outcome.OK)
 
-    def _effect(self, process: Process, message: StoredMessage) -> None:
-        self.check.call_over(process, message)
-        self.check.effect(message)
+    def _take_effect(self, process: Process, message: StoredMessage) -> None:
+        self.check.on_call_over(process, message)
+        self.check.on_effect(message)
 
-    def _unrun(self, process: Process, message: StoredMessage, heard: Callable[[Outcome], None],
+    def _report_not_run(self, process: Process, message: StoredMessage, on_outcome: Callable[[Outcome], None],
                outcome: Outcome) -> None:
-        self.check.call_over(process, message)
-        process.deliver(heard, outcome)
+        self.check.on_call_over(process, message)
+        process.deliver(on_outcome, outcome)
--- a/wheelstep/rehearsal/shard_world/pipe.py
+++ b/wheelstep/rehearsal/shard_world/pipe.py
@@ -1,5 +1,5 @@
-"""Byte streams between simulated processes: they stall where a packet is lost or a link is cut, and never reorder; they
-end with a process, or some time after its machine."""
+"""Byte streams between simulated processes. They stall at a lost packet or a blocked link, and never reorder. They end
+with a process, or some time after its machine was lost."""
 
 from __future__ import annotations
 
@@ -11,184 +11,193 @@
 from wheelstep.rehearsal.shard_world.world import MS, S, World
 from wheelstep.shards.ports import Accept, Lost, Received
 
-KERNEL = 128 << 10  # bytes that a kernel takes off a process's hands
-UNREAD_US = 10 * S  # what the other machine has not taken for so long ends a pipe
-PROBE_US, PROBES = 5 * S, 4  # how often a silent pipe is probed, and how often in vain before it ends
+KERNEL_BUFFER_BYTES = 128 << 10  # that a process can write before its data wait in the process itself
+UNACKED_TIMEOUT_US = 10 * S  # a pipe ends when the other machine has taken no data for so long
+KEEPALIVE_INTERVAL_US, KEEPALIVE_PROBES = 5 * S, 4  # a pipe ends after so many probes without an answer
 
 
-class Links(Protocol):
-    """What carries them: see `net.Fabric`."""
+class PipeNetwork(Protocol):
+    """The part of `net.Fabric` that carries pipes."""
 
     world: World
     rng: random.Random
-    lose: float
-    gone: set[str]
-    stalled: dict[int, SimPipe]
-    pipes: int
+    loss_probability: float
+    machines_down: set[str]
+    stalled_pipes: dict[int, SimPipe]
+    pipe_count: int
 
-    def blocked(self, sender: str, to: str) -> bool: ...
+    def is_blocked(self, sender: str, receiver: str) -> bool:
+        """Return whether nothing gets from one process to the other now."""
+        ...
 
-    def delay(self, sender: str, to: str) -> int: ...
+    def draw_delay_us(self, sender: str, receiver: str) -> int:
+        """Return the delay of one packet."""
+        ...
 
 
 class SimPipe:
-    """One side of a byte stream (ports.Pipe)."""
+    """One side of a byte stream (`ports.Pipe`)."""
 
-    def __init__(self, fabric: Links, process: Process) -> None:
+    def __init__(self, fabric: PipeNetwork, process: Process) -> None:
         self._fabric, self.process = fabric, process
-        fabric.pipes += 1
-        self.number = fabric.pipes
+        fabric.pipe_count += 1
+        self.number = fabric.pipe_count
         self.peer: SimPipe = self
-        self.hears: Received | None = None
-        self.lost: Lost | None = None
-        self.ended = False  # here; told once
-        self._told = False
-        self._out: list[bytes | None] = []  # stalled, in order; None: the end
-        self._out_bytes = 0
-        self._last_us = 0
-        self._sent = self._came = self._dropped_from = 0
-        self._read_on = False  # has its dialler, or its listener, gone on with it?
-        self._early: list[bytes] = []  # what came before
-        self._ends_early = False
-        self._stalls = 0  # so often it did
-        self._under_way = 0  # bytes that the other side has not read
+        self.on_received: Received | None = None
+        self.on_lost: Lost | None = None
+        self.ended = False  # on this side
+        self._end_reported = False
+        self._stalled_data: list[bytes | None] = []  # in order; None: the end of the stream
+        self._stalled_bytes = 0
+        self._last_arrival_us = 0
+        self._sent = self._last_arrived = self._first_dropped = 0
+        self._reading = False  # whether the dialler or listener has set its callbacks
+        self._early_data: list[bytes] = []  # received before that
+        self._ended_early = False
+        self._stall_count = 0
+        self._unread_bytes = 0  # that the other side has not read
         process.pipes.append(self)
 
-    def accepted(self, accept: Accept) -> None:
-        """At the listener, in its turn."""
-        self.hears, self.lost = accept(self)
-        self._read_on = True
+    def on_accepted(self, accept: Accept) -> None:
+        """Hand the pipe to the listener, in a turn of its process."""
+        self.on_received, self.on_lost = accept(self)
+        self._reading = True
 
-    def dialled(self, answer: asyncio.Future[SimPipe]) -> None:
-        """At the dialler, in its turn."""
+    def on_dialled(self, answer: asyncio.Future[SimPipe]) -> None:
+        """Hand the pipe to the dialler, in a turn of its process; close it if nobody waits any more."""
         if answer.done():
-            self.lost = None
+            self.on_lost = None
             self.close()
         else:
             answer.set_result(self)
-            loop = self.process.loop  # as asyncio has it, nothing is read before the dialler has gone on
-            loop.call_soon(loop.call_soon, self._open)
+            loop = self.process.loop  # as in asyncio, nothing is read before the dialler's coroutine has resumed
+            loop.call_soon(loop.call_soon, self._start_reading)
 
-    def _open(self) -> None:
-        self._read_on = True
-        early, self._early = self._early, []
-        for data in early:
-            self._read(data)
-        if self._ends_early:
-            self._hung_up()
+    def _start_reading(self) -> None:
+        self._reading = True
+        early_data, self._early_data = self._early_data, []
+        for data in early_data:
+            self._on_data(data)
+        if self._ended_early:
+            self._on_hangup()
 
     # --- ports.Pipe ---
 
     def write(self, data: bytes) -> None:
+        """Write in order; does nothing on a pipe that has ended."""
         if not self.ended and self.process.alive and data:
-            self._carry(bytes(data))
+            self._transmit(bytes(data))
 
     @property
     def behind(self) -> int:
-        return max(0, self._out_bytes + self._under_way - KERNEL)
+        """The number of bytes that wait to be written, beyond the kernel's buffer."""
+        return max(0, self._stalled_bytes + self._unread_bytes - KERNEL_BUFFER_BYTES)
 
     def close(self) -> None:
+        """End the pipe at this side; `on_lost` follows in the next turn."""
         if not self.ended and self.process.alive:
             self.ended = True
-            self._carry(None)
-            self.process.loop.call_soon(self._tell)
+            self._transmit(None)
+            self.process.loop.call_soon(self._report_end)
 
-    # --- what happens to it ---
+    # --- transport ---
 
-    def _tell(self) -> None:
-        if not self._told:
-            self._told = True
-            if self.lost is not None:
-                self.lost()
+    def _report_end(self) -> None:
+        if not self._end_reported:
+            self._end_reported = True
+            if self.on_lost is not None:
+                self.on_lost()
 
-    def _carry(self, data: bytes | None) -> None:
+    def _transmit(self, data: bytes | None) -> None:
         fabric = self._fabric
         if data is not None:
-            self._under_way += len(data)
-        if self._out or fabric.blocked(self.process.name, self.peer.process.name):
-            self._out.append(data)
-            if self.number not in fabric.stalled:
-                fabric.stalled[self.number] = self
-                self._stalls += 1
-                fabric.world.after(UNREAD_US, self._unread, self._stalls)
+            self._unread_bytes += len(data)
+        if self._stalled_data or fabric.is_blocked(self.process.name, self.peer.process.name):
+            self._stalled_data.append(data)
+            if self.number not in fabric.stalled_pipes:
+                fabric.stalled_pipes[self.number] = self
+                self._stall_count += 1
+                fabric.world.schedule_after(UNACKED_TIMEOUT_US, self._on_unacked_timeout, self._stall_count)
             return
         self._send(data, 0)
 
     def _send(self, data: bytes | None, extra_us: int) -> None:
         fabric = self._fabric
-        delay = fabric.delay(self.process.name, self.peer.process.name) + extra_us
-        if fabric.lose and fabric.rng.random() < fabric.lose:
+        delay = fabric.draw_delay_us(self.process.name, self.peer.process.name) + extra_us
+        if fabric.loss_probability and fabric.rng.random() < fabric.loss_probability:
             delay += 200 * MS
-        self._last_us = max(self._last_us + 1, fabric.world.now_us + delay)
+        self._last_arrival_us = max(self._last_arrival_us + 1, fabric.world.now_us + delay)
         self._sent += 1
-        fabric.world.at(self._last_us, self._arrive, self._sent, data)
+        fabric.world.schedule_at(self._last_arrival_us, self._arrive, self._sent, data)
 
-    def flow(self) -> None:
-        """The link may carry again: what stalled is sent once more, in order."""
-        if self._fabric.blocked(self.process.name, self.peer.process.name):
+    def retransmit(self) -> None:
+        """Send stalled data again, in order, unless the link is still blocked."""
+        if self._fabric.is_blocked(self.process.name, self.peer.process.name):
             return
-        self._fabric.stalled.pop(self.number, None)
-        out, self._out = self._out, []
+        self._fabric.stalled_pipes.pop(self.number, None)
+        stalled_data, self._stalled_data = self._stalled_data, []
         extra_us = int(self._fabric.rng.random() * 400 * MS)
-        for data in out:
+        for data in stalled_data:
             self._send(data, extra_us)
 
-    def _unread(self, stall: int) -> None:
-        """Nothing has got through for so long."""
-        if self.number in self._fabric.stalled and stall == self._stalls:
-            self._out = [None]  # the other side hears of it once the link carries again
-            self.process.deliver(self._hung_up)
+    def _on_unacked_timeout(self, stall: int) -> None:
+        """End the pipe if it has been stalled without a break since it stalled for the `stall`-th time."""
+        if self.number in self._fabric.stalled_pipes and stall == self._stall_count:
+            self._stalled_data = [None]  # the other side receives the end once the link is open
+            self.process.deliver(self._on_hangup)
 
     def _arrive(self, number: int, data: bytes | None) -> None:
-        self._came = number
-        if self._dropped_from and number >= self._dropped_from and data is not None:
+        self._last_arrived = number
+        if self._first_dropped and number >= self._first_dropped and data is not None:
             return
         peer = self.peer
         if not peer.process.alive:
-            if data is not None and not self._fabric.blocked(peer.process.name, self.process.name):
-                delay = self._fabric.delay(peer.process.name, self.process.name)
-                self._fabric.world.after(delay, self.process.deliver, self._hung_up)  # as its machine says of it
+            if data is not None and not self._fabric.is_blocked(peer.process.name, self.process.name):
+                delay = self._fabric.draw_delay_us(peer.process.name, self.process.name)
+                self._fabric.world.schedule_after(delay, self.process.deliver, self._on_hangup)  # its machine resets
             elif data is not None:
-                self._fabric.world.after(UNREAD_US, self.process.deliver, self._hung_up)
+                self._fabric.world.schedule_after(UNACKED_TIMEOUT_US, self.process.deliver, self._on_hangup)
             return
         if data is None:
-            peer.process.deliver(peer._hung_up)
+            peer.process.deliver(peer._on_hangup)
         else:
-            peer.process.deliver(peer._read, data)
+            peer.process.deliver(peer._on_data, data)
 
-    def _read(self, data: bytes) -> None:
-        if not self._read_on:
-            self._early.append(data)
+    def _on_data(self, data: bytes) -> None:
+        if not self._reading:
+            self._early_data.append(data)
             return
-        self.peer._under_way -= len(data)
-        if not self.ended and self.hears is not None:
-            self.hears(data)
+        self.peer._unread_bytes -= len(data)
+        if not self.ended and self.on_received is not None:
+            self.on_received(data)
 
-    def _hung_up(self) -> None:
-        if not self._read_on:
-            self._ends_early = True
+    def _on_hangup(self) -> None:
+        if not self._reading:
+            self._ended_early = True
         elif not self.ended:
             self.ended = True
-            self._tell()
+            self._report_end()
 
-    def _probed(self, times: int) -> None:
-        """By the other side, after this one's machine went."""
-        if times >= PROBES or self.process.name not in self._fabric.gone:
-            self.peer.process.deliver(self.peer._hung_up)
+    def _on_keepalive(self, probes_sent: int) -> None:
+        """Handle a keepalive probe of the other side, after this side's machine was lost: the last one, or one that
+        reaches the restarted machine, ends the pipe there."""
+        if probes_sent >= KEEPALIVE_PROBES or self.process.name not in self._fabric.machines_down:
+            self.peer.process.deliver(self.peer._on_hangup)
         else:
-            self._fabric.world.after(PROBE_US, self._probed, times + 1)
+            self._fabric.world.schedule_after(KEEPALIVE_INTERVAL_US, self._on_keepalive, probes_sent + 1)
 
-    def died(self, vanished: bool) -> None:
-        """The process has ended: its kernel says so. Where its machine went with it, nobody does until that is back and
-        hears of the pipe."""
+    def on_process_end(self, machine_lost: bool) -> None:
+        """End the pipe with its process: the kernel closes or resets it. If the machine is lost, the other side learns
+        of the end only by its keepalive probes."""
         if self.ended:
             return
         self.ended = True
-        if vanished:
-            self._out.clear()
-            self._fabric.world.after(PROBE_US, self._probed, 1)
+        if machine_lost:
+            self._stalled_data.clear()
+            self._fabric.world.schedule_after(KEEPALIVE_INTERVAL_US, self._on_keepalive, 1)
             return
         if self._fabric.rng.random() < 0.5:
-            self._dropped_from = self._fabric.rng.randint(self._came + 1, self._sent + 1)  # what was under way
-            self._out.clear()
-        self._carry(None)
+            # Part of the data under way is lost.
+            self._first_dropped = self._fabric.rng.randint(self._last_arrived + 1, self._sent + 1)
+            self._stalled_data.clear()
+        self._transmit(None)
--- a/wheelstep/rehearsal/shard_world/process.py
+++ b/wheelstep/rehearsal/shard_world/process.py
@@ -1,4 +1,4 @@
-"""A process on a machine of the fleet: its loop, and what the kernel keeps for it while it stands still."""
+"""A process on a machine of the fleet: its event loop, and what the kernel queues for it while it is paused."""
 
 from __future__ import annotations
 
@@ -8,85 +8,86 @@
 from wheelstep.rehearsal.shard_world.loop import VirtualLoop
 from wheelstep.rehearsal.shard_world.world import MS, World
 
-QUEUE = 400  # datagrams that wait for a process that does not read
+MAX_QUEUED_DATAGRAMS = 400  # of a process that doesn't read; later ones are dropped
 
 
-class Ending(Protocol):
-    """What the kernel ends with a process."""
+class ProcessResource(Protocol):
+    """A resource that ends with its process, such as a pipe."""
 
     def close(self) -> None:
-        """The process ends it."""
+        """Close it from within the process."""
 
-    def died(self, vanished: bool) -> None:
-        """The process has ended, its machine with it if `vanished`."""
+    def on_process_end(self, machine_lost: bool) -> None:
+        """Handle the end of the process, or with `machine_lost` that of its machine."""
 
 
 class Process:
-    """One life of a named process. `place` is its zone, `region/zone`."""
+    """A process from its start to its end. `zone` is "region/zone"."""
 
-    def __init__(self, world: World, name: str, place: str, number: int,
-                 failed: Callable[[dict[str, Any]], None] | None = None) -> None:
-        self.world, self.name, self.place = world, name, place
+    def __init__(self, world: World, name: str, zone: str, number: int,
+                 on_unhandled: Callable[[dict[str, Any]], None] | None = None) -> None:
+        self.world, self.name, self.zone = world, name, zone
         self.alive = True
-        self.loop = VirtualLoop(world, name, number, world.rng.randrange(10**11), failed)
-        self.pipes: list[Ending] = []
-        self.on_end: list[Callable[[bool], None]] = []  # told whether the machine went with it
-        self._waiting: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
-        self._datagrams = 0
-        self._held = False  # awake, and not all of that read yet
+        self.loop = VirtualLoop(world, name, number, world.rng.randrange(10**11), on_unhandled)
+        self.pipes: list[ProcessResource] = []
+        self.on_end: list[Callable[[bool], None]] = []  # called with whether the machine was lost
+        self._backlog: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
+        self._queued_datagrams = 0
+        self._reading_backlog = False  # continued, but the backlog is not read yet
 
     @property
-    def stopped(self) -> bool:
-        """By SIGSTOP."""
-        return self.loop.stopped
+    def paused(self) -> bool:
+        """Whether SIGSTOP has paused the process."""
+        return self.loop.paused
 
     def start(self, main: Coroutine[Any, Any, None]) -> None:
-        """Run this in it."""
+        """Run a coroutine in the process."""
         self.loop.create_task(main)
         self.loop.call_soon(lambda: None)
 
-    def deliver(self, what: Callable[..., object], *given: Any, datagram: bool = False) -> None:
-        """From outside, in its next turn; while it stands still the kernel keeps it."""
+    def deliver(self, callback: Callable[..., object], *args: Any, datagram: bool = False) -> None:
+        """Call back in the process's next turn; while it is paused, the kernel queues the call."""
         if not self.alive:
             return
-        if not self.stopped and not self._held:
-            self.loop.call_soon(what, *given)
-        elif not datagram or self._datagrams < QUEUE:
-            self._datagrams += datagram
-            self._waiting.append((what, given))
-
-    def kill(self, vanish: bool = False) -> None:
-        """SIGKILL; with `vanish` its machine goes too, and nothing tells its peers."""
+        if not self.paused and not self._reading_backlog:
+            self.loop.call_soon(callback, *args)
+        elif not datagram or self._queued_datagrams < MAX_QUEUED_DATAGRAMS:
+            self._queued_datagrams += datagram
+            self._backlog.append((callback, args))
+
+    def kill(self, machine_lost: bool = False) -> None:
+        """End the process as SIGKILL does; with `machine_lost` its machine goes too, and peers are not informed."""
         if not self.alive:
             return
         self.alive = False
         self.loop.kill()
-        self._waiting.clear()
+        self._backlog.clear()
         for pipe in self.pipes:
-            pipe.died(vanish)
-        for told in self.on_end:
-            told(vanish)
-
-    def stop(self) -> None:
-        """SIGSTOP."""
-        self.loop.stopped = True
-
-    def wake(self) -> None:
-        """SIGCONT: some of what waited is read before the timers that are due, the rest right after."""
-        if not self.alive or not self.stopped:
+            pipe.on_process_end(machine_lost)
+        for notify in self.on_end:
+            notify(machine_lost)
+
+    def pause(self) -> None:
+        """Pause the process, as SIGSTOP does."""
+        self.loop.paused = True
+
+    def resume(self) -> None:
+        """Continue the process, as SIGCONT does: a first part of the backlog, of random length, is read before the
+        timers that are due, and the rest right after."""
+        if not self.alive or not self.paused:
             return
-        waiting, self._waiting, self._datagrams = self._waiting, [], 0
-        early = self.world.rng.randint(0, len(waiting))
-        self.loop.stopped, self._held = False, True
-        for what, given in waiting[:early]:
-            self.loop.call_soon(what, *given)
-        self._waiting = waiting[early:]  # what comes meanwhile stands behind them
-        self.loop.wake()
-        self.world.after(self.world.rng.randrange(MS // 2), self._read)
-
-    def _read(self) -> None:
-        if not self.alive or self.stopped:
+        backlog, self._backlog, self._queued_datagrams = self._backlog, [], 0
+        early_count = self.world.rng.randint(0, len(backlog))
+        self.loop.paused, self._reading_backlog = False, True
+        for callback, args in backlog[:early_count]:
+            self.loop.call_soon(callback, *args)
+        self._backlog = backlog[early_count:]  # later arrivals are queued behind it
+        self.loop.resume()
+        self.world.schedule_after(self.world.rng.randrange(MS // 2), self._read_backlog)
+
+    def _read_backlog(self) -> None:
+        if not self.alive or self.paused:
             return
-        waiting, self._waiting, self._held = self._waiting, [], False
-        for what, given in waiting:
-            self.loop.call_soon(what, *given)
+        backlog, self._backlog, self._reading_backlog = self._backlog, [], False
+        for callback, args in backlog:
+            self.loop.call_soon(callback, *args)
--- a/wheelstep/rehearsal/shard_world/reach.py
+++ b/wheelstep/rehearsal/shard_world/reach.py
@@ -1,11 +1,11 @@
-"""For how long a courier has been within reach of a control machine that knows of a drain, without a break."""
+"""Tracks for how long each courier has been able to reach a control machine that knows of a drain."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wheelstep.rehearsal.shard_world.control import Control
+from wheelstep.rehearsal.shard_world.control import SimControlMachine
 from wheelstep.rehearsal.shard_world.courier import Courier
 from wheelstep.rehearsal.shard_world.discovery import Discovery
 from wheelstep.rehearsal.shard_world.machine import Machine
@@ -13,44 +13,48 @@
 from wheelstep.rehearsal.shard_world.world import World
 
 
-def _runs(machine: Machine) -> bool:
+def _is_running(machine: Machine) -> bool:
     process = machine.process
-    return process is not None and not process.stopped
+    return process is not None and not process.paused
 
 
 @dataclass(slots=True)
-class Reach:
-    """`look` is to be called whenever a fault begins or ends."""
+class ReachabilityTracker:
+    """Tracks since when each courier and control machine can reach each other without a break. `update` must be called
+    whenever a fault begins or ends."""
 
     world: World
     fabric: Fabric
     discovery: Discovery
-    fleet: Sequence[Courier]
-    controls: Sequence[Control]
-    _since: dict[tuple[str, str], int] = field(default_factory=dict)
-
-    def look(self) -> None:
-        """Who reaches whom has changed, perhaps."""
-        calm = not self.fabric.lose and not self.fabric.late
-        for courier in self.fleet:
+    couriers: Sequence[Courier]
+    controls: Sequence[SimControlMachine]
+    _reachable_since_us: dict[tuple[str, str], int] = field(default_factory=dict)
+
+    def update(self) -> None:
+        """Update the pairs that can reach each other now."""
+        calm = not self.fabric.loss_probability and not self.fabric.long_delay_probability
+        for courier in self.couriers:
             for control in self.controls:
                 pair = courier.name, control.name
-                good = (calm and _runs(courier) and _runs(control) and not self.fabric.blocked(*pair)
-                        and not self.fabric.blocked(control.name, courier.name) and pair not in self.fabric.slow)
-                if not good:
-                    self._since.pop(pair, None)
+                reachable = (calm and _is_running(courier) and _is_running(control)
+                             and not self.fabric.is_blocked(*pair)
+                             and not self.fabric.is_blocked(control.name, courier.name)
+                             and pair not in self.fabric.extra_delay_us)
+                if not reachable:
+                    self._reachable_since_us.pop(pair, None)
                 else:
-                    self._since.setdefault(pair, self.world.now_us)
+                    self._reachable_since_us.setdefault(pair, self.world.now_us)
 
-    def late_us(self, courier: str, endpoint: str) -> int:
-        """0 if it is on, or if the courier has not been told by anybody for so long."""
-        seq = self.discovery.off_seq.get(endpoint)
+    def drain_delay_us(self, courier: str, endpoint: str) -> int:
+        """Return for how long a drained endpoint could have been known to the courier: the longest time since a control
+        machine knew of the drain and the two could reach each other. 0 if the endpoint serves, or if there is none."""
+        seq = self.discovery.unavailable_since_seq.get(endpoint)
         if seq is None:
             return 0
-        late_us = 0
+        drain_delay_us = 0
         for control in self.controls:
-            had_us = self.discovery.had_us.get((control.name, seq))
-            since_us = self._since.get((courier, control.name))
-            if had_us is not None and since_us is not None:
-                late_us = max(late_us, self.world.now_us - max(had_us, since_us))
-        return late_us
+            known_since_us = self.discovery.received_us.get((control.name, seq))
+            reachable_since_us = self._reachable_since_us.get((courier, control.name))
+            if known_since_us is not None and reachable_since_us is not None:
+                drain_delay_us = max(drain_delay_us, self.world.now_us - max(known_since_us, reachable_since_us))
+        return drain_delay_us
--- a/wheelstep/rehearsal/shard_world/world.py
+++ b/wheelstep/rehearsal/shard_world/world.py
@@ -1,4 +1,4 @@
-"""True time and its queue of events. Imports nothing of the project. All times are whole microseconds."""
+"""True time and its event queue. Imports nothing of the project. All times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -9,71 +9,71 @@
 from collections.abc import Callable
 from typing import Any
 
-MS, S = 1_000, 1_000_000
-WALL_US = 1_800_000_000 * S  # the wall clock at the run's first moment
+MS, S = 1_000, 1_000_000  # a millisecond and a second, in microseconds
+WALL_US = 1_800_000_000 * S  # Unix time at the start of a run
 
 
 class StuckError(Exception):
-    """Nothing will ever happen any more, and somebody waits."""
+    """A condition is waited for, and no event is left that could bring it about."""
 
 
 class World:
-    """Plays events in the order of true time; those of one moment in the order in which they were asked for. `mark`
-    tells two runs apart: it is made of every turn of every process, and of every line of the trace."""
+    """Runs events in the order of true time; those of the same time in the order in which they were scheduled.
+    `digest` covers every turn of every process and every line of the trace, for comparing two runs."""
 
     def __init__(self, seed: int, traced: bool = False) -> None:
         self.seed = seed
         self.rng = random.Random(seed)
         self.now_us = 0
         self.events = 0
-        self.over = False  # nothing more is played
-        self.mark = zlib.crc32(str(seed).encode())
-        self.lines: list[str] | None = [] if traced else None
-        self.count: Counter[str] = Counter()
-        self.who = ""  # whose turn it is
-        self.offset_us = 0  # of that one's clock
+        self.finished = False  # no more events are run
+        self.digest = zlib.crc32(str(seed).encode())
+        self.trace_lines: list[str] | None = [] if traced else None
+        self.counts: Counter[str] = Counter()
+        self.current_process = ""  # the name of the process whose turn it is
+        self.clock_offset_us = 0  # of its monotonic clock from true time
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._asked = 0
+        self._sequence = 0
 
-    def at(self, true_us: int, what: Callable[..., None], *given: Any) -> None:
-        """Do it then, or at once if that is past."""
-        self._asked += 1
-        heapq.heappush(self._queue, (max(true_us, self.now_us), self._asked, what, given))
+    def schedule_at(self, true_us: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a call at a true time, or now if that is past."""
+        self._sequence += 1
+        heapq.heappush(self._queue, (max(true_us, self.now_us), self._sequence, callback, args))
 
-    def after(self, in_us: int, what: Callable[..., None], *given: Any) -> None:
-        """Do it so much later."""
-        self.at(self.now_us + in_us, what, *given)
+    def schedule_after(self, delay_us: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a call after a delay."""
+        self.schedule_at(self.now_us + delay_us, callback, *args)
 
-    def run(self, until_us: int) -> None:
-        """Play all events up to then."""
+    def run_until(self, until_us: int) -> None:
+        """Run all events up to `until_us`, which becomes the present time, or until the run is finished."""
         queue = self._queue
-        while queue and queue[0][0] <= until_us and not self.over:
-            self.now_us, _, what, given = heapq.heappop(queue)
+        while queue and queue[0][0] <= until_us and not self.finished:
+            self.now_us, _, callback, args = heapq.heappop(queue)
             self.events += 1
-            what(*given)
-        if not self.over:
+            callback(*args)
+        if not self.finished:
             self.now_us = until_us
 
-    def run_till(self, done: Callable[[], bool]) -> None:
-        """Play events until this holds. Raises `StuckError` if it never will."""
-        while not done():
+    def run_until_done(self, condition: Callable[[], bool]) -> None:
+        """Run events until a condition holds. Raises `StuckError` if it never will."""
+        while not condition():
             if not self._queue:
                 raise StuckError(f"seed {self.seed} at {self.now_us / S:.6f} s: nothing is left to happen")
-            self.now_us, _, what, given = heapq.heappop(self._queue)
+            self.now_us, _, callback, args = heapq.heappop(self._queue)
             self.events += 1
-            what(*given)
+            callback(*args)
 
     def wall_us(self) -> int:
-        """Unix time."""
+        """Return the Unix time."""
         return WALL_US + self.now_us
 
-    def stamp(self, number: int) -> None:
-        """A turn of this process goes into the mark."""
-        self.mark = zlib.crc32(b"%d %d" % (self.now_us, number), self.mark)
+    def record_turn(self, number: int) -> None:
+        """Add a turn of a process, given by its number, to the digest."""
+        self.digest = zlib.crc32(b"%d %d" % (self.now_us, number), self.digest)
 
-    def trace(self, who: str, what: str, *about: object) -> None:
-        """A line of the trace: into the mark, and kept if traces are."""
-        line = f"{self.now_us / S:10.6f} {who:<6} {what} {' '.join(str(one) for one in about)}"
-        self.mark = zlib.crc32(line.encode(), self.mark)
-        if self.lines is not None:
-            self.lines.append(line)
+    def trace(self, source: str, event: str, *details: object) -> None:
+        """Add a line to the digest, and to the trace if one is kept."""
+        line = f"{self.now_us / S:10.6f} {source:<6} {event} {' '.join(str(one) for one in details)}"
+        self.digest = zlib.crc32(line.encode(), self.digest)
+        if self.trace_lines is not None:
+            self.trace_lines.append(line)
