--- a/wheelstep/rehearsal/shard_world/check.py
+++ b/wheelstep/rehearsal/shard_world/check.py
@@ -142,13 +142,13 @@
         delay_us = self.drain_delay_us(courier, endpoint)
         if delay_us > DRAIN_NOTICE_US + DRAIN_SLACK_US:
             self.fail(DRAIN_HEEDED, f"{courier} calls {endpoint} for {name} {delay_us / S:.1f} s after a control "
-                                    "machine that it could reach knew that it is off")
+                                    "machine that it could reach knew that it is drained")
         sequence = self._sequence_of.get(name)
         if sequence is not None:
             position = sequence.positions[name]
             for index, other in enumerate(sequence.names):
                 if index != position and any(one.alive for one in self._open_calls[other]):
-                    self.fail(IN_ORDER, f"{courier} calls for {name} while a call for {other} is out")
+                    self.fail(IN_ORDER, f"{courier} calls for {name} while a call for {other} is in flight")
                 if index < position and other not in self.ends and not self._effects.get(other) \
                         and not self._expired(other):
                     self.fail(IN_ORDER, f"{courier} calls for {name} before {other}, which was submitted before")
--- a/wheelstep/rehearsal/shard_world/faults.py
+++ b/wheelstep/rehearsal/shard_world/faults.py
@@ -85,7 +85,7 @@
                 self._start_after(courier, duration_us)
             case "flap":
                 for _ in range(3):
-                    self.world.schedule_after(rng.randrange(4 * S), self._restart_soon, courier)
+                    self.world.schedule_after(rng.randrange(4 * S), self._kill_and_restart, courier)
             case "for good":
                 region = region_of(courier.zone)
                 left = [one for one in self.fleet if region_of(one.zone) == region and not one.removed]
@@ -129,7 +129,7 @@
                 pairs = links_between([courier.name], all_names)
                 self.fabric.extra_delay_us.update(dict.fromkeys(pairs, 20 * MS + rng.randrange(120 * MS)))
                 self.submit_burst(courier, rng, True)
-                self.world.schedule_after(200 * MS + rng.randrange(S), self._restart_soon, courier)
+                self.world.schedule_after(200 * MS + rng.randrange(S), self._kill_and_restart, courier)
                 self.world.schedule_after(2 * S, self._end_slowness, pairs)
             case "lossy":
                 self.fabric.loss_probability, self.fabric.duplicate_probability, self.fabric.long_delay_probability = (
@@ -156,7 +156,7 @@
                 self.world.schedule_after(duration_us, self.partners.down.difference_update, down)
         self.on_change()
 
-    def _restart_soon(self, courier: Courier) -> None:
+    def _kill_and_restart(self, courier: Courier) -> None:
         if not self.healed:
             courier.kill()
             self._start_after(courier, 50 * MS + self.world.rng.randrange(300 * MS))
--- a/wheelstep/rehearsal/simulation/content.py
+++ b/wheelstep/rehearsal/simulation/content.py
@@ -205,11 +205,11 @@
 
     def settle(self, part: int, verdicts: Mapping[str, bool]) -> None:
         """Apply the owner's answers by message: True, the owner owes it now; False, it ends here."""
-        for name, on_synced in verdicts.items():
+        for name, accepted in verdicts.items():
             message = name.removeprefix("m:")
             if message not in self.store.messages:
                 continue
-            if on_synced and not self.store.messages[message].end:
+            if accepted and not self.store.messages[message].end:
                 self._check.on_dropped(self.machine.name, [message], self._held_elsewhere)
                 self.attempts.forget(message)
                 self.store.remove_message(message)
--- a/wheelstep/rehearsal/simulation/machine.py
+++ b/wheelstep/rehearsal/simulation/machine.py
@@ -25,7 +25,8 @@
 
 
 class Machine:
-    """`make_process` builds node and content from the disk's records, at each start."""
+    """A machine and its process. `make_process` builds node and content from the disk's records at each start;
+    `on_end` is called after each end of the process, with whether it left, and `on_left` before that if it did."""
 
     def __init__(self, name: str, world: World, clock: Clock, disk: Disk, fleet: dict[str, Machine],
                  make_process: Callable[[Machine], tuple[NodeLike, SimContent]]) -> None:
--- a/wheelstep/rehearsal/simulation/run.py
+++ b/wheelstep/rehearsal/simulation/run.py
@@ -157,7 +157,7 @@
     run, whole = run_crash_point(seed, node_factory, -1)
     whole.counts["points"] = 0
     if not whole.text and "left" not in run.marks:
-        whole.text, whole.rule = f"seed {seed}: the courier did not get its parts away", LIVE
+        whole.text, whole.rule = f"seed {seed}: the courier's departure did not end", LIVE
     if whole.text:
         return whole
     for crash_at in range(run.marks["began"] + 1, run.marks["left"] + 1, stride):
--- a/wheelstep/rehearsal/simulation/store.py
+++ b/wheelstep/rehearsal/simulation/store.py
@@ -65,7 +65,7 @@
                 case ["o", part, epoch]:
                     self.epochs[part] = epoch
         owed = {message: record.may_have_run for message, record in self.messages.items() if not record.end}
-        # A crash came after the position was written and before the message's end was.
+        # Ends that a crash interrupted: the position was written, the message's end was not.
         self.interrupted_ends = self.book.restore(now_ms(), marks, owed)
 
     def channels(self) -> list[str]:
