--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -20,11 +20,11 @@
 from pathlib import Path
 
 from wheelstep.rehearsal.fleet import scenes
-from wheelstep.rehearsal.fleet.broken import BUILDS
-from wheelstep.rehearsal.fleet.figures import Cost, cost
+from wheelstep.rehearsal.fleet.broken import BROKEN_COURIERS
+from wheelstep.rehearsal.fleet.figures import Cost, measure_cost
 from wheelstep.rehearsal.fleet.judge import FleetVerdict, judge_fleet
 from wheelstep.rehearsal.fleet.plan import Scene
-from wheelstep.rehearsal.fleet.rig import NeverServedError, Played, play
+from wheelstep.rehearsal.fleet.rig import NeverServedError, RunResult, run_scene
 from wheelstep.rehearsal.judge import Ruling
 
 
@@ -38,32 +38,32 @@
     return "/".join(f"{span / 1e3:.0f}" for span in spans)
 
 
-def _line(seed: int, verdict: FleetVerdict, found: Cost, played: Played, took_s: float) -> str:
-    rules = [rule.name.lower() for rule, ruling in [*verdict.rulings.items(), *verdict.plain.rulings.items()]
+def _line(seed: int, verdict: FleetVerdict, found: Cost, played: RunResult, took_s: float) -> str:
+    rules = [rule.name.lower() for rule, ruling in [*verdict.rulings.items(), *verdict.base.rulings.items()]
              if ruling is Ruling.BROKEN]
-    left = f", left in {max(played.left_s):.1f} s at most" if played.left_s else ""
-    stayed = f", left with something: {','.join(played.stayed)}" if played.stayed else ""
-    fell = f", fell: {','.join(played.fell)}" if played.fell else ""
+    left = f", left in {max(played.leave_times_s):.1f} s at most" if played.leave_times_s else ""
+    stayed = f", left with something: {','.join(played.incomplete_leaves)}" if played.incomplete_leaves else ""
+    fell = f", fell: {','.join(played.killed_at_point)}" if played.killed_at_point else ""
     return (f"seed {seed}: {verdict.ruling.value} {','.join(rules) or '-'}; worth {found.share:.4f}, "
             f"{found.delivered}/{found.messages} delivered, {played.given_up} not taken; pause {_ms(found.pauses)} ms, "
             f"wait {_ms(found.waits)} ms; {found.changes} changes of owner, {found.doubles} doubles, "
             f"{found.reorders} reorders; {played.lost_packets} packets lost{left}{stayed}{fell}; late "
-            f"{verdict.plain.late_us / 1e3:.0f} ms ({verdict.plain.late_who}); {took_s:.0f} s")
+            f"{verdict.base.late_us / 1e3:.0f} ms ({verdict.base.late_who}); {took_s:.0f} s")
 
 
-def _keep(folder: Path, seed: int, played: Played) -> None:
+def _keep(folder: Path, seed: int, played: RunResult) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     for name, text in played.logs.items():
         (folder / f"{seed}-{name}.log").write_text(text)
-    (folder / f"{seed}-seen.txt").write_text("\n".join(map(str, played.history.seen)) + "\n")
+    (folder / f"{seed}-seen.txt").write_text("\n".join(map(str, played.history.facts)) + "\n")
 
 
-async def _played(scene: Scene, broken: str) -> Played:
+async def _played(scene: Scene, broken: str) -> RunResult:
     """SIGTERM ends it as Ctrl-C does: no courier stays behind."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    return await play(scene, broken)
+    return await run_scene(scene, broken)
 
 
 def main() -> int:
@@ -76,16 +76,17 @@
     options.add_argument("--rate", type=float, default=40.0, help="messages a second")
     options.add_argument("--lease", type=float, default=2.0, help="seconds")
     options.add_argument("--length", type=float, default=8.0, help="seconds; longer where the scene takes longer")
-    options.add_argument("--broken", choices=list(BUILDS), default="")
+    options.add_argument("--broken", choices=list(BROKEN_COURIERS), default="")
     options.add_argument("--repeat", type=int, default=1, help="play each seed so often")
     options.add_argument("--log", type=Path, help="keep the couriers' logs and what was seen in this folder")
     given = options.parse_args()
     if given.scene == "list":
         print("scenes:", ", ".join(scenes.SCENES))
-        for name, what in BUILDS.items():
+        for name, what in BROKEN_COURIERS.items():
             print(f"broken: {name}: {what.what} ({what.rule.name.lower()}; scene {what.scene})")
         return 0
-    size = scenes.Size(given.couriers, given.channels, given.rate, round(given.lease * 1e6), round(given.length * 1e6))
+    size = scenes.SceneSize(given.couriers, given.channels, given.rate, round(given.lease * 1e6),
+                            round(given.length * 1e6))
     print(f"{given.scene}, {given.couriers} couriers, {given.channels} channels, {given.rate:.0f} messages a second, "
           f"lease {given.lease:.1f} s{', broken: ' + given.broken if given.broken else ''}", flush=True)
     counts: Counter[str] = Counter()
@@ -93,7 +94,7 @@
     for seed in given.seeds:
         verdicts = set()
         for _ in range(given.repeat):
-            scene = scenes.stage(given.scene, seed, size)
+            scene = scenes.draw_scene(given.scene, seed, size)
             began = time.monotonic()
             try:
                 played = asyncio.run(_played(scene, given.broken))
@@ -104,10 +105,10 @@
             verdict = judge_fleet(played.history)
             verdicts.add(verdict.canonical(seed=seed, scene=scene.digest()))
             counts[verdict.ruling.value] += 1
-            print(_line(seed, verdict, cost(played.history, verdict), played, time.monotonic() - began))
+            print(_line(seed, verdict, measure_cost(played.history, verdict), played, time.monotonic() - began))
             for breach in verdict.breaches[:5]:
                 print(f"    {breach}")
-            for finding in verdict.plain.findings[:5]:
+            for finding in verdict.base.findings[:5]:
                 print(f"    {finding.rule.name.lower()} {finding.at_us / 1e6:.3f} s {finding.courier}: {finding.text} "
                       f"{' '.join(finding.messages)}", flush=True)
             if given.log:
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -16,14 +16,14 @@
 CHANNEL = "updates/1/k"
 
 
-class Scene:
+class HistoryBuilder:
     """Builds a history step by step. Numbers of a channel are named by it: `k#3` is message 3 of channel k."""
 
     def __init__(self, end_us: int = 30 * S) -> None:
         self.history = FleetHistory(History(FIGURES, end_us=end_us), 16, CONTRACTS)
 
-    def take(self, number: int, at_us: int, channel: str = CHANNEL, courier: str = "c0", status: int = 202,
-             message: str = "", following: int | None = None) -> Scene:
+    def submit(self, number: int, at_us: int, channel: str = CHANNEL, courier: str = "c0", status: int = 202,
+               message: str = "", following: int | None = None) -> HistoryBuilder:
         name = message or f"{channel}#{number}"
         self.history.add(Asked(at_us, courier, channel, number, 1, name, "item-status", 1, channel, number,
                                at_us + 10 * S))
@@ -32,26 +32,28 @@
         return self
 
     def call(self, number: int, at_us: int, epoch: int = 1, courier: str = "c0", channel: str = CHANNEL,
-             fate: Fate = Fate.DELIVERED, took_us: int = 20 * MS, how: How = How.ANSWERED, message: str = "") -> Scene:
+             fate: Fate = Fate.DELIVERED, took_us: int = 20 * MS, how: How = How.ANSWERED,
+             message: str = "") -> HistoryBuilder:
         name = message or f"{channel}#{number}"
         self.history.add(Touch(courier, "e0", channel, number, epoch, name, at_us, at_us + took_us, how, fate))
         self.history.base.add(Call(courier, "e0", 1, at_us, at_us, (name,), how, at_us + took_us, (fate,), (True,)))
         return self
 
-    def notice(self, number: int, at_us: int, channel: str = CHANNEL, outcome: str = "given_up") -> Scene:
+    def notice(self, number: int, at_us: int, channel: str = CHANNEL, outcome: str = "given_up") -> HistoryBuilder:
         self.history.base.add(Notice(at_us, "c0", f"{channel}#{number}", outcome))
         return self
 
-    def gone(self, courier: str, begin_us: int, end_us: int, disk: bool = True) -> Scene:
+    def gone(self, courier: str, begin_us: int, end_us: int, disk: bool = True) -> HistoryBuilder:
         self.history.add(Gone(courier, begin_us, end_us, disk))
         return self
 
-    def look(self, at_us: int, status: int, next_number: int = 0, courier: str = "c0", last: bool = False) -> Scene:
+    def read_position(self, at_us: int, status: int, next_number: int = 0, courier: str = "c0",
+                      last: bool = False) -> HistoryBuilder:
         self.history.add(Looked(at_us, at_us - MS, courier, CHANNEL, status, next_number, last))
         return self
 
     def breaches(self) -> tuple[Breach, ...]:
         return judge_fleet(self.history).breaches
 
-    def broken(self) -> set[FleetRule]:
+    def broken_rules(self) -> set[FleetRule]:
         return {breach.rule for breach in self.breaches()}
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -4,17 +4,24 @@
 
 import random
 
-from wheelstep.rehearsal.fleet.faults import Kind, LinkFault, Weather, across, among, around
+from wheelstep.rehearsal.fleet.faults import (
+    FaultKind,
+    LinkConditions,
+    LinkFault,
+    links_across,
+    links_among,
+    links_around,
+)
 
 
 def test_a_links_luck_is_its_seeds() -> None:
     def fates(seed: str) -> list[int]:
-        weather = Weather(random.Random(seed), {1: LinkFault(Kind.DROP, share=0.5)})
-        return [len(weather.datagram(b"x", 0)) for _ in range(64)]
+        conditions = LinkConditions(random.Random(seed), {1: LinkFault(FaultKind.DROP, share=0.5)})
+        return [len(conditions.datagram_arrivals(b"x", 0)) for _ in range(64)]
     assert fates("1/a>b") == fates("1/a>b") != fates("2/a>b")
 
 
 def test_links_by_groups() -> None:
-    assert set(around("a", "abc")) == {("a", "b"), ("a", "c"), ("b", "a"), ("c", "a")}
-    assert set(across("a", "b", "c")) == set(among("abc"))
-    assert set(across("ab", "c")) == {("a", "c"), ("b", "c"), ("c", "a"), ("c", "b")}
+    assert set(links_around("a", "abc")) == {("a", "b"), ("a", "c"), ("b", "a"), ("c", "a")}
+    assert set(links_across("a", "b", "c")) == set(links_among("abc"))
+    assert set(links_across("ab", "c")) == {("a", "c"), ("b", "c"), ("c", "a"), ("c", "b")}
--- a/tests/test_fleet_judge_days.py
+++ b/tests/test_fleet_judge_days.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.fleet_history import MS, S, Scene
+from tests.fleet_history import MS, HistoryBuilder, S
 from wheelstep.rehearsal.fleet.evidence import FleetRule
 from wheelstep.rehearsal.fleet.history import Looked, Touch
 from wheelstep.rehearsal.fleet.judge import judge_fleet
@@ -16,9 +16,9 @@
 from wheelstep.rehearsal.judge import Ruling
 
 
-def clean_day(rng: random.Random) -> tuple[Scene, list[tuple[str, int, int, str, int]]]:
+def clean_day(rng: random.Random) -> tuple[HistoryBuilder, list[tuple[str, int, int, str, int]]]:
     """Channels with their numbers in turn; owners move and die. Gives the calls: channel, number, epoch, who, when."""
-    scene = Scene(end_us=100 * S)
+    builder = HistoryBuilder(end_us=100 * S)
     calls: list[tuple[str, int, int, str, int]] = []
     owners: dict[int, tuple[int, str]] = {}
     at_us = S
@@ -26,32 +26,32 @@
     names = [f"updates/1/k{n}" for n in range(rng.randint(1, 5))]
     for _ in range(rng.randint(4, 60)):
         channel = rng.choice(names)
-        part = scene.history.part(channel)
+        part = builder.history.part_of(channel)
         epoch, courier = owners.get(part, (1, "c0"))
         if rng.random() < 0.15:
             if rng.random() < 0.5:  # it is stopped, and another takes over
-                scene.gone(courier, at_us + 30 * MS, at_us + 3 * S)
+                builder.gone(courier, at_us + 30 * MS, at_us + 3 * S)
                 at_us += 3200 * MS
             epoch, courier = epoch + 1, rng.choice(["c0", "c1", "c2"])
         owners[part] = epoch, courier
         number = numbers[channel] = numbers.get(channel, 0) + 1
-        scene.take(number, at_us, channel, courier)
+        builder.submit(number, at_us, channel, courier)
         if rng.random() < 0.1:
-            scene.notice(number, at_us + 100 * MS, channel)
+            builder.notice(number, at_us + 100 * MS, channel)
         else:
             if rng.random() < 0.2:
-                scene.call(number, at_us + 10 * MS, epoch, courier, channel, Fate.REFUSED, 5 * MS)
-            scene.call(number, at_us + 40 * MS, epoch, courier, channel)
+                builder.call(number, at_us + 10 * MS, epoch, courier, channel, Fate.REFUSED, 5 * MS)
+            builder.call(number, at_us + 40 * MS, epoch, courier, channel)
             calls.append((channel, number, epoch, courier, at_us + 40 * MS))
         at_us += 200 * MS
-    return scene, calls
+    return builder, calls
 
 
 @settings(max_examples=80, deadline=None)
 @given(st.integers(0, 2**32))
 def test_a_clean_day_is_never_faulted(seed: int) -> None:
-    scene, _ = clean_day(random.Random(seed))
-    verdict = judge_fleet(scene.history)
+    builder, _ = clean_day(random.Random(seed))
+    verdict = judge_fleet(builder.history)
     assert verdict.ruling is Ruling.KEPT, verdict.breaches
 
 
@@ -59,33 +59,33 @@
 @given(st.integers(0, 2**32), st.sampled_from(list(FleetRule)))
 def test_a_planted_breach_is_always_named(seed: int, rule: FleetRule) -> None:
     rng = random.Random(seed)
-    scene, calls = clean_day(rng)
+    builder, calls = clean_day(rng)
     if not calls:
         return
     channel, number, epoch, courier, at_us = rng.choice(calls)
     last = max(call[1] for call in calls if call[0] == channel)
     end_us = 90 * S
-    seen = scene.history.seen
-    mine = next(place for place, fact in enumerate(seen) if isinstance(fact, Touch) and fact.channel == channel
-                and fact.number == number and fact.delivered)
+    facts = builder.history.facts
+    delivered_index = next(place for place, fact in enumerate(facts) if isinstance(fact, Touch)
+                           and fact.channel == channel and fact.number == number and fact.delivered)
     match rule:
         case FleetRule.EPOCHS:
-            scene.take(999, at_us, "loose/1/x")
-            seen[mine] = dataclasses.replace(seen[mine], courier="c9", fate=Fate.DELIVERED)
-            scene.call(last, end_us, epoch, courier, channel)
+            builder.submit(999, at_us, "loose/1/x")
+            facts[delivered_index] = dataclasses.replace(facts[delivered_index], courier="c9", fate=Fate.DELIVERED)
+            builder.call(last, end_us, epoch, courier, channel)
         case FleetRule.FENCE:
-            scene.call(last, end_us, 99, "c9", channel).call(last, end_us + S, epoch, courier, channel)
+            builder.call(last, end_us, 99, "c9", channel).call(last, end_us + S, epoch, courier, channel)
         case FleetRule.ORDER:
-            scene.call(last + 1, end_us, 99, "c9", channel).call(last, end_us + S, 99, "c9", channel)
+            builder.call(last + 1, end_us, 99, "c9", channel).call(last, end_us + S, 99, "c9", channel)
         case FleetRule.GAPS:
-            scene.take(last + 3, end_us, channel).call(last + 3, end_us + S, 99, "c9", channel)
+            builder.submit(last + 3, end_us, channel).call(last + 3, end_us + S, 99, "c9", channel)
         case FleetRule.NUMBERS:
-            scene.call(number, end_us, 99, "c9", channel)
+            builder.call(number, end_us, 99, "c9", channel)
         case FleetRule.OWNER:
-            seen.append(Looked(end_us, end_us - MS, "c0", channel, 503, 0, True))
+            facts.append(Looked(end_us, end_us - MS, "c0", channel, 503, 0, True))
         case FleetRule.POSITIONS:
-            seen.append(Looked(end_us, end_us - MS, "c0", channel, 200, number, False))
-    verdict = judge_fleet(scene.history)
+            facts.append(Looked(end_us, end_us - MS, "c0", channel, 200, number, False))
+    verdict = judge_fleet(builder.history)
     named = [breach for breach in verdict.breaches if breach.rule is rule]
     assert named and verdict.ruling is Ruling.BROKEN
     assert any(breach.channel == channel for breach in named)
--- a/tests/test_fleet_relays.py
+++ b/tests/test_fleet_relays.py
@@ -10,7 +10,7 @@
 
 from tests.fleet_peers import QUIET_S, fleet
 from tests.loopback import run
-from wheelstep.rehearsal.fleet.faults import Kind, LinkFault, Planned, across, among
+from wheelstep.rehearsal.fleet.faults import FaultKind, LinkFault, PlannedFault, links_across, links_among
 
 MS, S = 1_000, 1_000_000
 
@@ -32,10 +32,10 @@
 def test_a_reply_to_where_a_datagram_came_from_goes_by_the_other_direction() -> None:
     async def work() -> None:
         async with fleet() as f:
-            token = f.relays.begin(LinkFault(Kind.CUT), [("b", "a")])
+            token = f.relays.begin_fault(LinkFault(FaultKind.CUT), [("b", "a")])
             f.peers["b"].send(b"reply", f.port("a", "b"))
             assert await f.peers["a"].silent()
-            f.relays.end(token)
+            f.relays.end_fault(token)
             f.peers["b"].send(b"reply", f.port("a", "b"))
             assert await f.peers["a"].next() == b"reply"
     run(work())
@@ -47,7 +47,7 @@
             reader, writer = await f.stream("a", "b")
             writer.write(b"one")
             assert await reader.readexactly(3) == b"ONE"
-            token = f.relays.begin(LinkFault(Kind.CUT), [("a", "b")])
+            token = f.relays.begin_fault(LinkFault(FaultKind.CUT), [("a", "b")])
             f.send("a", "b", b"lost")
             f.send("b", "a", b"heard")
             assert await f.peers["a"].next() == b"heard" and await f.peers["b"].silent()
@@ -56,7 +56,7 @@
             late_writer.write(b"three")
             await asyncio.sleep(QUIET_S)
             assert f.peers["b"].streams.qsize() == 1
-            f.relays.end(token)
+            f.relays.end_fault(token)
             assert await reader.readexactly(3) == b"TWO" and await late.readexactly(5) == b"THREE"
             assert f.peers["b"].datagrams.empty()  # what a cut lost stays lost
             late_writer.close()
@@ -70,12 +70,12 @@
             reader, writer = await f.stream("a", "b")
             writer.write(b"one")
             assert await reader.readexactly(3) == b"ONE"
-            token = f.relays.begin(LinkFault(Kind.CUT), [("b", "a")])
+            token = f.relays.begin_fault(LinkFault(FaultKind.CUT), [("b", "a")])
             writer.write(b"two")
             assert await f.peers["b"].streams.get() == b"one" and await f.peers["b"].streams.get() == b"two"
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(3), QUIET_S)
-            f.relays.end(token)
+            f.relays.end_fault(token)
             assert await reader.readexactly(3) == b"TWO"
             writer.close()
     run(work())
@@ -84,8 +84,8 @@
 def test_halves_hear_their_own_half_alone() -> None:
     async def work() -> None:
         async with fleet() as f:
-            f.relays.begin(LinkFault(Kind.CUT), across("ab", "c"))
-            for one, other in among("abc"):
+            f.relays.begin_fault(LinkFault(FaultKind.CUT), links_across("ab", "c"))
+            for one, other in links_among("abc"):
                 f.send(one, other, f"{one}>{other}".encode())
             assert await f.peers["b"].next() == b"a>b" and await f.peers["a"].next() == b"b>a"
             assert await f.peers["c"].silent() and f.peers["a"].datagrams.empty() and f.peers["b"].datagrams.empty()
@@ -95,7 +95,7 @@
 def test_a_stall_keeps_all_in_order_until_it_is_over_within_its_bound() -> None:
     async def work() -> None:
         async with fleet() as f:
-            token = f.relays.begin(LinkFault(Kind.STALL), [("a", "b")])
+            token = f.relays.begin_fault(LinkFault(FaultKind.STALL), [("a", "b")])
             for number in range(300):
                 f.send("a", "b", b"%d" % number)
                 await asyncio.sleep(0)
@@ -104,7 +104,7 @@
             assert await f.peers["b"].silent() and f.peers["b"].streams.empty()
             while f.relays.links["a", "b"].counts["came"] < 300:
                 await asyncio.sleep(0.001)
-            f.relays.end(token)
+            f.relays.end_fault(token)
             got = [await f.peers["b"].next() for _ in range(256)]
             assert got == [b"%d" % number for number in range(44, 300)]  # the oldest went
             assert await reader.readexactly(4) == b"HELD"
@@ -118,7 +118,7 @@
             _, writer = await f.stream("a", "b")
             writer.write(b"x")
             await f.peers["b"].streams.get()
-            f.relays.begin(LinkFault(Kind.STALL), [("a", "b")])
+            f.relays.begin_fault(LinkFault(FaultKind.STALL), [("a", "b")])
             writer.write(b"y" * (64 << 20))
             await asyncio.sleep(QUIET_S)
             assert writer.transport.get_write_buffer_size() > 32 << 20  # the sender has to wait
@@ -127,15 +127,16 @@
 
 
 @pytest.mark.parametrize("fault,fine", [
-    (LinkFault(Kind.DROP, share=0.5), lambda got: 40 < len(got) < 160 and sorted(got) == got),
-    (LinkFault(Kind.DUPLICATE, share=0.5), lambda got: 240 < len(got) < 360 and len(set(got)) == 200),
-    (LinkFault(Kind.REORDER, share=0.3, delay_us=20 * MS), lambda got: len(got) == 200 and sorted(got) != got),
-    (LinkFault(Kind.CORRUPT, share=0.5), lambda got: len(got) == 200 and sum(one[4:] != b"body" for one in got) > 40),
+    (LinkFault(FaultKind.DROP, share=0.5), lambda got: 40 < len(got) < 160 and sorted(got) == got),
+    (LinkFault(FaultKind.DUPLICATE, share=0.5), lambda got: 240 < len(got) < 360 and len(set(got)) == 200),
+    (LinkFault(FaultKind.REORDER, share=0.3, delay_us=20 * MS), lambda got: len(got) == 200 and sorted(got) != got),
+    (LinkFault(FaultKind.CORRUPT, share=0.5),
+     lambda got: len(got) == 200 and sum(one[4:] != b"body" for one in got) > 40),
 ])
 def test_what_befalls_datagrams_by_share(fault: LinkFault, fine: Callable[[list[bytes]], bool]) -> None:
     async def work() -> list[bytes]:
         async with fleet() as f:
-            f.relays.begin(fault, [("a", "b")])
+            f.relays.begin_fault(fault, [("a", "b")])
             for number in range(200):
                 f.send("a", "b", b"%04dbody" % number)
                 await asyncio.sleep(0)
@@ -150,7 +151,7 @@
 def test_a_delay_holds_both_back_and_keeps_the_order_of_a_stream() -> None:
     async def work() -> None:
         async with fleet() as f:
-            f.relays.begin(LinkFault(Kind.DELAY, delay_us=80 * MS, jitter_us=40 * MS), [("a", "b")])
+            f.relays.begin_fault(LinkFault(FaultKind.DELAY, delay_us=80 * MS, jitter_us=40 * MS), [("a", "b")])
             loop = asyncio.get_running_loop()
             began = loop.time()
             f.send("a", "b", b"late")
@@ -169,7 +170,7 @@
 def test_a_corrupt_link_spoils_streams_too() -> None:
     async def work() -> None:
         async with fleet() as f:
-            f.relays.begin(LinkFault(Kind.CORRUPT), [("a", "b")])
+            f.relays.begin_fault(LinkFault(FaultKind.CORRUPT), [("a", "b")])
             _, writer = await f.stream("a", "b")
             writer.write(b"votes")
             came = await f.peers["b"].streams.get()
@@ -182,7 +183,7 @@
 def test_a_narrow_link_passes_small_ones_while_large_ones_stall() -> None:
     async def work() -> None:
         async with fleet() as f:
-            token = f.relays.begin(LinkFault(Kind.NARROW, largest=100), [("a", "b")])
+            token = f.relays.begin_fault(LinkFault(FaultKind.NARROW, largest=100), [("a", "b")])
             f.send("a", "b", b"x" * 101)
             f.send("a", "b", b"small")
             assert await f.peers["b"].next() == b"small" and await f.peers["b"].silent()
@@ -192,7 +193,7 @@
             writer.write(b"x" * 5000)
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(1), QUIET_S)
-            f.relays.end(token)
+            f.relays.end_fault(token)
             assert len(await reader.readexactly(5000)) == 5000
             writer.close()
     run(work())
@@ -201,7 +202,7 @@
 def test_a_rate_holds_back_what_is_more() -> None:
     async def work() -> None:
         async with fleet() as f:
-            f.relays.begin(LinkFault(Kind.NARROW, per_s=100_000), [("a", "b")])
+            f.relays.begin_fault(LinkFault(FaultKind.NARROW, per_s=100_000), [("a", "b")])
             reader, writer = await f.stream("a", "b")
             began = asyncio.get_running_loop().time()
             writer.write(b"x" * 30_000)
@@ -227,16 +228,17 @@
         async with fleet() as f:
             now_us = round(asyncio.get_running_loop().time() * 1e6)
             link = f.relays.links["a", "b"]
-            seen: list[set[Kind]] = []
-            plan = [Planned(now_us, LinkFault(Kind.DROP, share=0.1), (("a", "b"),), 120 * MS),
-                    Planned(now_us + 40 * MS, LinkFault(Kind.CUT), across("a", "bc"), 40 * MS)]
-            playing = asyncio.create_task(f.relays.play(plan))
+            seen: list[set[FaultKind]] = []
+            plan = [PlannedFault(now_us, LinkFault(FaultKind.DROP, share=0.1), (("a", "b"),), 120 * MS),
+                    PlannedFault(now_us + 40 * MS, LinkFault(FaultKind.CUT), links_across("a", "bc"), 40 * MS)]
+            playing = asyncio.create_task(f.relays.run_faults(plan))
             while not playing.done():
-                kinds = {fault.kind for fault in link.weather.faults.values()}
+                kinds = {fault.kind for fault in link.conditions.faults.values()}
                 if not seen or seen[-1] != kinds:
                     seen.append(kinds)
                 await asyncio.sleep(0.002)
             await playing
-            assert [kinds for kinds in seen if kinds] == [{Kind.DROP}, {Kind.DROP, Kind.CUT}, {Kind.DROP}]
-            assert not link.weather.faults
+            assert [kinds for kinds in seen if kinds] == [{FaultKind.DROP}, {FaultKind.DROP, FaultKind.CUT},
+                                                          {FaultKind.DROP}]
+            assert not link.conditions.faults
     run(work())
--- a/tests/test_fleet_runner.py
+++ b/tests/test_fleet_runner.py
@@ -67,16 +67,16 @@
 
 def test_a_disk_that_lies_gives_old_bytes_at_the_next_start(tmp_path: Path) -> None:
     assert disk(tmp_path, "lie fleet 2", "a b c d") == ["fleet", "state"]
-    lost = "the rig's disk lost what was synced in fleet"
+    lost = "the rig's disk lost synced data in fleet"
     assert disk(tmp_path, "lie fleet 2", "e") == [lost, "fleet ab", "state abcd"]
 
 
 def test_a_disk_fills_and_hangs_in_its_folder_alone(tmp_path: Path) -> None:
-    assert disk(tmp_path, "fill fleet 2", "a b c") == ["fleet", "no room is left on the rig's disk", "state"]
+    assert disk(tmp_path, "fill fleet 2", "a b c") == ["fleet", "no space left on the rig's disk", "state"]
     assert disk(tmp_path, "hang fleet 2", "d e f") == ["fleet ab", "hung", "state abc"]
 
 
 def test_what_no_disk_has_is_refused(tmp_path: Path) -> None:
     done = subprocess.run([sys.executable, "-m", "wheelstep.rehearsal.fleet.runner", "serve"], capture_output=True,
                           text=True, timeout=30, cwd=ROOT, env={"RIG_DISK": "melt fleet"})
-    assert done.returncode != 0 and "'melt' is no fault of a disk" in done.stderr
+    assert done.returncode != 0 and "'melt' is not a disk fault; expected fill, hang or lie" in done.stderr
--- a/wheelstep/rehearsal/fleet/broken/__init__.py
+++ b/wheelstep/rehearsal/fleet/broken/__init__.py
@@ -1,5 +1,7 @@
-"""Couriers of a fleet made to break one rule each: ours with one behaviour replaced, in the courier's own process, to
-show that the judge catches them. One module a package of ours; they alone import the daemon's decisions.
+"""Broken variants of a fleet's courier, to show that the judge finds each kind of breach.
+
+Each variant replaces one behaviour of our courier in the courier's own process. There is one module for each package
+that is patched; only these modules import the daemon.
 """
 
 from __future__ import annotations
@@ -11,26 +13,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """One broken courier: the rule it breaks, what it does wrong, and a scene that shows it."""
+class BrokenCourier:
+    """A broken variant: the rule that it breaks, its wrong behaviour, and a scene in which it shows."""
 
     rule: FleetRule
     what: str
     scene: str
 
 
-BUILDS: dict[str, Broken] = {
-    "ignores-epoch": Broken(FleetRule.FENCE, "looks at no epoch before an attempt's first byte", "frozen"),
-    "outlives-lease": Broken(FleetRule.FENCE, "sends on after its lease has ended", "single"),
-    "forgets-position": Broken(FleetRule.POSITIONS, "knows no position after a restart", "restarted"),
-    "moves-with-a-call-out": Broken(FleetRule.NUMBERS, "gives a part away as if no call were out", "swap-slow"),
-    "skips-gaps": Broken(FleetRule.GAPS, "passes a missing number over without a word", "gaps"),
-    "needs-no-majority": Broken(FleetRule.EPOCHS, "takes a part over by its own voice alone", "thirds"),
+BROKEN_COURIERS: dict[str, BrokenCourier] = {
+    "ignores-epoch": BrokenCourier(FleetRule.FENCE, "looks at no epoch before an attempt's first byte", "frozen"),
+    "outlives-lease": BrokenCourier(FleetRule.FENCE, "sends on after its lease has ended", "single"),
+    "forgets-position": BrokenCourier(FleetRule.POSITIONS, "knows no position after a restart", "restarted"),
+    "moves-with-a-call-out": BrokenCourier(FleetRule.NUMBERS, "gives a part away as if no call were out", "swap-slow"),
+    "skips-gaps": BrokenCourier(FleetRule.GAPS, "passes a missing number over without a word", "gaps"),
+    "needs-no-majority": BrokenCourier(FleetRule.EPOCHS, "takes a part over by its own voice alone", "thirds"),
 }
 
 
-def breakers() -> dict[str, Callable[[], None]]:
-    """By name: what replaces the behaviour."""
+def patches() -> dict[str, Callable[[], None]]:
+    """Return, by variant, the function that patches the daemon in this process."""
     from wheelstep.rehearsal.fleet.broken import channels, moves, ownership
     return {
         "ignores-epoch": ownership.ignores_epoch, "outlives-lease": ownership.outlives_lease,
--- a/wheelstep/rehearsal/fleet/broken/channels.py
+++ b/wheelstep/rehearsal/fleet/broken/channels.py
@@ -1,4 +1,4 @@
-"""Couriers that don't keep channels' positions."""
+"""Patches of couriers that lose channels' positions or skip numbers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def forgets_position() -> None:
-    """A process that starts reads no position."""
+    """Patch the journal's replay so that a starting process restores no position."""
     restore = ChannelStore.restore
 
     def without(self: ChannelStore, now_ms: int, marks: Mapping[str, Any], owed: Mapping[str, bool]) -> list[End]:
@@ -22,5 +22,5 @@
 
 
 def skips_gaps() -> None:
-    """A number that is missing is passed over at once, whatever the contract says."""
+    """Patch the channel's queue so that it skips a missing number at once, whatever the contract says."""
     ChannelQueue._may_skip_gap = lambda self, now_ms, gap: gap is not None  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/fleet/broken/moves.py
+++ b/wheelstep/rehearsal/fleet/broken/moves.py
@@ -1,4 +1,4 @@
-"""Couriers that move a channel while its call is out."""
+"""Patches of couriers that move a channel while a call of it is open."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def moves_with_a_call_out() -> None:
-    """No call is waited for before a part is handed over."""
+    """Patch the giver so that it hands a part over without waiting for open calls."""
     Giver._quiet = lambda self, now_us: True  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/fleet/broken/ownership.py
+++ b/wheelstep/rehearsal/fleet/broken/ownership.py
@@ -1,4 +1,4 @@
-"""Couriers that don't keep to what the registers say."""
+"""Patches of couriers that ignore the votes, leases or epochs of ownership."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def needs_no_majority() -> None:
-    """One voter's yes is enough to have a part."""
+    """Patch the proposer so that one voter's accept is enough to own a part."""
     init = Proposer.__init__
 
     def alone(self: Proposer, *given: object, **named: object) -> None:
@@ -19,11 +19,11 @@
 
 
 def outlives_lease() -> None:
-    """A lease that has run out counts until another's is heard of."""
+    """Patch ownership so that a lease counts after its end, until a newer owner is heard of."""
     Proposer._expire = lambda self, now_us: None  # type: ignore[method-assign]
     Owner.epoch = lambda self, part, now_us: self._epoch[part] or None  # type: ignore[method-assign]
 
 
 def ignores_epoch() -> None:
-    """What has once been given out is sent, whoever has the part by now."""
+    """Patch the check before a call's first byte so that it passes whoever owns the part by then."""
     ChannelService.may_send = lambda self, name: True  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/fleet/figures.py
+++ b/wheelstep/rehearsal/fleet/figures.py
@@ -1,4 +1,4 @@
-"""What a fleet's rehearsal cost: worth delivered, pauses of channels, changes of owner. No I/O."""
+"""Performance figures of a fleet's rehearsal: worth delivered, pauses of channels, changes of owner. No I/O."""
 
 from __future__ import annotations
 
@@ -15,51 +15,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Figures of one rehearsal. A pause is how long a channel's message stood without a call where its owner changed:
-    from its hand-in, or the last owner's last call's end if that is later, until the new owner's first call. A wait is
-    the same of any message, from its hand-in. Spans are microseconds: half, 99 of 100, all of them are no longer."""
+    """Figures of one rehearsal.
 
-    share: float  # of the worth asked for
+    A pause spans a change of a channel's owner: it begins when the next message is submitted, or when the last owner's
+    last call ends if that is later, and lasts until the new owner's first call. A wait is the time from a message's
+    submission to its first call. Both are given as median, 99th percentile and maximum in microseconds.
+    """
+
+    share: float  # of the worth of all messages, the part delivered
     messages: int
     delivered: int
     pauses: tuple[int, int, int]
     waits: tuple[int, int, int]
-    changes: int  # of a part's epoch, as partners saw them
-    doubles: int  # breaches that say that a number ran again
-    reorders: int
+    changes: int  # of parts' epochs, as seen by partners
+    doubles: int  # breaches because a number was called again
+    reorders: int  # breaches of the order
 
 
-def cost(history: FleetHistory, verdict: FleetVerdict) -> Cost:
-    """The figures of a history that was judged."""
-    tallied = worth.tally(history.plain()).values()
+def measure_cost(history: FleetHistory, verdict: FleetVerdict) -> Cost:
+    """Compute the figures of a history and its verdict."""
+    tallied = worth.tally(history.courier_history()).values()
     asked, earned = sum(row.asked for row in tallied), sum(row.earned for row in tallied)
-    begun: dict[str, int] = {}
+    submitted_us: dict[str, int] = {}
     channels: dict[str, list[Touch]] = defaultdict(list)
-    for fact in history.seen:
+    for fact in history.facts:
         if isinstance(fact, Asked):
-            begun[fact.message] = min(fact.at_us, begun.get(fact.message, fact.at_us))
+            submitted_us[fact.message] = min(fact.at_us, submitted_us.get(fact.message, fact.at_us))
         elif isinstance(fact, Touch):
             channels[fact.channel].append(fact)
     pauses, waits, epochs = [], [], set()
-    for name, touches in channels.items():
-        touches.sort(key=lambda touch: touch.first_us)
+    for name, calls in channels.items():
+        calls.sort(key=lambda call: call.first_us)
         called: set[str] = set()
-        for place, touch in enumerate(touches):
-            epochs.add((history.part(name), touch.epoch))
-            if touch.message not in called:
-                called.add(touch.message)
-                waits.append(touch.first_us - begun[touch.message])
-            if place and touches[place - 1].epoch != touch.epoch:
-                pauses.append(touch.first_us - max(begun[touch.message], touches[place - 1].ended_us))
+        for index, call in enumerate(calls):
+            epochs.add((history.part_of(name), call.epoch))
+            if call.message not in called:
+                called.add(call.message)
+                waits.append(call.first_us - submitted_us[call.message])
+            if index and calls[index - 1].epoch != call.epoch:
+                pauses.append(call.first_us - max(submitted_us[call.message], calls[index - 1].ended_us))
     parts = {part for part, _ in epochs}
     return Cost(earned / asked if asked else 1.0, sum(row.messages for row in tallied),
-                sum(row.delivered for row in tallied), spread(pauses), spread(waits), len(epochs) - len(parts),
+                sum(row.delivered for row in tallied), percentiles(pauses), percentiles(waits),
+                len(epochs) - len(parts),
                 sum(breach.rule is FleetRule.NUMBERS and "again" in breach.text for breach in verdict.breaches),
                 sum(breach.rule is FleetRule.ORDER for breach in verdict.breaches))
 
 
-def spread(spans: Sequence[int]) -> tuple[int, int, int]:
-    """The median, the 99th of 100, and the longest; zeros of none."""
+def percentiles(spans: Sequence[int]) -> tuple[int, int, int]:
+    """The median, the 99th percentile and the maximum; zeros for an empty sequence. Negative spans count as 0."""
     if not spans:
         return 0, 0, 0
     rows = sorted(max(0, span) for span in spans)
--- a/wheelstep/rehearsal/fleet/history.py
+++ b/wheelstep/rehearsal/fleet/history.py
@@ -1,5 +1,5 @@
-"""What was seen of channels, beside what the kit's own history holds: clients' numbers, partners' calls with their
-epochs, positions told, and when couriers were gone. No I/O. Times are whole microseconds by the rig's one clock.
+"""Facts about channels, in addition to the kit's own history: submissions with their numbers, partners' calls with
+their epochs, reported positions, and unavailable couriers. No I/O. Times are whole microseconds by the rig's one clock.
 """
 
 from __future__ import annotations
@@ -16,20 +16,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """What the judge must know of a contract; the values are those of the operator's file."""
+    """The terms of a contract that the judge applies. `order` and `gap` have the values of the operator's file."""
 
     name: str
     order: str = "strict"
     gap: str = "hold"
-    open: int = 1  # window: calls at once
-    gap_after_us: int = 0  # skip: not before a number has been missing so long
-    once: bool = False  # what may have run is never sent again
+    open: int = 1  # calls at once, for order "window"
+    gap_after_us: int = 0  # how long a number must be missing before it is skipped, for gap "skip"
+    once: bool = False  # a call that may have run is never repeated
 
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """A client handed in a message under a number of its channel, on a connection of this session. `origin` is the
-    planned message's number, `deadline_us` when the message's time is up."""
+    """A client submitted a message under a number of its channel.
+
+    `session` is the session of the client's connection, `origin` the planned message's number, `deadline_us` the time
+    at which the message expires.
+    """
 
     at_us: int
     courier: str
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """The answer to the try that was asked at `asked_us`; status 0 where there was none, `next` 0 where none told."""
+    """The answer to the submission at `asked_us`. `status` is 0 without an answer, `next` is 0 if none was named."""
 
     at_us: int
     asked_us: int
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Touch:
-    """A call of a channel as its partner saw it, its first byte at `first_us`."""
+    """A call of a channel's message as its partner saw it. `first_us` is when its first byte arrived."""
 
     courier: str
     endpoint: str
@@ -77,13 +80,13 @@
 
     @property
     def delivered(self) -> bool:
-        """Was it answered so that the number has ended?"""
+        """Whether the answer delivered the message, which ends its number."""
         return self.fate is Fate.DELIVERED
 
 
 @dataclass(frozen=True, slots=True)
 class Looked:
-    """A courier was asked for a channel's position: 200 with the next number, or anything else."""
+    """A courier's answer to a request for a channel's position. An owner answers 200 with the next number."""
 
     at_us: int
     asked_us: int
@@ -91,12 +94,12 @@
     channel: str
     status: int
     next: int = 0
-    last: bool = False  # asked when all faults were over and all had settled
+    last: bool = False  # asked at the end, after all faults were over and all messages settled
 
 
 @dataclass(frozen=True, slots=True)
 class Gone:
-    """A courier was dead, stood still, or was cut off from others. `disk` is false where its folder is lost too."""
+    """A courier was dead, stopped, or cut off from a majority. `disk` is false if its folder was lost too."""
 
     courier: str
     begin_us: int
@@ -105,72 +108,81 @@
     why: str = ""
 
 
-Seen = Asked | Heard | Touch | Looked | Gone
+FleetFact = Asked | Heard | Touch | Looked | Gone
 
 
 @dataclass(slots=True)
 class FleetHistory:
-    """All facts of a fleet's rehearsal. `base` holds what the kit's judge reads: calls, notices, lives, lateness."""
+    """All facts of a fleet's rehearsal. `base` holds the facts of the kit's own kinds: calls, notices, starts and ends
+    of processes, lateness.
+    """
 
     base: History
     parts: int
     contracts: dict[str, Contract]
-    seen: list[Seen] = field(default_factory=list)
+    facts: list[FleetFact] = field(default_factory=list)
     lease_us: int = 2_000_000
 
-    def add(self, fact: Seen) -> None:
+    def add(self, fact: FleetFact) -> None:
         """Append one fact."""
-        self.seen.append(fact)
+        self.facts.append(fact)
 
-    def part(self, channel: str) -> int:
-        """The part that a channel belongs to for good."""
+    def part_of(self, channel: str) -> int:
+        """The part that a channel belongs to. It never changes."""
         return xxhash.xxh3_64_intdigest(channel.encode()) % self.parts
 
-    def contract(self, channel: str) -> Contract:
-        """That of a channel's name."""
+    def contract_of(self, channel: str) -> Contract:
+        """The contract named by the first segment of a channel's name. Raises `KeyError` if it is unknown."""
         return self.contracts[channel.partition("/")[0]]
 
-    def plain(self, without: Container[str] = ()) -> History:
-        """The history for the judge of the six rules: each message's tries as one hand-in, taken where 202 was heard,
-        and refused only where every try was; `without` some messages. One that came before a lower number of its
-        channel, or after a higher one, has no key there: its order is its number's, not the hand-ins'."""
-        tries: dict[str, list[Heard]] = defaultdict(list)
-        first: dict[str, Asked] = {}
-        for fact in self.seen:
+    def courier_history(self, without: Container[str] = ()) -> History:
+        """Convert the history for the judge of the six rules, leaving out the messages in `without`.
+
+        All submissions of a message become one, accepted if any was answered 200 or 202, and rejected only if all were.
+        A message that came before a lower number of its channel, or after a higher one, gets no key: the number orders
+        it, not the time of submission.
+        """
+        replies: dict[str, list[Heard]] = defaultdict(list)
+        first_submissions: dict[str, Asked] = {}
+        for fact in self.facts:
             if isinstance(fact, Heard):
-                tries[fact.message].append(fact)
-            elif isinstance(fact, Asked) and (fact.message not in first or fact.at_us < first[fact.message].at_us):
-                first[fact.message] = fact
-        plain = History(self.base.figures, list(self.base.facts), self.base.end_us)
-        taken = {name: min((row for row in rows if row.status in (200, 202)), key=lambda row: row.at_us)
-                 for name, rows in tries.items() if any(row.status in (200, 202) for row in rows)}
-        crossed = _crossed((asked.channel, asked.at_us, asked.number, name) for name, asked in first.items())
-        crossed |= _crossed((heard.channel, heard.at_us, heard.number, name) for name, heard in taken.items())
-        for name, asked in first.items():
+                replies[fact.message].append(fact)
+            elif isinstance(fact, Asked) and (fact.message not in first_submissions
+                                              or fact.at_us < first_submissions[fact.message].at_us):
+                first_submissions[fact.message] = fact
+        converted = History(self.base.figures, list(self.base.facts), self.base.end_us)
+        accepted = {name: min((row for row in answers if row.status in (200, 202)), key=lambda row: row.at_us)
+                    for name, answers in replies.items() if any(row.status in (200, 202) for row in answers)}
+        out_of_order = _out_of_order((asked.channel, asked.at_us, asked.number, name)
+                                     for name, asked in first_submissions.items())
+        out_of_order |= _out_of_order((reply.channel, reply.at_us, reply.number, name)
+                                      for name, reply in accepted.items())
+        for name, asked in first_submissions.items():
             if name in without:
                 continue
-            heard = sorted(tries[name], key=lambda row: row.at_us)
-            answer = (next((row for row in heard if row.status in (200, 202)), None)
-                      or next((row for row in reversed(heard) if row.status == 0), None)
-                      or (heard[-1] if heard else None))
+            attempts = sorted(replies[name], key=lambda row: row.at_us)
+            answer = (next((row for row in attempts if row.status in (200, 202)), None)
+                      or next((row for row in reversed(attempts) if row.status == 0), None)
+                      or (attempts[-1] if attempts else None))
             courier = answer.courier if answer is not None else asked.courier
-            plain.add(HandIn(asked.at_us, courier, name, asked.origin, asked.message_class, asked.destination,
-                             None if name in crossed else asked.key, asked.deadline_us))
+            converted.add(HandIn(asked.at_us, courier, name, asked.origin, asked.message_class, asked.destination,
+                             None if name in out_of_order else asked.key, asked.deadline_us))
             if answer is not None:
-                plain.add(Answer(answer.at_us, courier, name, answer.end, answer.status))
-        return plain
-
-
-def _crossed(rows: Iterable[tuple[str, int, int, str]]) -> set[str]:
-    """Messages (channel, time, number, message) that did not come in the order of their numbers."""
-    lines: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
-    for channel, at_us, number, message in rows:
-        lines[channel].append((at_us, number, message))
-    found = set()
-    for line in lines.values():
-        line.sort()
-        highest = list(itertools.accumulate((number for _, number, _ in line), max))
-        lowest = list(itertools.accumulate((number for _, number, _ in reversed(line)), min))[::-1]
-        found |= {message for (_, number, message), high, low in zip(line, highest, lowest, strict=True)
-                  if high > number or low < number}
-    return found
+                converted.add(Answer(answer.at_us, courier, name, answer.end, answer.status))
+        return converted
+
+
+def _out_of_order(submissions: Iterable[tuple[str, int, int, str]]) -> set[str]:
+    """Return the messages that did not come in the order of their numbers. Rows: channel, time, number, message."""
+    by_channel: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
+    for channel, at_us, number, message in submissions:
+        by_channel[channel].append((at_us, number, message))
+    messages = set()
+    for rows in by_channel.values():
+        rows.sort()
+        highest_so_far = list(itertools.accumulate((number for _, number, _ in rows), max))
+        lowest_from_here = list(itertools.accumulate((number for _, number, _ in reversed(rows)), min))[::-1]
+        messages |= {message for (_, number, message), highest, lowest
+                     in zip(rows, highest_so_far, lowest_from_here, strict=True)
+                     if highest > number or lowest < number}
+    return messages
--- a/wheelstep/rehearsal/fleet/looks.py
+++ b/wheelstep/rehearsal/fleet/looks.py
@@ -1,4 +1,4 @@
-"""What couriers tell of channels' positions when they are asked for them."""
+"""Asks couriers for the positions of channels."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 from wheelstep.rehearsal.standins.clients import PATIENCE_S
 from wheelstep.rehearsal.standins.wire import Client
 
-_UNKNOWN = b"only a courier that is gone"  # of an owner that has never heard of the channel and can't look back
+# In the answer of an owner that has no position of the channel, as the courier that had it is gone.
+_UNKNOWN_POSITION = b"only a courier that is gone"
 
 
-async def look(doors: Mapping[str, tuple[str, int]], channels: Sequence[str],
+async def read_positions(addresses: Mapping[str, tuple[str, int]], channels: Sequence[str],
                now_us: Callable[[], int]) -> list[Looked]:
-    """Ask every courier for every channel's position."""
-    rows = await asyncio.gather(*(_look_at(name, doors[name], channels, now_us) for name in sorted(doors)))
+    """Ask every courier for every channel's position. A request that gets no answer is left out of the result."""
+    rows = await asyncio.gather(*(_read_positions_of(name, addresses[name], channels, now_us)
+                                  for name in sorted(addresses)))
     return [row for part in rows for row in part]
 
 
-async def _look_at(courier: str, door: tuple[str, int], channels: Sequence[str],
+async def _read_positions_of(courier: str, address: tuple[str, int], channels: Sequence[str],
                    now_us: Callable[[], int]) -> list[Looked]:
-    link: Client | None = None
-    looked = []
+    connection: Client | None = None
+    positions = []
     try:
         for name in channels:
             asked_us = now_us()
@@ -31,27 +33,27 @@
             answer = None
             try:
                 async with asyncio.timeout(PATIENCE_S):
-                    if link is None or link.gone:
-                        link = await Client.dial(*door)
-                    answer = await link.ask(request)
+                    if connection is None or connection.gone:
+                        connection = await Client.dial(*address)
+                    answer = await connection.ask(request)
             except (TimeoutError, OSError):
-                if link is not None:  # an answer that still comes would pass for the next one
-                    link.close()
+                if connection is not None:  # a late answer would be taken for the next request's
+                    connection.close()
             if answer is not None:
-                told = numbers(answer[2])
-                status = 200 if _UNKNOWN in answer[2] else answer[0]
-                looked.append(Looked(now_us(), asked_us, courier, name, status,
-                                     told.get("next", 0) if told.get("known", True) else 0))
+                fields = integer_fields(answer[2])
+                status = 200 if _UNKNOWN_POSITION in answer[2] else answer[0]
+                positions.append(Looked(now_us(), asked_us, courier, name, status,
+                                        fields.get("next", 0) if fields.get("known", True) else 0))
     finally:
-        if link is not None:
-            link.close()
-    return looked
+        if connection is not None:
+            connection.close()
+    return positions
 
 
-def numbers(body: bytes) -> dict[str, int]:
-    """The whole numbers and truths of a JSON object; none where it is no such thing."""
+def integer_fields(body: bytes) -> dict[str, int]:
+    """Return the integer and boolean fields of a JSON object; empty if the body is not a JSON object."""
     try:
-        found = json.loads(body)
+        parsed = json.loads(body)
     except ValueError:
         return {}
-    return {key: value for key, value in found.items() if isinstance(value, int)} if isinstance(found, dict) else {}
+    return {key: value for key, value in parsed.items() if isinstance(value, int)} if isinstance(parsed, dict) else {}
--- a/wheelstep/rehearsal/fleet/partner.py
+++ b/wheelstep/rehearsal/fleet/partner.py
@@ -1,4 +1,4 @@
-"""Partners that note each call's channel, number and epoch: the kit's partners with connections that read them."""
+"""The kit's partners, with connections that also record each call's channel, number and epoch."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from wheelstep.rehearsal.history import Fate, How
 from wheelstep.rehearsal.standins.partner import Endpoint, Stage, _Connection
 
-_MOST = 1 << 62  # numbers and epochs
+_NUMBER_LIMIT = 1 << 62  # of channels' numbers and epochs
 
 
-def attach(stage: Stage, history: FleetHistory, classes: frozenset[str]) -> None:
-    """All endpoints' new connections note what they see of channels. Messages of `classes` must be in one."""
+def record_channels(stage: Stage, history: FleetHistory, classes: frozenset[str]) -> None:
+    """Make all endpoints' new connections record the channels of calls. Messages of `classes` must belong to one."""
     for endpoint in stage.endpoints.values():
         for index, port in enumerate(endpoint.ports):
             port.make = functools.partial(_ChannelConnection, endpoint, f"c{index}", history, classes)
@@ -21,7 +21,7 @@
 class _ChannelConnection(_Connection):
     def __init__(self, endpoint: Endpoint, courier: str, history: FleetHistory, classes: frozenset[str]) -> None:
         super().__init__(endpoint, courier)
-        self._seen, self._classes = history, classes
+        self._fleet_history, self._classes = history, classes
 
     def _note(self, how: How, fate: Fate = Fate.UNTOLD, wait_us: int = 0) -> None:
         current = self._current
@@ -30,21 +30,22 @@
             return
         headers, message = current.request.headers, current.messages[0]
         channel = headers.get("x-channel", "")
-        bound = self._known(message).arrival.message_class in self._classes
+        requires_channel = self._known(message).arrival.message_class in self._classes
         if not channel:
-            if bound:
+            if requires_channel:
                 self._strange(f"message {message} of a contract's class in a call without X-Channel")
             return
-        number, epoch = _whole(headers.get("x-channel-number", "")), _whole(headers.get("x-channel-epoch", ""))
+        number, epoch = (_parse_number(headers.get("x-channel-number", "")),
+                         _parse_number(headers.get("x-channel-epoch", "")))
         if len(current.messages) > 1 or number is None or epoch is None \
-                or channel.partition("/")[0] not in self._seen.contracts:
+                or channel.partition("/")[0] not in self._fleet_history.contracts:
             self._strange(f"message {message} in a call with channel {channel!r}, number "
                           f"{headers.get('x-channel-number')!r}, epoch {headers.get('x-channel-epoch')!r}")
             return
-        self._seen.add(Touch(
+        self._fleet_history.add(Touch(
             self._courier, self._endpoint.name, channel, number, epoch, message,
             self._stage.us(current.request.first_at), self._stage.now_us(), how, fate))
 
 
-def _whole(text: str) -> int | None:
-    return int(text) if text.isascii() and text.isdigit() and len(text) < 19 and int(text) < _MOST else None
+def _parse_number(text: str) -> int | None:
+    return int(text) if text.isascii() and text.isdigit() and len(text) < 19 and int(text) < _NUMBER_LIMIT else None
--- a/wheelstep/rehearsal/fleet/points.py
+++ b/wheelstep/rehearsal/fleet/points.py
@@ -1,10 +1,9 @@
-"""Lets a courier's process end by SIGKILL, or stand still by SIGSTOP, at a named point, from within. Only in that
-process.
+"""Makes a courier's process send itself SIGKILL or SIGSTOP at a named point. Runs in that process only.
 
-The file that `RIG_POINT` names is there while it is to befall somebody; its text is the signal, a point and a count:
-`SIGKILL heard Seal 1`. The first process that comes to its point for the count-th time takes the file away and sends
-itself the signal. Points: `sent X`, `heard X` and `answered X` for each message of a move, `voted Accept`, `adopted`,
-and `first byte`: right before it is looked whether a call's first byte may be written.
+The file that `RIG_POINT` names exists while a signal is pending. Its text is the signal, a point and a count, such as
+`SIGKILL heard Seal 1`. The first process that reaches the point for the count-th time removes the file and sends itself
+the signal. Points: `sent X`, `heard X` and `answered X` for each message X of a move, `voted Accept`, `adopted`, and
+`first byte`, which is right before the check whether a call's first byte may be written.
 """
 
 from __future__ import annotations
@@ -26,62 +25,63 @@
 from wheelstep.moves.types import Move, Moved
 
 
-def arm(path: Path) -> None:
-    """From now on this process looks out for its point."""
+def install(path: Path) -> None:
+    """Patch the daemon's classes so that this process counts its points and obeys the file at `path`."""
     counts: Counter[str] = Counter()
-    text = ""
+    last_instruction = ""
 
-    def reached(point: str) -> None:
-        nonlocal text
+    def signal_at(point: str) -> None:
+        nonlocal last_instruction
         try:
-            now = path.read_text()
+            instruction = path.read_text()
         except OSError:
             return
-        if now != text:
-            text = now
+        if instruction != last_instruction:
+            last_instruction = instruction
             counts.clear()
         counts[point] += 1
-        sent, _, rest = now.partition(" ")
-        wanted, _, count = rest.rpartition(" ")
-        if point == wanted and counts[point] >= int(count):
+        signal_name, _, point_and_count = instruction.partition(" ")
+        wanted_point, _, count = point_and_count.rpartition(" ")
+        if point == wanted_point and counts[point] >= int(count):
             try:
                 path.unlink()
             except FileNotFoundError:
-                return  # it has befallen another process
-            print(f"\nthe rig signals this process: {now}", flush=True)
-            os.kill(os.getpid(), signal.Signals[sent])
+                return  # another process has taken the signal
+            print(f"\nthe rig signals this process: {instruction}", flush=True)
+            os.kill(os.getpid(), signal.Signals[signal_name])
 
-    call, asked, gained, answered = PendingOperations.call, Node.asked, PartCoordinator._gained, Giver.answered
-    may_start = Dispatcher.may_start
+    original_call, original_asked, original_gained, original_answered = (
+        PendingOperations.call, Node.asked, PartCoordinator._gained, Giver.answered)
+    original_may_start = Dispatcher.may_start
 
-    def sends(self: PendingOperations, member: str, ask: Ask, *more: Any) -> Action:
-        reached(f"sent {type(ask).__name__}")
-        return call(self, member, ask, *more)
+    def counted_call(self: PendingOperations, member: str, ask: Ask, *more: Any) -> Action:
+        signal_at(f"sent {type(ask).__name__}")
+        return original_call(self, member, ask, *more)
 
-    def hears(self: Node, now_us: int, token: int, sender: str, ask: Ask) -> list[Action]:
+    def counted_asked(self: Node, now_us: int, token: int, sender: str, ask: Ask) -> list[Action]:
         if isinstance(ask, Votes):
-            if any(isinstance(one, Accept) for one in ask.asks):
-                reached("voted Accept")
+            if any(isinstance(inner, Accept) for inner in ask.asks):
+                signal_at("voted Accept")
         else:
-            reached(f"heard {type(ask).__name__}")
-        return asked(self, now_us, token, sender, ask)
+            signal_at(f"heard {type(ask).__name__}")
+        return original_asked(self, now_us, token, sender, ask)
 
-    def gains(self: PartCoordinator, *given: Any) -> list[Action]:
+    def counted_gained(self: PartCoordinator, *given: Any) -> list[Action]:
         if self.taker.sealed_epoch(given[1].part) is not None:
-            reached("adopted")
-        return gained(self, *given)
+            signal_at("adopted")
+        return original_gained(self, *given)
 
-    def is_answered(self: Giver, now_us: int, ask: Move, moved: Moved | None) -> list[Act]:
+    def counted_answered(self: Giver, now_us: int, ask: Move, moved: Moved | None) -> list[Act]:
         if moved is not None and moved.ok:
-            reached(f"answered {type(ask).__name__}")
-        return answered(self, now_us, ask, moved)
+            signal_at(f"answered {type(ask).__name__}")
+        return original_answered(self, now_us, ask, moved)
 
-    def may_still(self: Dispatcher, endpoint: str, item: Item) -> bool:
-        reached("first byte")
-        return may_start(self, endpoint, item)
+    def counted_may_start(self: Dispatcher, endpoint: str, item: Item) -> bool:
+        signal_at("first byte")
+        return original_may_start(self, endpoint, item)
 
-    Dispatcher.may_start = may_still  # type: ignore[method-assign]
-    PendingOperations.call = sends  # type: ignore[method-assign, assignment]
-    Node.asked = hears  # type: ignore[method-assign]
-    PartCoordinator._gained = gains  # type: ignore[method-assign, assignment]
-    Giver.answered = is_answered  # type: ignore[method-assign]
+    Dispatcher.may_start = counted_may_start  # type: ignore[method-assign]
+    PendingOperations.call = counted_call  # type: ignore[method-assign, assignment]
+    Node.asked = counted_asked  # type: ignore[method-assign]
+    PartCoordinator._gained = counted_gained  # type: ignore[method-assign, assignment]
+    Giver.answered = counted_answered  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/fleet/relays.py
+++ b/wheelstep/rehearsal/fleet/relays.py
@@ -1,5 +1,5 @@
-"""The links between couriers on loopback: for each directed link a relay for datagrams and one for streams on one port
-number, with the faults of a schedule. Buffers are bounded; who sends faster than a link passes has to wait or loses.
+"""The links between couriers on loopback. Each directed link has a relay, which passes on UDP datagrams and TCP streams
+on one port number and applies the link's faults. Buffers are bounded: streams wait, and excess datagrams are dropped.
 """
 
 from __future__ import annotations
@@ -11,53 +11,53 @@
 from collections import Counter, deque
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from wheelstep.rehearsal.fleet.faults import Link, LinkFault, Planned, Weather, among
+from wheelstep.rehearsal.fleet.faults import Link, LinkConditions, LinkFault, PlannedFault, links_among
 
 Address = tuple[str, int]
 _HOST = "127.0.0.1"
-_HELD = 256  # datagrams that a stalled link keeps; the oldest go
-_LATE = 2_048  # datagrams that are on their way on a slow link; further ones are lost
-_PIECES = 64  # of a stream on its way
-_PIECE = 16 * 1024  # bytes at most
-_STREAMS = 256  # of a link at once
+_MAX_STALLED = 256  # datagrams that a stalled link keeps; the oldest are dropped
+_MAX_DELAYED = 2_048  # datagrams in delay on a link; further ones are dropped
+_MAX_CHUNKS = 64  # buffered of each direction of a stream
+_CHUNK_BYTES = 16 * 1024
+_MAX_STREAMS = 256  # open at once on a link; further connections are aborted
 
 
 class Relay(asyncio.DatagramProtocol):
-    """One directed link. `reverse` is the other direction's: it carries what comes back."""
+    """The relay of one directed link. Answers go by `reverse`, the relay of the opposite direction."""
 
     def __init__(self, link: Link, target: Address, seed: int, now_us: Callable[[], int]) -> None:
         self.link, self.target, self._now_us = link, target, now_us
-        self.weather = Weather(random.Random(f"{seed}/{link[0]}>{link[1]}"))
-        self.counts: Counter[str] = Counter()  # datagrams that came, passed and were lost; streams; bytes of streams
+        self.conditions = LinkConditions(random.Random(f"{seed}/{link[0]}>{link[1]}"))
+        self.counts: Counter[str] = Counter()  # datagrams that came, passed and were lost; streams and their bytes
         self.reverse = self
         self.port = 0
-        self.changed = asyncio.Event()  # replaced at each change of the weather
-        self._held: deque[bytes] = deque(maxlen=_HELD)
-        self._late = 0
+        self.changed = asyncio.Event()  # replaced at each change of the faults
+        self._stalled: deque[bytes] = deque(maxlen=_MAX_STALLED)
+        self._delayed = 0
         self._udp: asyncio.DatagramTransport | None = None
         self._tcp: asyncio.Server | None = None
         self._streams: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        """Take datagrams and streams on one free port number."""
+        """Listen for datagrams and streams on one free port number. Raises `OSError` if 50 attempts find none."""
         loop = asyncio.get_running_loop()
         for _ in range(50):
             tcp = socket.create_server((_HOST, 0), backlog=128)
             udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
                 udp.bind((_HOST, tcp.getsockname()[1]))
-            except OSError:  # the number is free for streams alone
+            except OSError:  # the port is taken for datagrams
                 tcp.close()
                 udp.close()
                 continue
             self.port = tcp.getsockname()[1]
             self._udp, _ = await loop.create_datagram_endpoint(lambda: self, sock=udp)
-            self._tcp = await asyncio.start_server(self._accepted, sock=tcp, limit=_PIECE)
+            self._tcp = await asyncio.start_server(self._accept_stream, sock=tcp, limit=_CHUNK_BYTES)
             return
-        raise OSError("no port number found that is free for datagrams and streams")
+        raise OSError("no loopback port found that is free for both UDP datagrams and TCP streams")
 
     async def close(self) -> None:
-        """Both at once, and all that they carry."""
+        """Close both listeners and abort the open streams."""
         if self._udp is not None:
             self._udp.close()
         if self._tcp is not None:
@@ -66,49 +66,49 @@
             stream.cancel()
         await asyncio.gather(*self._streams, return_exceptions=True)
 
-    def change(self, token: int, fault: LinkFault | None) -> None:
-        """A fault begins under this token; None: the one under it is over."""
+    def set_fault(self, token: int, fault: LinkFault | None) -> None:
+        """Set the fault of this token, or end it if `fault` is None. Datagrams held by a stall pass on when it ends."""
         if fault is None:
-            self.weather.faults.pop(token, None)
+            self.conditions.faults.pop(token, None)
         else:
-            self.weather.faults[token] = fault
+            self.conditions.faults[token] = fault
         self.changed.set()
         self.changed = asyncio.Event()
-        if not self.weather.stalled:
-            held = list(self._held)
-            self._held.clear()
-            for data in held:
-                self.pass_on(data)
+        if not self.conditions.stalled:
+            stalled = list(self._stalled)
+            self._stalled.clear()
+            for data in stalled:
+                self.forward(data)
 
     # --- datagrams ---
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        (self.reverse if addr == self.target else self).pass_on(data)
+        (self.reverse if addr == self.target else self).forward(data)
 
     def error_received(self, exc: Exception) -> None:
-        self.counts["refused"] += 1  # nobody listens there just now
+        self.counts["refused"] += 1  # nothing listens at the target
 
-    def pass_on(self, data: bytes) -> None:
-        """One datagram, as the weather wants it."""
+    def forward(self, data: bytes) -> None:
+        """Pass on one datagram as the link's faults demand."""
         self.counts["came"] += 1
-        if self.weather.stalled:
-            self._held.append(data)
+        if self.conditions.stalled:
+            self._stalled.append(data)
             return
         now_us = self._now_us()
-        copies = self.weather.datagram(data, now_us)
+        copies = self.conditions.datagram_arrivals(data, now_us)
         if not copies:
             self.counts["lost"] += 1
         for at_us, copy in copies:
             if at_us <= now_us:
                 self._send(copy)
-            elif self._late >= _LATE:
+            elif self._delayed >= _MAX_DELAYED:
                 self.counts["lost"] += 1
             else:
-                self._late += 1
-                asyncio.get_running_loop().call_later((at_us - now_us) / 1e6, self._arrive, copy)
+                self._delayed += 1
+                asyncio.get_running_loop().call_later((at_us - now_us) / 1e6, self._send_delayed, copy)
 
-    def _arrive(self, data: bytes) -> None:
-        self._late -= 1
+    def _send_delayed(self, data: bytes) -> None:
+        self._delayed -= 1
         self._send(data)
 
     def _send(self, data: bytes) -> None:
@@ -118,68 +118,72 @@
 
     # --- streams ---
 
-    def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._streams) >= _STREAMS:
+    def _accept_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self._streams) >= _MAX_STREAMS:
             self.counts["turned away"] += 1
             writer.transport.abort()
             return
         self.counts["streams"] += 1
-        task = asyncio.create_task(self._stream(reader, writer))
+        task = asyncio.create_task(self._serve_stream(reader, writer))
         self._streams.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._stream_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _stream_done(self, task: asyncio.Task[None]) -> None:
         self._streams.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            asyncio.get_running_loop().call_exception_handler({"message": "a relay died", "exception": error})
+            asyncio.get_running_loop().call_exception_handler(
+                {"message": "the task of a relayed stream failed", "exception": error})
 
-    async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            await self._carry(reader, writer)
+            await self._connect_and_copy(reader, writer)
         except* OSError:
             self.counts["broken"] += 1
         finally:
             writer.transport.abort()
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Both directions of a stream, once the route is there both ways, until both have ended."""
-        while self.weather.cut or self.reverse.weather.cut:
-            await self._until(lambda: not self.weather.cut)
-            await self.reverse._until(lambda: not self.reverse.weather.cut)
-        answers, far = await asyncio.open_connection(*self.target, limit=_PIECE)
+    async def _connect_and_copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Connect to the target once neither direction is cut, and copy both directions until both have ended."""
+        while self.conditions.cut or self.reverse.conditions.cut:
+            await self._wait_until(lambda: not self.conditions.cut)
+            await self.reverse._wait_until(lambda: not self.reverse.conditions.cut)
+        far_reader, far_writer = await asyncio.open_connection(*self.target, limit=_CHUNK_BYTES)
         try:
             async with asyncio.TaskGroup() as both:
-                both.create_task(self._pump(reader, far))
-                both.create_task(self.reverse._pump(answers, writer))
+                both.create_task(self._copy(reader, far_writer))
+                both.create_task(self.reverse._copy(far_reader, writer))
         finally:
-            far.transport.abort()
+            far_writer.transport.abort()
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One direction: what is read waits its time in a bounded queue and goes on in order, its end like its bytes.
-        A broken end breaks both, but not before the weather lets it through."""
-        pieces: asyncio.Queue[tuple[int, bytes | OSError]] = asyncio.Queue(_PIECES)
+    async def _copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Copy one direction of a stream, in order, through a bounded queue in which each chunk waits until its time.
+
+        The end of the stream is queued like its bytes. An error of the reading side is raised only when the link passes
+        it, and then breaks both directions.
+        """
+        chunks: asyncio.Queue[tuple[int, bytes | OSError]] = asyncio.Queue(_MAX_CHUNKS)
         async with asyncio.TaskGroup() as both:
-            both.create_task(self._read(reader, pieces))
-            both.create_task(self._write(writer, pieces))
+            both.create_task(self._read(reader, chunks))
+            both.create_task(self._write(writer, chunks))
 
-    async def _read(self, reader: asyncio.StreamReader, pieces: asyncio.Queue[tuple[int, bytes | OSError]]) -> None:
+    async def _read(self, reader: asyncio.StreamReader, chunks: asyncio.Queue[tuple[int, bytes | OSError]]) -> None:
         while True:
             try:
-                data = await reader.read(_PIECE)
+                data = await reader.read(_CHUNK_BYTES)
             except OSError as error:
-                await pieces.put((0, error))
+                await chunks.put((0, error))
                 return
-            await pieces.put(self.weather.piece(data, self._now_us()) if data else (0, b""))
+            await chunks.put(self.conditions.chunk_arrival(data, self._now_us()) if data else (0, b""))
             if not data:
                 return
 
-    async def _write(self, writer: asyncio.StreamWriter, pieces: asyncio.Queue[tuple[int, bytes | OSError]]) -> None:
+    async def _write(self, writer: asyncio.StreamWriter, chunks: asyncio.Queue[tuple[int, bytes | OSError]]) -> None:
         while True:
-            at_us, data = await pieces.get()
+            at_us, data = await chunks.get()
             await asyncio.sleep(max(0, at_us - self._now_us()) / 1e6)
             size = 0 if isinstance(data, OSError) else len(data)
-            await self._until(lambda size=size: not self.weather.cut and not self.weather.stalled  # type: ignore[misc]
-                              and not self.weather.too_large(size))
+            await self._wait_until(lambda size=size: not self.conditions.cut  # type: ignore[misc]
+                                   and not self.conditions.stalled and not self.conditions.too_large(size))
             if isinstance(data, OSError):
                 raise data
             if not data:
@@ -190,55 +194,56 @@
             writer.write(data)
             await writer.drain()
 
-    async def _until(self, fine: Callable[[], bool]) -> None:
-        while not fine():
+    async def _wait_until(self, passable: Callable[[], bool]) -> None:
+        while not passable():
             await self.changed.wait()
 
 
 class Relays:
-    """All links of a fleet. `listens` says where each courier takes its peers."""
+    """The relays of all links of a fleet. `listen_addresses` maps each courier to its listen address for peers."""
 
-    def __init__(self, listens: Mapping[str, Address], seed: int, now_us: Callable[[], int]) -> None:
+    def __init__(self, listen_addresses: Mapping[str, Address], seed: int, now_us: Callable[[], int]) -> None:
         self._now_us = now_us
-        self.links = {link: Relay(link, listens[link[1]], seed, now_us) for link in among(list(listens))}
-        for (one, other), relay in self.links.items():
-            relay.reverse = self.links[other, one]
+        self.links = {link: Relay(link, listen_addresses[link[1]], seed, now_us)
+                      for link in links_among(list(listen_addresses))}
+        for (sender, receiver), relay in self.links.items():
+            relay.reverse = self.links[receiver, sender]
         self._tokens = 0
 
     async def open(self) -> None:
-        """All of them."""
+        """Open all relays. Raises `OSError` if a relay finds no port."""
         for relay in self.links.values():
             await relay.open()
 
     async def close(self) -> None:
-        """All of them."""
+        """Close all relays."""
         await asyncio.gather(*(relay.close() for relay in self.links.values()))
 
-    def address(self, one: str, other: str) -> str:
-        """Where the one reaches the other."""
-        return f"{_HOST}:{self.links[one, other].port}"
+    def address(self, sender: str, receiver: str) -> str:
+        """The host and port at which `sender` reaches `receiver`."""
+        return f"{_HOST}:{self.links[sender, receiver].port}"
 
-    def begin(self, fault: LinkFault, links: Iterable[Link]) -> int:
-        """A fault sets in at these links; returns the token that ends it."""
+    def begin_fault(self, fault: LinkFault, links: Iterable[Link]) -> int:
+        """Begin a fault of these links and return the token that ends it."""
         self._tokens += 1
         for link in links:
-            self.links[link].change(self._tokens, fault)
+            self.links[link].set_fault(self._tokens, fault)
         return self._tokens
 
-    def end(self, token: int) -> None:
-        """That fault is over."""
+    def end_fault(self, token: int) -> None:
+        """End the fault of this token on all links."""
         for relay in self.links.values():
-            if token in relay.weather.faults:
-                relay.change(token, None)
+            if token in relay.conditions.faults:
+                relay.set_fault(token, None)
 
-    async def play(self, schedule: Sequence[Planned]) -> None:
-        """Each fault in its time, until all are over."""
+    async def run_faults(self, schedule: Sequence[PlannedFault]) -> None:
+        """Begin and end each planned fault at its time; return when all are over."""
         async with asyncio.TaskGroup() as all_faults:
             for planned in schedule:
-                all_faults.create_task(self._one(planned))
+                all_faults.create_task(self._run_fault(planned))
 
-    async def _one(self, planned: Planned) -> None:
+    async def _run_fault(self, planned: PlannedFault) -> None:
         await asyncio.sleep(max(0, planned.at_us - self._now_us()) / 1e6)
-        token = self.begin(planned.fault, planned.links)
+        token = self.begin_fault(planned.fault, planned.links)
         await asyncio.sleep(planned.for_us / 1e6)
-        self.end(token)
+        self.end_fault(token)
--- a/wheelstep/rehearsal/fleet/rig.py
+++ b/wheelstep/rehearsal/fleet/rig.py
@@ -1,4 +1,4 @@
-"""Plays a scene: a fleet of couriers as processes, relays between them, everything else on loopback sockets here."""
+"""Runs a scene: the fleet's couriers as processes; relays, clients, partners and discovery on loopback sockets here."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 
 from wheelstep.rehearsal.fleet import partner
 from wheelstep.rehearsal.fleet.clients import Clients
-from wheelstep.rehearsal.fleet.courier import OURS, FleetCourier, operator_file
-from wheelstep.rehearsal.fleet.faults import Kind
+from wheelstep.rehearsal.fleet.courier import COURIER_COMMAND, FleetCourier, operator_file
+from wheelstep.rehearsal.fleet.faults import FaultKind
 from wheelstep.rehearsal.fleet.history import FleetHistory, Gone, Heard
-from wheelstep.rehearsal.fleet.lives import GIVE_AWAY_S, Lives
-from wheelstep.rehearsal.fleet.looks import look
-from wheelstep.rehearsal.fleet.plan import CLASS, Scene
+from wheelstep.rehearsal.fleet.lives import GIVE_AWAY_WITHIN_S, ProcessController
+from wheelstep.rehearsal.fleet.looks import read_positions
+from wheelstep.rehearsal.fleet.plan import MESSAGE_CLASS, Scene
 from wheelstep.rehearsal.fleet.relays import Relays
 from wheelstep.rehearsal.history import Call, Fact, Fate, HandIn, History, Notice, Outage
 from wheelstep.rehearsal.rig import _few_collections
 from wheelstep.rehearsal.standins.partner import Stage
 from wheelstep.rehearsal.standins.platform import Agent, row
 
-_CHECK_S = 0.1
-_SERVED_S = 30.0  # until every channel has an owner, at the start and in the end
-_SETTLE_US = 700_000
+_POLL_S = 0.1
+_SERVING_TIMEOUT_S = 30.0  # until every channel has one owner, at the start and at the end
+_SETTLE_US = 700_000  # without any unsettled message, before the run ends
 
 
 class NeverServedError(Exception):
-    """The fleet did not come to serve its channels; the text tells which."""
+    """A channel had no owner when the start timed out. The text names one and holds the couriers' logs."""
 
 
 @dataclass(slots=True)
-class Played:
-    """What a rehearsal leaves."""
+class RunResult:
+    """The result of a rehearsal."""
 
     history: FleetHistory
     logs: dict[str, str] = field(default_factory=dict)
     lost_packets: int = 0
-    given_up: int = 0  # messages that no courier took in their time
-    left_s: list[float] = field(default_factory=list)  # how long each that left took
-    stayed: list[str] = field(default_factory=list)  # who was told to leave and had no time to give all away
-    fell: list[str] = field(default_factory=list)  # who was killed at a point of a move
+    given_up: int = 0  # messages that no courier accepted before their deadline
+    leave_times_s: list[float] = field(default_factory=list)  # the duration of each attempt to leave
+    incomplete_leaves: list[str] = field(default_factory=list)  # couriers that did not give all parts away
+    killed_at_point: list[str] = field(default_factory=list)  # couriers killed at a point of a move
 
 
-async def play(scene: Scene, broken: str = "", program: str = OURS) -> Played:
-    """Play a scene with our couriers, broken ones or another program. Raises `NeverServedError` and `NoStartError`."""
+async def run_scene(scene: Scene, broken: str = "", program: str = COURIER_COMMAND) -> RunResult:
+    """Run a scene with our couriers, a broken variant or another program. Raises `NeverServedError`, `NoStartError`."""
     with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _few_collections():
         rig = _Rig(scene, Path(folder), broken, program)
         try:
@@ -67,37 +67,37 @@
         self._history = FleetHistory(base, scene.parts, {scene.contract.name: scene.contract}, lease_us=scene.lease_us)
         self._stage = Stage(self._plan, base, self._now_us)
         self._stage.epoch = self._epoch
-        partner.attach(self._stage, self._history, frozenset({CLASS}))
-        self._agents = {name: Agent(name, base, self._now_us, self._heard) for name in scene.names}
-        self._key = folder / "fleet.key"
-        self._key.write_text(random.Random(f"key/{scene.seed}").randbytes(32).hex() + "\n")
+        partner.record_channels(self._stage, self._history, frozenset({MESSAGE_CLASS}))
+        self._agents = {name: Agent(name, base, self._now_us, self._on_notice) for name in scene.names}
+        self._key_file = folder / "fleet.key"
+        self._key_file.write_text(random.Random(f"key/{scene.seed}").randbytes(32).hex() + "\n")
         self._couriers = {name: FleetCourier(
             name, folder / name, base, self._now_us, lambda listen, name=name: self._config(name, listen),  # type: ignore[misc]
-            self._plan.ready_within_us / 1e6, lambda name=name: self._operator(name), program)  # type: ignore[misc]
+            self._plan.ready_within_us / 1e6, lambda name=name: self._operator_text(name), program)  # type: ignore[misc]
             for name in scene.names}
         for name, trouble in scene.trouble:
-            self._couriers[name].trouble = dict(trouble)
+            self._couriers[name].fault_env = dict(trouble)
         if any(step.point for step in scene.steps):
             for courier in self._couriers.values():
-                courier.trouble["RIG_POINT"] = str(folder / "arm")
+                courier.fault_env["RIG_POINT"] = str(folder / "arm")
         if broken:
             for courier in self._couriers.values():
-                courier.trouble["RIG_BROKEN"] = broken
-        self._relays = Relays({name: ("127.0.0.1", courier.peers.port) for name, courier in self._couriers.items()},
-                              scene.seed, self._now_us)
-        self._doors: dict[str, tuple[str, int]] = {}
-        self._clients = Clients(self._plan, {CLASS: scene.contract.name}, self._stage.ledger, self._history,
-                                self._now_us, self._doors, scene.gap_share, scene.roam)
-        self._lives = Lives(self._couriers, self._doors, self._history, self._now_us, folder / "arm")
+                courier.fault_env["RIG_BROKEN"] = broken
+        self._relays = Relays({name: ("127.0.0.1", courier.peer_port.port)
+                               for name, courier in self._couriers.items()}, scene.seed, self._now_us)
+        self._addresses: dict[str, tuple[str, int]] = {}
+        self._clients = Clients(self._plan, {MESSAGE_CLASS: scene.contract.name}, self._stage.ledger, self._history,
+                                self._now_us, self._addresses, scene.gap_share, scene.roam)
+        self._control = ProcessController(self._couriers, self._addresses, self._history, self._now_us, folder / "arm")
         self._tasks: list[asyncio.Task[None]] = []
-        self._played = Played(self._history)
+        self._result = RunResult(self._history)
 
     def _now_us(self) -> int:
         return round((self._loop.time() - self._epoch) * 1e6)
 
-    def _heard(self, courier: str, notice: dict[str, Any]) -> None:
+    def _on_notice(self, courier: str, notice: dict[str, Any]) -> None:
         if notice["outcome"] == "handed_back":
-            self._clients.handed_back(str(notice["message"]), int(notice.get("retry_in_ms", 0)) * 1000)
+            self._clients.resubmit(str(notice["message"]), int(notice.get("retry_in_ms", 0)) * 1000)
 
     def _config(self, name: str, listen: str) -> dict[str, Any]:
         agent, index = self._agents[name], int(name[1:])
@@ -105,139 +105,138 @@
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 4096, "disk_mb": 64}, "known": agent.whole(),
                 "settings": {**self._plan.settings, "self_index": index}}
 
-    def _operator(self, name: str) -> str:
+    def _operator_text(self, name: str) -> str:
         scene = self._scene
-        fleet = {"on": True, "name": "rig", "key_file": str(self._key),
-                 "listen": f"127.0.0.1:{self._couriers[name].peers.port}",
+        fleet = {"on": True, "name": "rig", "key_file": str(self._key_file),
+                 "listen": f"127.0.0.1:{self._couriers[name].peer_port.port}",
                  "voters": list(scene.voters), "parts": scene.parts, "lease": f"{scene.lease_us // 1000}ms",
-                 "probation": "1s", "give_away": True, "give_away_within": f"{GIVE_AWAY_S}s"}
+                 "probation": "1s", "give_away": True, "give_away_within": f"{GIVE_AWAY_WITHIN_S}s"}
         peers = {other: self._relays.address(name, other) for other in scene.names if other != name}
         terms = scene.contract
-        contract: dict[str, Any] = {"name": terms.name, "classes": [CLASS], "order": terms.order, "gap": terms.gap}
+        table: dict[str, Any] = {"name": terms.name, "classes": [MESSAGE_CLASS], "order": terms.order, "gap": terms.gap}
         if terms.gap == "skip":
-            contract["gap_after"] = f"{terms.gap_after_us // 1000}ms"
+            table["gap_after"] = f"{terms.gap_after_us // 1000}ms"
         if terms.order == "window":
-            contract["open"] = terms.open
-        return operator_file(fleet, peers, (contract,))
+            table["open"] = terms.open
+        return operator_file(fleet, peers, (table,))
 
-    # --- the run ---
-
-    async def run(self) -> Played:
-        """Start all, play, wait for every end and for one owner of each channel, and stop all."""
+    async def run(self) -> RunResult:
+        """Start all, run the scene, and wait until all messages are settled and each channel has one owner."""
         await self._stage.open()
         await self._relays.open()
         for name, agent in self._agents.items():
             index = int(name[1:])
-            agent.hosts = {host: row(host, at.ports[index].address, at.partner.destination,
-                                     self._plan.settings["kinds"][at.partner.kind])
-                           for host, at in self._stage.endpoints.items()}
+            agent.hosts = {host: row(host, endpoint.ports[index].address, endpoint.partner.destination,
+                                     self._plan.settings["kinds"][endpoint.partner.kind])
+                           for host, endpoint in self._stage.endpoints.items()}
             await agent.open()
-        first = self._scene.names[:self._scene.begin]
-        await asyncio.gather(*(self._couriers[name].start() for name in first))
-        self._doors |= {name: self._couriers[name].address for name in first}
-        self._clients.lines(self._plan.arrivals)
-        await self._until_served()
-        self._rebase()
+        initial = self._scene.names[:self._scene.begin]
+        await asyncio.gather(*(self._couriers[name].start() for name in initial))
+        self._addresses |= {name: self._couriers[name].address for name in initial}
+        self._clients.add_channels(self._plan.arrivals)
+        await self._wait_until_served()
+        self._reset_clock()
         self._clients.start()
-        self._task(self._lives.watch_lateness())
-        faults = [asyncio.create_task(self._relays.play(self._scene.faults)),
-                  asyncio.create_task(self._lives.play(self._scene.steps))]
-        self._note_cuts()
+        self._start_task(self._control.record_lateness())
+        faults = [asyncio.create_task(self._relays.run_faults(self._scene.faults)),
+                  asyncio.create_task(self._control.run_steps(self._scene.steps))]
+        self._record_cuts()
         try:
-            await self._hand_in()
+            await self._submit_all()
             await asyncio.gather(*faults)
         finally:
             for task in faults:
                 task.cancel()
-        await self._until_over()
-        await self._until_served(last=True)
+        await self._wait_until_settled()
+        await self._wait_until_served(last=True)
         self._stage.close()
         self._history.base.end_us = self._now_us()
-        played = self._played
-        played.logs = {name: courier.log_text() for name, courier in self._couriers.items()}
-        played.lost_packets = sum(relay.counts["lost"] for relay in self._relays.links.values())
-        played.given_up = self._clients.given_up
-        played.left_s, played.stayed, played.fell = self._lives.left_s, self._lives.stayed, self._lives.fell
-        return played
-
-    def _rebase(self) -> None:
-        """Time counts from when all is served; what was seen before lies before it."""
+        result = self._result
+        result.logs = {name: courier.log_text() for name, courier in self._couriers.items()}
+        result.lost_packets = sum(relay.counts["lost"] for relay in self._relays.links.values())
+        result.given_up = self._clients.given_up
+        result.leave_times_s, result.incomplete_leaves, result.killed_at_point = (
+            self._control.leave_times_s, self._control.incomplete_leaves, self._control.killed_at_point)
+        return result
+
+    def _reset_clock(self) -> None:
+        """Set time 0 to now. Facts from before get negative times, or are dropped if they are about traffic."""
         shift_us = self._now_us()
         self._epoch = self._stage.epoch = self._loop.time()
-        facts: list[Fact] = []
+        kept_facts: list[Fact] = []
         for fact in self._history.base.facts:
             if not isinstance(fact, Call | Outage | HandIn):
-                facts.append(dataclasses.replace(fact, at_us=fact.at_us - shift_us))
-        self._history.base.facts[:] = facts
-        self._history.seen.clear()
+                kept_facts.append(dataclasses.replace(fact, at_us=fact.at_us - shift_us))
+        self._history.base.facts[:] = kept_facts
+        self._history.facts.clear()
 
-    def _task(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
 
-    def _raise_dead(self) -> None:
-        self._clients.raise_dead()
+    def _raise_failures(self) -> None:
+        self._clients.raise_failures()
         for task in (task for task in self._tasks if task.done() and not task.cancelled()):
             task.result()
 
-    async def _until_served(self, last: bool = False) -> None:
-        """Until exactly one courier serves each channel. In the end the judge is told how it stands."""
-        end = self._loop.time() + _SERVED_S
+    async def _wait_until_served(self, last: bool = False) -> None:
+        """Wait until one courier serves each channel. Raises `NeverServedError`, or with `last` records the outcome."""
+        end = self._loop.time() + _SERVING_TIMEOUT_S
         while True:
-            looked = await look(self._doors, self._clients.channels, self._now_us)
-            self._history.seen += looked
-            serving = Counter(row.channel for row in looked if row.status == 200)
-            bad = [channel for channel in self._clients.channels if serving[channel] != 1]
-            if not bad or self._loop.time() > end:
+            positions = await read_positions(self._addresses, self._clients.channels, self._now_us)
+            self._history.facts += positions
+            serving = Counter(row.channel for row in positions if row.status == 200)
+            misowned = [channel for channel in self._clients.channels if serving[channel] != 1]
+            if not misowned or self._loop.time() > end:
                 break
-            await asyncio.sleep(_CHECK_S)
+            await asyncio.sleep(_POLL_S)
         if last:
-            for row in looked:
+            for row in positions:
                 self._history.add(dataclasses.replace(row, last=True))
-        elif any(not serving[channel] for channel in bad):  # where several serve, the judge will say so
+        elif any(not serving[channel] for channel in misowned):  # several owners are left to the judge
             logs = "\n".join(f"--- {name}\n{courier.log_text()[-4000:]}" for name, courier in self._couriers.items())
-            raise NeverServedError(f"{len(bad)} channels have no one owner after {_SERVED_S:.0f} s, "
-                                   f"{bad[0]} has {serving[bad[0]]}\n{logs}")
+            raise NeverServedError(f"{len(misowned)} channels lack a single owner after {_SERVING_TIMEOUT_S:.0f} s, "
+                                   f"{misowned[0]} has {serving[misowned[0]]}\n{logs}")
 
-    async def _hand_in(self) -> None:
+    async def _submit_all(self) -> None:
         for arrival in self._plan.arrivals:
             while (left_s := arrival.at_us / 1e6 - (self._loop.time() - self._epoch)) > 0:
-                await asyncio.sleep(min(left_s, _CHECK_S))
-                self._raise_dead()
-            self._clients.hand_in(arrival)
-
-    async def _until_over(self) -> None:
-        """Until every message that was taken has its end, or its time is up."""
-        longest_us = max(cls.deadline_us for cls in self._plan.figures.classes.values())
-        end_us = self._now_us() + longest_us + self._plan.figures.restart_grace_us + 1_000_000
-        quiet_us: int | None = None
+                await asyncio.sleep(min(left_s, _POLL_S))
+                self._raise_failures()
+            self._clients.submit(arrival)
+
+    async def _wait_until_settled(self) -> None:
+        """Wait until every accepted message has an outcome, or until the longest deadline has passed."""
+        max_deadline_us = max(message_class.deadline_us for message_class in self._plan.figures.classes.values())
+        end_us = self._now_us() + max_deadline_us + self._plan.figures.restart_grace_us + 1_000_000
+        quiet_since_us: int | None = None
         while (now_us := self._now_us()) < end_us:
-            if self._clients.open or self._owed():
-                quiet_us = None
+            if self._clients.pending or self._has_unsettled():
+                quiet_since_us = None
             else:
-                quiet_us = quiet_us or now_us
-                if now_us - quiet_us >= _SETTLE_US:
+                quiet_since_us = quiet_since_us or now_us
+                if now_us - quiet_since_us >= _SETTLE_US:
                     return
-            await asyncio.sleep(_CHECK_S)
-            self._raise_dead()
+            await asyncio.sleep(_POLL_S)
+            self._raise_failures()
 
-    def _owed(self) -> bool:
-        taken = {fact.message for fact in self._history.seen if isinstance(fact, Heard) and fact.status == 202}
+    def _has_unsettled(self) -> bool:
+        owed = {fact.message for fact in self._history.facts if isinstance(fact, Heard) and fact.status == 202}
         for fact in self._history.base.facts:
             if isinstance(fact, Call):
-                taken -= {name for name, fate in zip(fact.messages, fact.fates, strict=True) if fate is Fate.DELIVERED}
+                owed -= {name for name, fate in zip(fact.messages, fact.fates, strict=True) if fate is Fate.DELIVERED}
             elif isinstance(fact, Notice):
-                taken.discard(fact.message)
-        return bool(taken)
+                owed.discard(fact.message)
+        return bool(owed)
 
-    def _note_cuts(self) -> None:
+    def _record_cuts(self) -> None:
         for planned in self._scene.faults:
-            if planned.fault.kind in (Kind.CUT, Kind.STALL):
+            if planned.fault.kind in (FaultKind.CUT, FaultKind.STALL):
                 end_us = planned.at_us + planned.for_us + self._scene.lease_us
-                for name in self._scene.cut_off(planned.links):
+                for name in self._scene.without_majority(planned.links):
                     self._history.add(Gone(name, planned.at_us, end_us, why=planned.fault.kind.value))
 
     async def close(self) -> None:
-        """Nothing stays: tasks, processes, ports."""
+        """Cancel all tasks, end all processes and release all ports."""
         for task in self._tasks:
             task.cancel()
         await self._clients.close()
--- a/wheelstep/rehearsal/fleet/rules.py
+++ b/wheelstep/rehearsal/fleet/rules.py
@@ -1,6 +1,6 @@
-"""The fleet's rules, one function each: what it finds in the evidence. No I/O.
+"""The rules of a fleet: each function yields the breaches that it finds in the evidence. No I/O.
 
-Order, epochs and numbers need no limit in time but the slack for sockets, widened by the machine's lateness.
+Order, epochs and numbers allow no time but the slack for sockets, plus the machine's lateness at that moment.
 """
 
 from __future__ import annotations
@@ -11,36 +11,38 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from wheelstep.rehearsal.fleet.evidence import HANDED_BACK, Breach, Channel, Evidence, FleetRule
+from wheelstep.rehearsal.fleet.evidence import HANDED_BACK, Breach, ChannelFacts, Evidence, FleetRule
 from wheelstep.rehearsal.fleet.history import Asked, Heard, Touch
 
 # --- epochs ---
 
 
-def epochs(seen: Evidence) -> Iterable[Breach]:
-    """Each epoch of a part is one courier's, and none begins a call after a newer one has."""
+def check_epochs(evidence: Evidence) -> Iterable[Breach]:
+    """Yield calls of two couriers in one epoch of a part, and calls begun in an epoch after the part's first call in a
+    newer one.
+    """
     parts: dict[int, list[Touch]] = defaultdict(list)
-    for name, channel in seen.channels.items():
-        parts[seen.history.part(name)] += channel.touches
-    for part, touches in parts.items():
-        touches.sort(key=lambda touch: touch.first_us)
-        owners: dict[int, Touch] = {}
+    for name, channel in evidence.channels.items():
+        parts[evidence.history.part_of(name)] += channel.calls
+    for part, calls in parts.items():
+        calls.sort(key=lambda call: call.first_us)
+        first_calls: dict[int, Touch] = {}
         newest: Touch | None = None
-        for touch in touches:
-            first = owners.setdefault(touch.epoch, touch)
-            if first.courier != touch.courier:
-                yield _breach(FleetRule.EPOCHS, f"part {part}: two couriers called in one epoch", first, touch)
-            if newest is None or touch.epoch > newest.epoch:
-                newest = touch
-            elif touch.epoch < newest.epoch:
-                past_us = touch.first_us - newest.first_us
-                if past_us > seen.slack_us + seen.near(touch.first_us):
-                    yield _breach(FleetRule.FENCE, f"part {part}: a call began under epoch {touch.epoch} "
-                                       f"{past_us / 1e3:.0f} ms after one under epoch {newest.epoch}",
-                                       newest, touch)
-
-
-def _breach(rule: FleetRule, text: str, first: Touch, then: Touch) -> Breach:
+        for call in calls:
+            first = first_calls.setdefault(call.epoch, call)
+            if first.courier != call.courier:
+                yield _breach_between(FleetRule.EPOCHS, f"part {part}: two couriers called in one epoch", first, call)
+            if newest is None or call.epoch > newest.epoch:
+                newest = call
+            elif call.epoch < newest.epoch:
+                behind_us = call.first_us - newest.first_us
+                if behind_us > evidence.slack_us + evidence.lateness_near(call.first_us):
+                    yield _breach_between(FleetRule.FENCE, f"part {part}: a call began under epoch {call.epoch} "
+                                          f"{behind_us / 1e3:.0f} ms after one under epoch {newest.epoch}",
+                                          newest, call)
+
+
+def _breach_between(rule: FleetRule, text: str, first: Touch, then: Touch) -> Breach:
     return Breach(rule, then.first_us, text, then.channel, (first.number, then.number),
                   (first.epoch, then.epoch), (first.courier, then.courier))
 
@@ -48,167 +50,180 @@
 # --- order ---
 
 
-def order(seen: Evidence, name: str, channel: Channel) -> Iterable[Breach]:
-    """Numbers are begun in their order, and no more of them are out at once than the contract allows."""
-    contract = seen.history.contract(name)
+def check_order(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
+    """Yield calls that begin out of the order of their numbers, and calls that exceed the number that the contract
+    allows to be open at once.
+    """
+    contract = evidence.history.contract_of(name)
     if contract.order == "none":
         return
-    most = contract.open if contract.order == "window" else 1
+    max_open = contract.open if contract.order == "window" else 1
     highest: Touch | None = None
-    for place, touch in enumerate(channel.touches):
-        if highest is None or touch.number > highest.number:
-            highest = touch
-        elif touch.number < highest.number and (contract.order != "window" or not any(
-                old.number == touch.number for old in channel.touches[:place])):
-            yield _breach(FleetRule.ORDER, "a lower number was called after a higher one", highest, touch)
-        out = {old.number: old for old in channel.touches[:place]
-               if old.number != touch.number and old.ended_us > touch.first_us and not _abandoned(seen, old, touch)}
-        if len(out) >= most:
-            yield _breach(FleetRule.ORDER, f"called while {len(out)} other calls of the channel were out, "
-                               f"{most - 1} may be", next(iter(out.values())), touch)
-
-
-def _abandoned(seen: Evidence, old: Touch, new: Touch) -> bool:
-    """Is the older call one of a courier that was gone, which a later owner can't know of, or one that was closed
-    just then? The close may be read after the next call."""
-    if old.ended_us - new.first_us <= seen.slack_us and not old.delivered:
+    for index, call in enumerate(channel.calls):
+        if highest is None or call.number > highest.number:
+            highest = call
+        elif call.number < highest.number and (contract.order != "window" or not any(
+                old.number == call.number for old in channel.calls[:index])):
+            yield _breach_between(FleetRule.ORDER, "a lower number was called after a higher one", highest, call)
+        open_calls = {old.number: old for old in channel.calls[:index]
+                      if old.number != call.number and old.ended_us > call.first_us
+                      and not _abandoned(evidence, old, call)}
+        if len(open_calls) >= max_open:
+            yield _breach_between(FleetRule.ORDER,
+                                  f"called while {len(open_calls)} other calls of the channel were out, "
+                                  f"{max_open - 1} may be", next(iter(open_calls.values())), call)
+
+
+def _abandoned(evidence: Evidence, old: Touch, new: Touch) -> bool:
+    """Return whether the older call doesn't count as open: its courier was unavailable, so that a later owner can't
+    know of the call, or it was closed within the slack, as a partner may read the close after the next call.
+    """
+    if old.ended_us - new.first_us <= evidence.slack_us and not old.delivered:
         return True
-    return old.epoch != new.epoch and seen.was_gone(old.courier, old.first_us, new.first_us)
+    return old.epoch != new.epoch and evidence.was_unavailable(old.courier, old.first_us, new.first_us)
 
 
 # --- gaps ---
 
 
-def gaps(seen: Evidence, name: str, channel: Channel) -> Iterable[Breach]:
-    """What comes before a number has ended when it begins, unless the contract lets it be skipped by then."""
-    contract = seen.history.contract(name)
-    if contract.order not in ("strict", "window") or not channel.touches:
+def check_gaps(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
+    """Yield calls that begin while a lower number has not ended, unless the contract lets it be skipped by then."""
+    contract = evidence.history.contract_of(name)
+    if contract.order not in ("strict", "window") or not channel.calls:
         return
-    begun: set[int] = set()
-    for touch in channel.touches:
-        if touch.number in begun:
+    started: set[int] = set()
+    for call in channel.calls:
+        if call.number in started:
             continue
-        begun.add(touch.number)
-        floor = touch.number - (contract.open if contract.order == "window" else 1)
-        for number in range(1, touch.number):
-            ended_us = channel.ends.get(number)
-            if ended_us is not None and ended_us <= touch.first_us:
+        started.add(call.number)
+        window_start = call.number - (contract.open if contract.order == "window" else 1)
+        for number in range(1, call.number):
+            ended_us = channel.outcome_times.get(number)
+            if ended_us is not None and ended_us <= call.first_us:
                 continue
-            if contract.order == "window" and number > floor and number in begun:
-                continue  # out beside it
-            if _lost_sight(seen, channel, number, touch):
+            if contract.order == "window" and number > window_start and number in started:
+                continue  # called within the same window
+            if _lost_with_courier(evidence, channel, number, call):
                 continue
-            if contract.gap == "skip" and _waited_us(seen, channel, touch) >= contract.gap_after_us:
+            if contract.gap == "skip" and _waited_us(evidence, channel, call) >= contract.gap_after_us:
                 continue
-            yield Breach(FleetRule.GAPS, touch.first_us, f"called though {number} had not ended", name,
-                         (number, touch.number), (touch.epoch,), (touch.courier,))
+            yield Breach(FleetRule.GAPS, call.first_us, f"called though {number} had not ended", name,
+                         (number, call.number), (call.epoch,), (call.courier,))
             break
 
 
-def _lost_sight(seen: Evidence, channel: Channel, number: int, touch: Touch) -> bool:
-    """Was the number with a courier that was gone since?"""
-    return any(seen.was_gone(heard.courier, heard.asked_us, touch.first_us)
-               for heard in channel.taken.get(number, ()) if heard.asked_us <= touch.first_us)
+def _lost_with_courier(evidence: Evidence, channel: ChannelFacts, number: int, call: Touch) -> bool:
+    """Return whether a courier that had accepted the number was unavailable between then and `call`."""
+    return any(evidence.was_unavailable(reply.courier, reply.asked_us, call.first_us)
+               for reply in channel.accepted.get(number, ()) if reply.asked_us <= call.first_us)
 
 
-def _waited_us(seen: Evidence, channel: Channel, touch: Touch) -> int:
-    asked = [row.at_us for row in channel.asked if row.number == touch.number]
-    return touch.first_us - min(asked, default=touch.first_us) + seen.slack_us
+def _waited_us(evidence: Evidence, channel: ChannelFacts, call: Touch) -> int:
+    """Return the time from a number's first submission to `call`, plus the slack."""
+    asked = [row.at_us for row in channel.submissions if row.number == call.number]
+    return call.first_us - min(asked, default=call.first_us) + evidence.slack_us
 
 
 # --- numbers ---
 
 
-def numbers(seen: Evidence, name: str, channel: Channel) -> Iterable[Breach]:
-    """Each number that was taken on has one message and one end, and is not called again after it."""
-    given = {asked.message: asked for asked in channel.asked}
-    delivered = {touch.message for touch in channel.touches if touch.delivered}
-    for number, heard in channel.taken.items():
-        for place, row in enumerate(heard):
-            others = [old for old in heard[:place] if old.message != row.message and not _handed_back(seen, old, row)]
+def check_numbers(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
+    """Yield numbers that were accepted for two messages, accepted messages without an end, calls under a number that is
+    not the message's, and calls after the number's end.
+    """
+    submission_of = {asked.message: asked for asked in channel.submissions}
+    delivered = {call.message for call in channel.calls if call.delivered}
+    for number, replies in channel.accepted.items():
+        for index, row in enumerate(replies):
+            others = [old for old in replies[:index]
+                      if old.message != row.message and not _was_handed_back(evidence, old, row)]
             if others:
                 yield Breach(FleetRule.NUMBERS, row.at_us, "one number was taken on for two messages", name,
                              (number,), (), (others[0].courier, row.courier))
                 break
-        for message, row in {row.message: row for row in reversed(heard)}.items():
-            if message not in delivered and message not in seen.notices \
-                    and (breach := _overdue(seen, name, given[message], row)) is not None:
+        for message, row in {row.message: row for row in reversed(replies)}.items():
+            if message not in delivered and message not in evidence.notices \
+                    and (breach := _overdue(evidence, name, submission_of[message], row)) is not None:
                 yield breach
     by_number: dict[int, list[Touch]] = defaultdict(list)
-    for touch in channel.touches:
-        by_number[touch.number].append(touch)
-        asked = given.get(touch.message)
-        if asked is not None and asked.number != touch.number:
-            yield Breach(FleetRule.NUMBERS, touch.first_us, f"{touch.message} was handed in under another number",
-                         name, (asked.number, touch.number), (touch.epoch,), (touch.courier,))
-        told = [row.at_us for row in seen.notices.get(touch.message, ())]
-        if told and touch.first_us > min(told) + seen.slack_us + seen.near(touch.first_us):
-            yield Breach(FleetRule.NUMBERS, touch.first_us, "called after its end was told", name, (touch.number,),
-                         (touch.epoch,), (touch.courier,))
-    once = seen.history.contract(name).once
-    for touches in by_number.values():
-        yield from _doubles(seen, touches, once)
-
-
-def _handed_back(seen: Evidence, old: Heard, new: Heard) -> bool:
-    """Had the older message been handed back by then, so that its number was free again?"""
+    for call in channel.calls:
+        by_number[call.number].append(call)
+        asked = submission_of.get(call.message)
+        if asked is not None and asked.number != call.number:
+            yield Breach(FleetRule.NUMBERS, call.first_us, f"{call.message} was handed in under another number",
+                         name, (asked.number, call.number), (call.epoch,), (call.courier,))
+        reported = [row.at_us for row in evidence.notices.get(call.message, ())]
+        if reported and call.first_us > min(reported) + evidence.slack_us + evidence.lateness_near(call.first_us):
+            yield Breach(FleetRule.NUMBERS, call.first_us, "called after its end was told", name, (call.number,),
+                         (call.epoch,), (call.courier,))
+    once = evidence.history.contract_of(name).once
+    for calls in by_number.values():
+        yield from _repeated_calls(evidence, calls, once)
+
+
+def _was_handed_back(evidence: Evidence, old: Heard, new: Heard) -> bool:
+    """Return whether the older message had been handed back by the time of the new reply, which frees its number."""
     return any(notice.outcome == HANDED_BACK and notice.at_us <= new.at_us
-               for notice in seen.notices.get(old.message, ()))
+               for notice in evidence.notices.get(old.message, ()))
 
 
-def _doubles(seen: Evidence, touches: list[Touch], once: bool) -> Iterable[Breach]:
-    for place, touch in enumerate(touches):
-        for old in touches[:place]:
+def _repeated_calls(evidence: Evidence, calls: list[Touch], once: bool) -> Iterable[Breach]:
+    """Yield calls of one number after one that was delivered, was still open, or, under `once`, may have run."""
+    for index, call in enumerate(calls):
+        for old in calls[:index]:
             ran = old.delivered or (once and old.fate.value not in ("refused", "over", "spent"))
-            if not ran and old.ended_us <= touch.first_us + seen.slack_us:
+            if not ran and old.ended_us <= call.first_us + evidence.slack_us:
                 continue
-            unheard = seen.was_gone(old.courier, old.first_us, old.ended_us + seen.slack_us)
-            if unheard and not once:
+            courier_unavailable = evidence.was_unavailable(old.courier, old.first_us, old.ended_us + evidence.slack_us)
+            if courier_unavailable and not once:
                 continue
-            what = "out" if old.ended_us > touch.first_us else "over"
-            yield _breach(FleetRule.NUMBERS, f"called again though an earlier call was {what} "
-                               f"({old.fate.value})", old, touch)
+            what = "out" if old.ended_us > call.first_us else "over"
+            yield _breach_between(FleetRule.NUMBERS, f"called again though an earlier call was {what} "
+                                  f"({old.fate.value})", old, call)
             break
 
 
-def _overdue(seen: Evidence, name: str, asked: Asked, heard: Heard) -> Breach | None:
-    due_us = asked.deadline_us + seen.figures.answer_slack_us + seen.slack_us
-    for gone in sorted(seen.gone[heard.courier], key=lambda row: row.begin_us):
-        if not gone.disk and gone.begin_us >= heard.asked_us:
-            seen.excused.add(asked.message)
+def _overdue(evidence: Evidence, name: str, asked: Asked, reply: Heard) -> Breach | None:
+    """Return the breach of an accepted message without an end; None if it is not due yet, or was lost with a disk."""
+    due_us = asked.deadline_us + evidence.figures.answer_slack_us + evidence.slack_us
+    for gone in sorted(evidence.unavailable[reply.courier], key=lambda row: row.begin_us):
+        if not gone.disk and gone.begin_us >= reply.asked_us:
+            evidence.lost_with_disk.add(asked.message)
             return None
-        if gone.begin_us <= due_us <= gone.end_us + seen.figures.restart_grace_us:
-            due_us = gone.end_us + seen.figures.restart_grace_us
-    due_us += seen.near(due_us)
-    if due_us > seen.history.base.end_us:
+        if gone.begin_us <= due_us <= gone.end_us + evidence.figures.restart_grace_us:
+            due_us = gone.end_us + evidence.figures.restart_grace_us
+    due_us += evidence.lateness_near(due_us)
+    if due_us > evidence.history.base.end_us:
         return None
     return Breach(FleetRule.NUMBERS, due_us, "taken on, and neither delivered nor ended by its time", name,
-                  (asked.number,), (), (heard.courier,))
+                  (asked.number,), (), (reply.courier,))
 
 
 # --- owners and positions ---
 
 
-def owner(seen: Evidence, name: str, channel: Channel) -> Iterable[Breach]:
-    """When all is over, exactly one courier serves a channel."""
-    last = [row for row in channel.looked if row.last]
-    if not last or not channel.taken:
+def check_owner(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
+    """Yield a channel that no courier, or more than one, serves at the end of the rehearsal."""
+    last = [row for row in channel.position_reads if row.last]
+    if not last or not channel.accepted:
         return
     serving = sorted({row.courier for row in last if row.status == 200})
     if len(serving) != 1:
         yield Breach(FleetRule.OWNER, last[-1].at_us,
                      "in the end nobody serves it" if not serving else "in the end several serve it",
-                     name, tuple(sorted(channel.taken)[-1:]), (), tuple(serving))
-
-
-def positions(seen: Evidence, name: str, channel: Channel) -> Iterable[Breach]:
-    """A later question may not be told less than an earlier one was."""
-    told = [_Told(row.at_us, row.asked_us, row.next, row.courier) for row in channel.heard if row.next > 0]
-    told += [_Told(row.at_us, row.asked_us, row.next, row.courier) for row in channel.looked if row.next > 0]
-    told.sort(key=lambda row: row.at_us)
-    times = [row.at_us for row in told]
-    highest = list(itertools.accumulate(told, _higher))
-    for row in told:
+                     name, tuple(sorted(channel.accepted)[-1:]), (), tuple(serving))
+
+
+def check_positions(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
+    """Yield reports of a position that are lower than one received before the later question was asked."""
+    reported = [_ReportedPosition(row.at_us, row.asked_us, row.next, row.courier)
+                for row in channel.replies if row.next > 0]
+    reported += [_ReportedPosition(row.at_us, row.asked_us, row.next, row.courier)
+                 for row in channel.position_reads if row.next > 0]
+    reported.sort(key=lambda row: row.at_us)
+    times = [row.at_us for row in reported]
+    highest = list(itertools.accumulate(reported, _higher))
+    for row in reported:
         known = bisect.bisect_right(times, row.asked_us)
         if known and highest[known - 1].next > row.next:
             before = highest[known - 1]
@@ -216,12 +231,12 @@
                          f"{row.next}", name, (before.next, row.next), (), (before.courier, row.courier))
 
 
-class _Told(NamedTuple):
+class _ReportedPosition(NamedTuple):
     at_us: int
     asked_us: int
     next: int
     courier: str
 
 
-def _higher(one: _Told, other: _Told) -> _Told:
+def _higher(one: _ReportedPosition, other: _ReportedPosition) -> _ReportedPosition:
     return other if other.next > one.next else one
--- a/wheelstep/rehearsal/fleet/runner.py
+++ b/wheelstep/rehearsal/fleet/runner.py
@@ -1,16 +1,16 @@
-"""Runs `umberchute` in a process whose clock or disk is made bad from outside, or with one behaviour broken.
+"""Runs `umberchute` in a process with a faulty clock or disk, with a signal at a point, or with one behaviour broken.
 
-`python -m wheelstep.rehearsal.fleet.runner serve --operator FILE`, told by the environment:
+`python -m wheelstep.rehearsal.fleet.runner serve --operator FILE` reads the faults from the environment:
 
-- `RIG_CLOCK="rate=0.97 step=-30 after=2"`: monotonic clocks run at that rate; the wall clock also steps by so many
-  seconds, so long after the start.
-- `RIG_DISK="WHAT PATH [NUMBER]"`: in folders whose path ends in PATH, `fill` (no room after NUMBER bytes), `hang` (the
-  sync NUMBER takes `HANG_S`), or `lie` (what is synced after the sync NUMBER is gone at the next start with the same
-  setting: the old bytes are put back).
-- `RIG_POINT=FILE`: while the file is there, the process gets a signal at the point that it names (`points`).
+- `RIG_CLOCK="rate=0.97 step=-30 after=2"`: all clocks run at that rate, and the wall clock also steps by `step` seconds
+  `after` seconds after the start.
+- `RIG_DISK="WHAT PATH [NUMBER]"`: affects folders whose path ends in PATH. `fill`: the disk is full after NUMBER bytes.
+  `hang`: the sync NUMBER takes `HANG_S`. `lie`: all that is written after the sync NUMBER is lost at the next start
+  with the same setting.
+- `RIG_POINT=FILE`: while the file exists, the process sends itself a signal at the point that it names (see `points`).
 - `RIG_BROKEN=NAME`: a broken courier of `wheelstep.rehearsal.fleet.broken`.
 
-All of it is in place before the daemon's modules are imported.
+All faults are in place before the daemon starts, and the clock before any of its modules is imported.
 """
 
 from __future__ import annotations
@@ -24,102 +24,105 @@
 from pathlib import Path
 
 HANG_S = 3.0
-_OLD = ".rig-old"  # beside the folder: its files as they were when the disk began to lie
+_SNAPSHOT_SUFFIX = ".rig-old"  # of the folder beside it with its files as of that sync
 
 
-def bend_clock(text: str) -> None:
-    """Replace the clocks of `time`, in this process, as the text says."""
-    given = {key: float(value) for key, _, value in (part.partition("=") for part in text.split())}
-    rate, step_s, after_s = given.get("rate", 1.0), given.get("step", 0.0), given.get("after", 0.0)
-    real, wall, read = time.monotonic, time.time, time.clock_gettime
-    began = real()
+def distort_clock(text: str) -> None:
+    """Replace the clocks of `time` in this process. `text` is the value of `RIG_CLOCK`."""
+    parameters = {key: float(value) for key, _, value in (part.partition("=") for part in text.split())}
+    rate, step_s, after_s = parameters.get("rate", 1.0), parameters.get("step", 0.0), parameters.get("after", 0.0)
+    real_monotonic, real_wall, real_clock_gettime = time.monotonic, time.time, time.clock_gettime
+    start = real_monotonic()
 
-    def slow(now: float, begin: float) -> float:
-        return begin + (now - begin) * rate
+    def scaled(now: float, start_reading: float) -> float:
+        return start_reading + (now - start_reading) * rate
 
     def monotonic() -> float:
-        return slow(real(), began)
+        return scaled(real_monotonic(), start)
 
-    wall_began = wall()
+    wall_start = real_wall()
 
-    def stepped() -> float:
-        return slow(wall(), wall_began) + (step_s if real() - began >= after_s else 0.0)
+    def wall_time() -> float:
+        return scaled(real_wall(), wall_start) + (step_s if real_monotonic() - start >= after_s else 0.0)
 
-    begins: dict[int, float] = {}
+    start_readings: dict[int, float] = {}
 
     def clock_gettime(clock: int) -> float:
         if clock == time.CLOCK_REALTIME:
-            return stepped()
-        now = read(clock)
-        return slow(now, begins.setdefault(clock, now))
+            return wall_time()
+        now = real_clock_gettime(clock)
+        return scaled(now, start_readings.setdefault(clock, now))
 
     for clock in (time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME, time.CLOCK_MONOTONIC_RAW):
-        begins[clock] = read(clock)
-    for name, seconds in (("monotonic", monotonic), ("time", stepped)):
+        start_readings[clock] = real_clock_gettime(clock)
+    for name, seconds in (("monotonic", monotonic), ("time", wall_time)):
         setattr(time, name, seconds)
-        setattr(time, f"{name}_ns", _whole(seconds))
+        setattr(time, f"{name}_ns", _to_ns(seconds))
     time.clock_gettime = clock_gettime
     time.clock_gettime_ns = lambda clock: int(clock_gettime(clock) * 1e9)
 
 
-def _whole(seconds: Callable[[], float]) -> Callable[[], int]:
+def _to_ns(seconds: Callable[[], float]) -> Callable[[], int]:
     return lambda: int(seconds() * 1e9)
 
 
-def spoil_disk(text: str) -> None:
-    """Replace what the journal's file layer does in the folders that the text names."""
+def inject_disk_fault(text: str) -> None:
+    """Patch the journal's file layer for the folders that `text`, the value of `RIG_DISK`, names.
+
+    Raises `ValueError` if it names an unknown fault.
+    """
     from wheelstep.journal.disk import Folder
 
-    what, ending, *rest = text.split()
-    most = int(rest[0]) if rest else 0
-    count = {"bytes": 0, "syncs": 0}
+    what, path_suffix, *rest = text.split()
+    limit = int(rest[0]) if rest else 0
+    counts = {"bytes": 0, "syncs": 0}
     create, write, sync, names = Folder.create, Folder.write, Folder.sync, Folder.names
-    ready: set[Path] = set()
+    restored: set[Path] = set()
 
-    def hit(folder: Folder) -> bool:
-        return str(folder._path).endswith(ending)
+    def affects(folder: Folder) -> bool:
+        return str(folder._path).endswith(path_suffix)
 
-    def full(self: Folder, handle: int, data: bytes) -> int:
-        if hit(self):
-            count["bytes"] += len(data)
-            if count["bytes"] > most:
-                raise OSError(errno.ENOSPC, "no room is left on the rig's disk")
+    def write_until_full(self: Folder, handle: int, data: bytes) -> int:
+        if affects(self):
+            counts["bytes"] += len(data)
+            if counts["bytes"] > limit:
+                raise OSError(errno.ENOSPC, "no space left on the rig's disk")
         return write(self, handle, data)
 
-    def slow(self: Folder, handle: int) -> None:
-        if hit(self):
-            count["syncs"] += 1
-            if count["syncs"] == most:
+    def hanging_sync(self: Folder, handle: int) -> None:
+        if affects(self):
+            counts["syncs"] += 1
+            if counts["syncs"] == limit:
                 time.sleep(HANG_S)
         sync(self, handle)
 
-    def put_back(folder: Folder) -> None:
-        """Before the folder is first looked at: the files as they were when the disk began to lie."""
-        if not hit(folder) or folder._path in ready:
+    def restore_snapshot(folder: Folder) -> None:
+        """Before a folder's first use, put back the files as they were when the disk began to lose data."""
+        if not affects(folder) or folder._path in restored:
             return
-        ready.add(folder._path)
-        old = folder._path.with_name(folder._path.name + _OLD)
+        restored.add(folder._path)
+        old = folder._path.with_name(folder._path.name + _SNAPSHOT_SUFFIX)
         if old.is_dir():
             for path in folder._path.iterdir():
                 if path.is_file():
                     path.unlink()
             for path in old.iterdir():
                 shutil.copy2(path, folder._path / path.name)
-            print(f"the rig's disk lost what was synced in {folder._path.name}", flush=True)
+            print(f"the rig's disk lost synced data in {folder._path.name}", flush=True)
 
-    def looked(self: Folder) -> list[str]:
-        put_back(self)
+    def names_after_restore(self: Folder) -> list[str]:
+        restore_snapshot(self)
         return names(self)
 
-    def made(self: Folder, name: str) -> int:
-        put_back(self)
+    def create_after_restore(self: Folder, name: str) -> int:
+        restore_snapshot(self)
         return create(self, name)
 
-    def lying(self: Folder, handle: int) -> None:
-        if hit(self):
-            old = self._path.with_name(self._path.name + _OLD)
-            count["syncs"] += 1
-            if count["syncs"] == most and not old.exists():
+    def sync_and_snapshot(self: Folder, handle: int) -> None:
+        if affects(self):
+            old = self._path.with_name(self._path.name + _SNAPSHOT_SUFFIX)
+            counts["syncs"] += 1
+            if counts["syncs"] == limit and not old.exists():
                 old.mkdir()
                 for path in self._path.iterdir():
                     if path.is_file():
@@ -127,31 +130,32 @@
         sync(self, handle)
 
     if what == "fill":
-        Folder.write = full  # type: ignore[method-assign]
+        Folder.write = write_until_full  # type: ignore[method-assign]
     elif what == "hang":
-        Folder.sync = slow  # type: ignore[method-assign]
+        Folder.sync = hanging_sync  # type: ignore[method-assign]
     elif what == "lie":
-        Folder.names, Folder.create, Folder.sync = looked, made, lying  # type: ignore[method-assign]
+        Folder.names, Folder.create, Folder.sync = (  # type: ignore[method-assign]
+            names_after_restore, create_after_restore, sync_and_snapshot)
     else:
-        raise ValueError(f"RIG_DISK: {what!r} is no fault of a disk; expected fill, hang or lie")
+        raise ValueError(f"RIG_DISK: {what!r} is not a disk fault; expected fill, hang or lie")
 
 
 def prepare(environ: Mapping[str, str]) -> None:
-    """All that the environment asks for."""
+    """Inject the faults that the environment names."""
     if clock := environ.get("RIG_CLOCK"):
-        bend_clock(clock)
+        distort_clock(clock)
     if disk := environ.get("RIG_DISK"):
-        spoil_disk(disk)
+        inject_disk_fault(disk)
     if path := environ.get("RIG_POINT"):
-        from wheelstep.rehearsal.fleet.points import arm
-        arm(Path(path))
+        from wheelstep.rehearsal.fleet.points import install
+        install(Path(path))
     if broken := environ.get("RIG_BROKEN"):
-        from wheelstep.rehearsal.fleet.broken import breakers
-        breakers()[broken]()
+        from wheelstep.rehearsal.fleet.broken import patches
+        patches()[broken]()
 
 
 def main() -> int:
-    """Prepare, and run the command."""
+    """Inject the faults and run `umberchute` with this process's arguments; return its exit code."""
     prepare(os.environ)
     from wheelstep.cli.__main__ import main as command
     return command(sys.argv[1:])
