--- a/tests/test_fleet_judge_days.py
+++ b/tests/test_fleet_judge_days.py
@@ -1,4 +1,4 @@
-"""The judge of fleets on whole days: a clean one is never faulted, one planted breach in it is always named."""
+"""The judge of fleets on random histories: those without a breach are kept, and one inserted breach is always found."""
 
 from __future__ import annotations
 
@@ -16,8 +16,11 @@
 from wheelstep.rehearsal.judge import Ruling
 
 
-def clean_day(rng: random.Random) -> tuple[HistoryBuilder, list[tuple[str, int, int, str, int]]]:
-    """Channels with their numbers in turn; owners move and die. Gives the calls: channel, number, epoch, who, when."""
+def history_without_breach(rng: random.Random) -> tuple[HistoryBuilder, list[tuple[str, int, int, str, int]]]:
+    """Draw a history in which owners move and stop and every rule is kept, and its calls.
+
+    A call is its channel, number, epoch, courier and time in microseconds.
+    """
     builder = HistoryBuilder(end_us=100 * S)
     calls: list[tuple[str, int, int, str, int]] = []
     owners: dict[int, tuple[int, str]] = {}
@@ -29,7 +32,7 @@
         part = builder.history.part_of(channel)
         epoch, courier = owners.get(part, (1, "c0"))
         if rng.random() < 0.15:
-            if rng.random() < 0.5:  # it is stopped, and another takes over
+            if rng.random() < 0.5:  # the owner is stopped and another one takes over
                 builder.gone(courier, at_us + 30 * MS, at_us + 3 * S)
                 at_us += 3200 * MS
             epoch, courier = epoch + 1, rng.choice(["c0", "c1", "c2"])
@@ -49,17 +52,17 @@
 
 @settings(max_examples=80, deadline=None)
 @given(st.integers(0, 2**32))
-def test_a_clean_day_is_never_faulted(seed: int) -> None:
-    builder, _ = clean_day(random.Random(seed))
+def test_history_without_a_breach_is_always_kept(seed: int) -> None:
+    builder, _ = history_without_breach(random.Random(seed))
     verdict = judge_fleet(builder.history)
     assert verdict.ruling is Ruling.KEPT, verdict.breaches
 
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 2**32), st.sampled_from(list(FleetRule)))
-def test_a_planted_breach_is_always_named(seed: int, rule: FleetRule) -> None:
+def test_one_inserted_breach_is_always_found_by_its_rule(seed: int, rule: FleetRule) -> None:
     rng = random.Random(seed)
-    builder, calls = clean_day(rng)
+    builder, calls = history_without_breach(rng)
     if not calls:
         return
     channel, number, epoch, courier, at_us = rng.choice(calls)
--- a/tests/test_fleet_relays.py
+++ b/tests/test_fleet_relays.py
@@ -1,4 +1,4 @@
-"""The relays between couriers: each fault shown on sockets, with what stands unhurt beside it."""
+"""The relays between couriers: the effect of each fault on real sockets, and the traffic that it leaves alone."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 MS, S = 1_000, 1_000_000
 
 
-def test_datagrams_and_streams_pass_a_link_unhurt_on_one_port() -> None:
-    async def work() -> None:
+def test_datagrams_and_streams_pass_a_link_without_faults_on_one_port() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             f.send("a", "b", b"ping")
             assert await f.peers["b"].next() == b"ping"
@@ -24,13 +24,13 @@
             writer.write(b"votes")
             assert await reader.readexactly(5) == b"VOTES"
             writer.write_eof()
-            assert await reader.read() == b""  # the far end's close comes through as well
+            assert await reader.read() == b""  # the far end's close is passed on as well
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_a_reply_to_where_a_datagram_came_from_goes_by_the_other_direction() -> None:
-    async def work() -> None:
+def test_reply_to_a_datagrams_source_passes_the_opposite_link() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             token = f.relays.begin_fault(LinkFault(FaultKind.CUT), [("b", "a")])
             f.peers["b"].send(b"reply", f.port("a", "b"))
@@ -38,11 +38,11 @@
             f.relays.end_fault(token)
             f.peers["b"].send(b"reply", f.port("a", "b"))
             assert await f.peers["a"].next() == b"reply"
-    run(work())
+    run(scenario())
 
 
-def test_a_cut_one_way_loses_datagrams_there_and_holds_streams_that_are_up() -> None:
-    async def work() -> None:
+def test_cut_of_one_direction_drops_its_datagrams_and_holds_streams() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             reader, writer = await f.stream("a", "b")
             writer.write(b"one")
@@ -52,20 +52,20 @@
             f.send("b", "a", b"heard")
             assert await f.peers["a"].next() == b"heard" and await f.peers["b"].silent()
             writer.write(b"two")
-            late, late_writer = await f.stream("a", "b")  # a dial into the cut: up at the relay, and no further
+            late, late_writer = await f.stream("a", "b")  # a new connection during the cut ends at the relay
             late_writer.write(b"three")
             await asyncio.sleep(QUIET_S)
             assert f.peers["b"].streams.qsize() == 1
             f.relays.end_fault(token)
             assert await reader.readexactly(3) == b"TWO" and await late.readexactly(5) == b"THREE"
-            assert f.peers["b"].datagrams.empty()  # what a cut lost stays lost
+            assert f.peers["b"].datagrams.empty()  # dropped datagrams are not sent later
             late_writer.close()
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_answers_on_a_stream_go_by_the_other_directions_weather() -> None:
-    async def work() -> None:
+def test_answers_on_a_stream_are_subject_to_the_opposite_links_faults() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             reader, writer = await f.stream("a", "b")
             writer.write(b"one")
@@ -78,22 +78,22 @@
             f.relays.end_fault(token)
             assert await reader.readexactly(3) == b"TWO"
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_halves_hear_their_own_half_alone() -> None:
-    async def work() -> None:
+def test_cut_between_groups_passes_datagrams_within_each_group_only() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             f.relays.begin_fault(LinkFault(FaultKind.CUT), links_across("ab", "c"))
             for one, other in links_among("abc"):
                 f.send(one, other, f"{one}>{other}".encode())
             assert await f.peers["b"].next() == b"a>b" and await f.peers["a"].next() == b"b>a"
             assert await f.peers["c"].silent() and f.peers["a"].datagrams.empty() and f.peers["b"].datagrams.empty()
-    run(work())
+    run(scenario())
 
 
-def test_a_stall_keeps_all_in_order_until_it_is_over_within_its_bound() -> None:
-    async def work() -> None:
+def test_stall_holds_datagrams_in_order_and_drops_the_oldest_beyond_its_bound() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             token = f.relays.begin_fault(LinkFault(FaultKind.STALL), [("a", "b")])
             for number in range(300):
@@ -106,14 +106,14 @@
                 await asyncio.sleep(0.001)
             f.relays.end_fault(token)
             got = [await f.peers["b"].next() for _ in range(256)]
-            assert got == [b"%d" % number for number in range(44, 300)]  # the oldest went
+            assert got == [b"%d" % number for number in range(44, 300)]  # the oldest were dropped
             assert await reader.readexactly(4) == b"HELD"
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_a_stalled_stream_is_read_no_further_than_its_bound() -> None:
-    async def work() -> None:
+def test_stalled_stream_is_not_read_beyond_its_buffer() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             _, writer = await f.stream("a", "b")
             writer.write(b"x")
@@ -123,18 +123,19 @@
             await asyncio.sleep(QUIET_S)
             assert writer.transport.get_write_buffer_size() > 32 << 20  # the sender has to wait
             writer.transport.abort()
-    run(work())
+    run(scenario())
 
 
-@pytest.mark.parametrize("fault,fine", [
+@pytest.mark.parametrize("fault,passes", [
     (LinkFault(FaultKind.DROP, share=0.5), lambda got: 40 < len(got) < 160 and sorted(got) == got),
     (LinkFault(FaultKind.DUPLICATE, share=0.5), lambda got: 240 < len(got) < 360 and len(set(got)) == 200),
     (LinkFault(FaultKind.REORDER, share=0.3, delay_us=20 * MS), lambda got: len(got) == 200 and sorted(got) != got),
     (LinkFault(FaultKind.CORRUPT, share=0.5),
      lambda got: len(got) == 200 and sum(one[4:] != b"body" for one in got) > 40),
 ])
-def test_what_befalls_datagrams_by_share(fault: LinkFault, fine: Callable[[list[bytes]], bool]) -> None:
-    async def work() -> list[bytes]:
+def test_fault_with_a_share_affects_that_share_of_the_datagrams(fault: LinkFault,
+                                                                 passes: Callable[[list[bytes]], bool]) -> None:
+    async def scenario() -> list[bytes]:
         async with fleet() as f:
             f.relays.begin_fault(fault, [("a", "b")])
             for number in range(200):
@@ -144,12 +145,12 @@
             return [f.peers["b"].datagrams.get_nowait() for _ in range(f.peers["b"].datagrams.qsize())]
 
     async def check() -> None:
-        assert fine(await work())
+        assert passes(await scenario())
     run(check())
 
 
-def test_a_delay_holds_both_back_and_keeps_the_order_of_a_stream() -> None:
-    async def work() -> None:
+def test_delay_applies_to_datagrams_and_streams_and_keeps_the_order_of_a_stream() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             f.relays.begin_fault(LinkFault(FaultKind.DELAY, delay_us=80 * MS, jitter_us=40 * MS), [("a", "b")])
             loop = asyncio.get_running_loop()
@@ -162,26 +163,26 @@
                 writer.write(b"%02d" % number)
                 await asyncio.sleep(0)
             assert await reader.readexactly(100) == b"".join(b"%02d" % number for number in range(50))
-            assert 0.075 < loop.time() - began < 3.0  # the delay is the link's, not each piece's after the last
+            assert 0.075 < loop.time() - began < 3.0  # chunks are delayed in parallel, not one after another
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_a_corrupt_link_spoils_streams_too() -> None:
-    async def work() -> None:
+def test_corruption_inverts_one_bit_of_a_chunk() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             f.relays.begin_fault(LinkFault(FaultKind.CORRUPT), [("a", "b")])
             _, writer = await f.stream("a", "b")
             writer.write(b"votes")
-            came = await f.peers["b"].streams.get()
-            wrong = [(one ^ other).bit_count() for one, other in zip(came, b"votes", strict=True)]
-            assert sum(wrong) == 1
+            received = await f.peers["b"].streams.get()
+            wrong_bits = [(one ^ other).bit_count() for one, other in zip(received, b"votes", strict=True)]
+            assert sum(wrong_bits) == 1
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_a_narrow_link_passes_small_ones_while_large_ones_stall() -> None:
-    async def work() -> None:
+def test_size_limit_passes_small_datagrams_and_chunks_and_holds_large_ones() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             token = f.relays.begin_fault(LinkFault(FaultKind.NARROW, largest=100), [("a", "b")])
             f.send("a", "b", b"x" * 101)
@@ -196,11 +197,11 @@
             f.relays.end_fault(token)
             assert len(await reader.readexactly(5000)) == 5000
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_a_rate_holds_back_what_is_more() -> None:
-    async def work() -> None:
+def test_rate_limit_delays_a_stream() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             f.relays.begin_fault(LinkFault(FaultKind.NARROW, per_s=100_000), [("a", "b")])
             reader, writer = await f.stream("a", "b")
@@ -209,22 +210,22 @@
             await reader.readexactly(30_000)
             assert asyncio.get_running_loop().time() - began > 0.29
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_a_peer_that_died_breaks_streams_through_its_relay() -> None:
-    async def work() -> None:
+def test_dial_to_a_closed_peer_ends_the_stream_at_the_relay() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             f.peers["b"].tcp.close()
             reader, writer = await f.stream("a", "b")
             with contextlib.suppress(ConnectionResetError):
                 assert await reader.read() == b""
             writer.close()
-    run(work())
+    run(scenario())
 
 
-def test_faults_come_and_go_by_schedule_and_add_up() -> None:
-    async def work() -> None:
+def test_scheduled_faults_begin_and_end_in_time_and_overlap() -> None:
+    async def scenario() -> None:
         async with fleet() as f:
             now_us = round(asyncio.get_running_loop().time() * 1e6)
             link = f.relays.links["a", "b"]
@@ -241,4 +242,4 @@
             assert [kinds for kinds in seen if kinds] == [{FaultKind.DROP}, {FaultKind.DROP, FaultKind.CUT},
                                                           {FaultKind.DROP}]
             assert not link.conditions.faults
-    run(work())
+    run(scenario())
--- a/tests/test_fleet_runner.py
+++ b/tests/test_fleet_runner.py
@@ -1,4 +1,4 @@
-"""What the rig does to a courier's process from within: clocks, disks. Each in a process of its own."""
+"""The faults of clocks and disks that the runner injects, each tested in its own process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def script(text: str, **environ: str) -> str:
+def run_script(text: str, **environ: str) -> str:
     done = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, timeout=30, cwd=ROOT,
                           env={"PYTHONPATH": str(ROOT), **environ})
     assert done.returncode == 0, done.stderr
@@ -30,9 +30,9 @@
 """
 
 
-def test_monotonic_clocks_run_slow_and_the_wall_clock_steps() -> None:
-    assert script(CLOCKS, RIG_CLOCK="rate=0.50 step=30") == "0.5 0.5 0.5 30 30\n"
-    assert script(CLOCKS, RIG_CLOCK="step=-30 after=60") == "1.0 1.0 1.0 0 0\n"
+def test_clock_fault_slows_monotonic_clocks_and_steps_the_wall_clock() -> None:
+    assert run_script(CLOCKS, RIG_CLOCK="rate=0.50 step=30") == "0.5 0.5 0.5 30 30\n"
+    assert run_script(CLOCKS, RIG_CLOCK="step=-30 after=60") == "1.0 1.0 1.0 0 0\n"
 
 
 DISK = """
@@ -59,24 +59,25 @@
 """
 
 
-def disk(here: Path, fault: str, pieces: str) -> list[str]:
+def run_with_disk_fault(here: Path, fault: str, pieces: str) -> list[str]:
     for name in ("fleet", "state"):
         (here / name).mkdir(exist_ok=True)
-    return script(DISK, RIG_DISK=fault, HERE=str(here), PIECES=pieces).splitlines()
+    return run_script(DISK, RIG_DISK=fault, HERE=str(here), PIECES=pieces).splitlines()
 
 
-def test_a_disk_that_lies_gives_old_bytes_at_the_next_start(tmp_path: Path) -> None:
-    assert disk(tmp_path, "lie fleet 2", "a b c d") == ["fleet", "state"]
-    lost = "the rig's disk lost synced data in fleet"
-    assert disk(tmp_path, "lie fleet 2", "e") == [lost, "fleet ab", "state abcd"]
+def test_lying_disk_restores_old_files_at_the_next_start(tmp_path: Path) -> None:
+    assert run_with_disk_fault(tmp_path, "lie fleet 2", "a b c d") == ["fleet", "state"]
+    message = "the rig's disk lost synced data in fleet"
+    assert run_with_disk_fault(tmp_path, "lie fleet 2", "e") == [message, "fleet ab", "state abcd"]
 
 
-def test_a_disk_fills_and_hangs_in_its_folder_alone(tmp_path: Path) -> None:
-    assert disk(tmp_path, "fill fleet 2", "a b c") == ["fleet", "no space left on the rig's disk", "state"]
-    assert disk(tmp_path, "hang fleet 2", "d e f") == ["fleet ab", "hung", "state abc"]
+def test_full_and_hanging_disk_affect_the_named_folder_only(tmp_path: Path) -> None:
+    assert run_with_disk_fault(tmp_path, "fill fleet 2", "a b c") == ["fleet", "no space left on the rig's disk",
+                                                                      "state"]
+    assert run_with_disk_fault(tmp_path, "hang fleet 2", "d e f") == ["fleet ab", "hung", "state abc"]
 
 
-def test_what_no_disk_has_is_refused(tmp_path: Path) -> None:
+def test_unknown_disk_fault_is_rejected(tmp_path: Path) -> None:
     done = subprocess.run([sys.executable, "-m", "wheelstep.rehearsal.fleet.runner", "serve"], capture_output=True,
                           text=True, timeout=30, cwd=ROOT, env={"RIG_DISK": "melt fleet"})
     assert done.returncode != 0 and "'melt' is not a disk fault; expected fill, hang or lie" in done.stderr
--- a/wheelstep/rehearsal/fleet/plan.py
+++ b/wheelstep/rehearsal/fleet/plan.py
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SceneSize:
-    """The size of a scene. Rates are per second and times in microseconds, as the names say."""
+    """The size and the load of a scene."""
 
     couriers: int = 3
     channels: int = 24
--- a/wheelstep/rehearsal/fleet/relays.py
+++ b/wheelstep/rehearsal/fleet/relays.py
@@ -83,10 +83,12 @@
     # --- datagrams ---
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Pass a datagram on; one from the target is an answer and goes by the opposite relay."""
         (self.reverse if addr == self.target else self).forward(data)
 
     def error_received(self, exc: Exception) -> None:
-        self.counts["refused"] += 1  # nothing listens at the target
+        """Count a datagram for which nothing listens at the target."""
+        self.counts["refused"] += 1
 
     def forward(self, data: bytes) -> None:
         """Pass on one datagram as the link's faults demand."""
--- a/wheelstep/rehearsal/fleet/scenes.py
+++ b/wheelstep/rehearsal/fleet/scenes.py
@@ -133,7 +133,8 @@
     "stepped": _stepped, "swap": _swap(False), "swap-slow": _swap(False),
     "swap-killed": _swap(True),
 }
-# Sizes that a scene needs for its purpose: clients that reach both sides of a cut, and calls that take long.
+# Sizes that a scene needs for its purpose: clients that reach both sides of a cut, and calls that take long or are
+# repeated.
 _SIZE_OVERRIDES: dict[str, dict[str, Any]] = {
     **dict.fromkeys(("halves", "single", "thirds", "one-way", "frozen"), {"roam": 0.5}),
     "swap-slow": {"pace_us": 200_000},
