--- a/tests/test_shard_simulation.py
+++ b/tests/test_shard_simulation.py
@@ -1,4 +1,4 @@
-"""Couriers that divide destinations in the simulation: few seeds here, 2,000 by `benchmarks/shard_simulation.py`."""
+"""Simulation of couriers that divide destinations: few seeds here, 2,000 by `benchmarks/shard_simulation.py`."""
 
 from __future__ import annotations
 
@@ -16,39 +16,40 @@
 from wheelstep.rehearsal.shard_world.loop import SpinError, VirtualLoop
 from wheelstep.rehearsal.shard_world.net import Fabric, SimNet
 from wheelstep.rehearsal.shard_world.process import Process
-from wheelstep.rehearsal.shard_world.run import play, press
+from wheelstep.rehearsal.shard_world.run import run_seed, run_with_faults
 from wheelstep.rehearsal.shard_world.world import MS, S, StuckError, World
 from wheelstep.shards.ports import Pipe
 
 
 @pytest.mark.parametrize("seed", [0, 3, 8, 30])
-def test_no_invariant_is_broken(seed: int) -> None:
-    result = play(seed)
+def test_run_violates_no_invariant(seed: int) -> None:
+    result = run_seed(seed)
     assert result.text == ""
-    assert result.count["delivered"] > 100 and result.count["hops"] > 100
+    assert result.counts["delivered"] > 100 and result.counts["hops"] > 100
 
 
-def test_the_same_seed_plays_the_same_run_in_another_process() -> None:
-    """Whatever the order of its sets of texts."""
-    code = "from wheelstep.rehearsal.shard_world.run import play; print(play(6).mark)"
-    seen = {subprocess.run([sys.executable, "-c", code], cwd=Path(__file__).parent.parent, check=True, text=True,
-                           capture_output=True, env={**os.environ, "PYTHONHASHSEED": seed}).stdout
+def test_same_seed_gives_the_same_run_in_another_process() -> None:
+    """Guards against a run that depends on the hash seed, and so on the order of sets of strings."""
+    code = "from wheelstep.rehearsal.shard_world.run import run_seed; print(run_seed(6).fingerprint)"
+    fingerprints = {subprocess.run([sys.executable, "-c", code], cwd=Path(__file__).parent.parent, check=True,
+                                   text=True, capture_output=True, env={**os.environ, "PYTHONHASHSEED": seed}).stdout
             for seed in ("1", "2")}
-    assert len(seen) == 1
+    assert len(fingerprints) == 1
 
 
 @pytest.mark.parametrize("name", broken.VARIANTS)
-def test_a_broken_variant_is_caught(name: str) -> None:
-    """By its own invariant, within the seeds that it is given. The code as it is stands the same at the first."""
-    wrong = broken.VARIANTS[name]
-    assert press(0, wrong.kinds, wrong.count).text == ""
-    with broken.variant(name):
-        assert any(press(seed, wrong.kinds, wrong.count).rule == wrong.rule for seed in range(wrong.seeds))
+def test_broken_variant_violates_its_invariant(name: str) -> None:
+    """A variant violates its invariant within its seeds; the unpatched code passes the first of them."""
+    broken_variant = broken.VARIANTS[name]
+    assert run_with_faults(0, broken_variant.kinds, broken_variant.count).text == ""
+    with broken.apply_variant(name):
+        assert any(run_with_faults(seed, broken_variant.kinds, broken_variant.count).rule == broken_variant.rule
+                   for seed in range(broken_variant.seeds))
 
 
 # --- the loop ---
 
-def test_a_loop_jumps_to_its_next_timer() -> None:
+def test_loop_advances_to_its_next_timer() -> None:
     world = World(1)
     loop = VirtualLoop(world, offset_us=7 * S)
 
@@ -57,17 +58,17 @@
         await asyncio.sleep(3_600)
         return asyncio.get_running_loop().time() - began
     assert loop.run_until_complete(wait()) == pytest.approx(3_600, abs=0.001)
-    loop.bury()
+    loop.dispose()
 
 
-def test_a_loop_that_would_wait_for_ever_raises() -> None:
+def test_loop_without_events_raises_stuck_error() -> None:
     loop = VirtualLoop(World(1))
     with pytest.raises(StuckError):
         loop.run_until_complete(loop.create_future())
-    loop.bury()
+    loop.dispose()
 
 
-def test_a_loop_that_never_rests_raises() -> None:
+def test_loop_that_iterates_without_a_pause_raises_spin_error() -> None:
     loop = VirtualLoop(World(1))
 
     async def spin() -> None:
@@ -75,114 +76,114 @@
             await asyncio.sleep(0)
     with pytest.raises(SpinError):
         loop.run_until_complete(spin())
-    loop.bury()
+    loop.dispose()
 
 
-def test_a_loop_has_no_threads() -> None:
+def test_thread_in_a_virtual_loop_raises_runtime_error() -> None:
     loop = VirtualLoop(World(1))
 
     async def ask() -> None:
         await asyncio.to_thread(lambda: None)
     with pytest.raises(RuntimeError, match="executor"):
         loop.run_until_complete(ask())
-    loop.bury()
+    loop.dispose()
 
 
 # --- the network ---
 
 class Echo:
-    """Two processes: `b` writes back what `a` writes."""
+    """Two processes: `b` writes back what `a` writes. Times of events are in microseconds."""
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed)
         self.fabric = Fabric(self.world, random.Random(seed))
         self.a, self.b = (Process(self.world, name, f"r/{name}", number) for number, name in enumerate("ab"))
-        self.heard: list[tuple[int, bytes]] = []
+        self.received: list[tuple[int, bytes]] = []
         self.lost: list[int] = []
-        self.ended: list[int] = []  # heard by `b`
+        self.closed_at: list[int] = []  # at `b`
         self.pipe: Pipe | None = None
         self.b.start(self._serve())
-        self.a.start(self._ask())
+        self.a.start(self._dial())
 
     async def _serve(self) -> None:
         def accept(pipe: Pipe) -> tuple[object, object]:
-            return pipe.write, lambda: self.ended.append(self.world.now_us)
+            return pipe.write, lambda: self.closed_at.append(self.world.now_us)
         await SimNet(self.fabric, self.b).listen("b:1", accept, lambda data, address: None)  # type: ignore[arg-type]
 
-    async def _ask(self) -> None:
+    async def _dial(self) -> None:
         await asyncio.sleep(0.01)
         self.pipe = await SimNet(self.fabric, self.a).dial(
-            "b:1", lambda data: self.heard.append((self.world.now_us, data)),
+            "b:1", lambda data: self.received.append((self.world.now_us, data)),
             lambda: self.lost.append(self.world.now_us))
 
-    def bury(self) -> None:
-        """Both."""
-        self.a.loop.bury()
-        self.b.loop.bury()
+    def dispose(self) -> None:
+        """Dispose of both event loops."""
+        self.a.loop.dispose()
+        self.b.loop.dispose()
 
-    def play(self, until_us: int) -> None:
-        """And the clocks that code may ask for itself."""
+    def run_until(self, until_us: int) -> None:
+        """Run the world to a time, with the clocks of `time` replaced."""
         with virtual(self.world):
             self.world.run(until_us)
 
 
-def test_pipes_stall_on_loss_and_keep_their_order() -> None:
+def test_pipe_keeps_its_order_despite_packet_loss() -> None:
     for seed in range(5):
         echo = Echo(seed)
-        echo.play(S)
+        echo.run_until(S)
         assert echo.pipe is not None
-        echo.fabric.lose = 0.3
+        echo.fabric.loss_rate = 0.3
         sent = [b"%d" % number for number in range(40)]
-        for one in sent:
-            echo.pipe.write(one)
-        echo.play(60 * S)
-        assert [data for _, data in echo.heard] == sent
-        echo.bury()
+        for item in sent:
+            echo.pipe.write(item)
+        echo.run_until(60 * S)
+        assert [data for _, data in echo.received] == sent
+        echo.dispose()
 
 
-def test_a_cut_pipe_goes_on_and_ends_if_it_lasts() -> None:
+def test_cut_pipe_continues_after_a_short_cut_and_ends_after_a_long_one() -> None:
     echo = Echo(1)
-    echo.play(S)
+    echo.run_until(S)
     assert echo.pipe is not None
     echo.fabric.cut([("a", "b")])
     echo.pipe.write(b"late")
-    echo.play(4 * S)
-    assert not echo.heard
-    echo.fabric.join([("a", "b")])
-    echo.play(5 * S)
-    assert [data for _, data in echo.heard] == [b"late"] and not echo.lost
+    echo.run_until(4 * S)
+    assert not echo.received
+    echo.fabric.restore([("a", "b")])
+    echo.run_until(5 * S)
+    assert [data for _, data in echo.received] == [b"late"] and not echo.lost
     echo.fabric.cut([("a", "b")])
     echo.pipe.write(b"never")
-    echo.play(30 * S)
-    assert len(echo.heard) == 1 and echo.lost and not echo.ended
-    echo.fabric.join([("a", "b")])
-    echo.play(31 * S)
-    assert echo.ended
-    echo.bury()
+    echo.run_until(30 * S)
+    assert len(echo.received) == 1 and echo.lost and not echo.closed_at
+    echo.fabric.restore([("a", "b")])
+    echo.run_until(31 * S)
+    assert echo.closed_at
+    echo.dispose()
 
 
-def test_a_stopped_process_reads_when_it_wakes() -> None:
+def test_stopped_process_reads_queued_data_once_resumed() -> None:
     echo = Echo(1)
-    echo.play(S)
+    echo.run_until(S)
     assert echo.pipe is not None
     echo.b.stop()
     for number in range(9):
         echo.pipe.write(b"%d" % number)
-    echo.play(20 * S)
-    assert not echo.heard and not echo.lost
-    echo.b.wake()
-    echo.play(20 * S + 10 * MS)
-    assert [data for _, data in echo.heard] == [b"%d" % number for number in range(9)]
-    echo.bury()
+    echo.run_until(20 * S)
+    assert not echo.received and not echo.lost
+    echo.b.resume()
+    echo.run_until(20 * S + 10 * MS)
+    assert [data for _, data in echo.received] == [b"%d" % number for number in range(9)]
+    echo.dispose()
 
 
 @pytest.mark.parametrize(("vanish", "within_us"), [(False, 10 * MS), (True, 21 * S)])
-def test_the_end_of_a_process_is_heard(vanish: bool, within_us: int) -> None:
+def test_end_of_a_process_or_its_machine_ends_the_peers_pipe(vanish: bool, within_us: int) -> None:
     echo = Echo(1)
-    echo.play(S)
+    echo.run_until(S)
     if vanish:
-        echo.fabric.gone.add("b")
+        echo.fabric.powered_off.add("b")
     echo.b.kill(vanish)
-    echo.play(S + within_us)
+    echo.run_until(S + within_us)
     assert len(echo.lost) == 1 and (not vanish or echo.lost[0] > 5 * S)
-    echo.bury()
+    echo.dispose()
--- a/wheelstep/rehearsal/shard_world/clock.py
+++ b/wheelstep/rehearsal/shard_world/clock.py
@@ -1,4 +1,4 @@
-"""`time` in virtual time: for code that asks for the clock itself and not its loop's."""
+"""The functions of `time` in virtual time, for code that reads the clock itself rather than its loop's."""
 
 from __future__ import annotations
 
@@ -11,8 +11,11 @@
 
 @contextlib.contextmanager
 def virtual(world: World) -> Iterator[None]:
-    """Within it, the module `time` tells the clock of the process whose turn it is. `perf_counter` and `process_time`
-    tell the real ones still. A name taken out of the module before (`from time import time`) is not reached."""
+    """Replace the clocks of the module `time` by that of the process that runs now, until the context ends.
+
+    `perf_counter` and `process_time` stay real. A name imported from the module earlier (`from time import time`) is
+    not replaced.
+    """
     def own_us() -> int:
         return world.now_us + world.offset_us
     clocks = {
--- a/wheelstep/rehearsal/shard_world/control.py
+++ b/wheelstep/rehearsal/shard_world/control.py
@@ -1,4 +1,4 @@
-"""A control machine: the real `ControlMachine`, told of the list by the world in the place of its watch."""
+"""A control machine: the real `ControlMachine`, with the endpoint list from `Discovery` instead of its own watch."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from wheelstep import interface as api
 from wheelstep.courier.config import Address
 from wheelstep.rehearsal.shard_world.discovery import Discovery
-from wheelstep.rehearsal.shard_world.machine import FLEET, KEYS, Machine, Ordered
+from wheelstep.rehearsal.shard_world.machine import FLEET_KEYS, FLEET_NAME, Machine, OrderedSet
 from wheelstep.rehearsal.shard_world.net import SimNet
 from wheelstep.rehearsal.shard_world.process import Process
 from wheelstep.shards.control import ControlMachine
@@ -19,24 +19,25 @@
 
 
 class Control(Machine):
-    """Over its lives."""
+    """A control machine across its restarts."""
 
     discovery: Discovery
     shards: int
 
     async def main(self, process: Process) -> None:
+        """Run the control machine in a process."""
         loop = process.loop
-        machine = ControlMachine(self.name, KEYS, FLEET, self.disk.boot, self.shards, SimNet(self.fabric, process),
-                                 Address("discovery", 1), lambda: int(loop.time() * 1e6))
-        seen = SimpleNamespace(seq=0, move=lambda address: None)
-        machine.watch = cast(Any, seen)
-        cast(Any, machine.streams)._links = Ordered()
+        machine = ControlMachine(self.name, FLEET_KEYS, FLEET_NAME, self.disk.boot, self.shards,
+                                 SimNet(self.fabric, process), Address("discovery", 1), lambda: int(loop.time() * 1e6))
+        watch = SimpleNamespace(seq=0, move=lambda address: None)
+        machine.watch = cast(Any, watch)
+        cast(Any, machine.streams)._links = OrderedSet()
         await machine.start(self.address)
 
-        def told(seq: int, whole: bool, rows: Sequence[ListRow]) -> None:
-            seen.seq = seq
+        def on_list(seq: int, whole: bool, rows: Sequence[ListRow]) -> None:
+            watch.seq = seq
             machine._listed(api.ListKind.WHOLE if whole else api.ListKind.CHANGES, [_raw(row) for row in rows])
-        self.discovery.watch(process, told)
+        self.discovery.watch(process, on_list)
         await machine._load_lists()
 
 
--- a/wheelstep/rehearsal/shard_world/discovery.py
+++ b/wheelstep/rehearsal/shard_world/discovery.py
@@ -1,4 +1,4 @@
-"""The list as it truly is, and which control machine has had what of it when."""
+"""The true endpoint list, and when each control machine received which version of it."""
 
 from __future__ import annotations
 
@@ -17,76 +17,76 @@
 
 NAME = "disc"
 NAMES = Names(("safe", "ordered", "unsafe"), ("",), ("r1", "r2"), ())
-AGAIN_US = 500 * MS
+RETRY_US = 500 * MS
 
-Told = Callable[[int, bool, Sequence[ListRow]], None]
+OnList = Callable[[int, bool, Sequence[ListRow]], None]
 
 
-def read(row: ListRow) -> Row:
-    """As the daemon reads a row."""
+def parse_row(row: ListRow) -> Row:
+    """Parse a row as the daemon does."""
     return NAMES.parse_row({"host": row.host, "dial": row.dial, "site": row.site, "class": row.kind, "block": row.block,
                         "health": row.health, "share": row.share})
 
 
 @dataclass(slots=True)
 class Discovery:
-    """Versions rise by one with each change. Control machines wait at it and hear within some hundred milliseconds."""
+    """The endpoint list. Each change raises its version by one; control machines hear of it within some 100 ms."""
 
     world: World
     fabric: Fabric
     rng: random.Random
     rows: dict[str, ListRow] = field(default_factory=dict)
-    log: list[ListRow] = field(default_factory=list)  # the change to each version
-    had_us: dict[tuple[str, int], int] = field(default_factory=dict)  # when a control machine had a version
-    off_seq: dict[str, int] = field(default_factory=dict)  # the version from which on an endpoint takes nothing new
+    changes: list[ListRow] = field(default_factory=list)  # the row that changed, by version - 1
+    received_us: dict[tuple[str, int], int] = field(default_factory=dict)  # when a control machine received a version
+    not_serving_since: dict[str, int] = field(default_factory=dict)  # endpoint: version since which it rejects messages
 
     @property
     def seq(self) -> int:
-        """The newest version."""
-        return len(self.log)
+        """The latest version."""
+        return len(self.changes)
 
     def change(self, row: ListRow) -> None:
-        """A row is new, other, or (`DELETED`) gone."""
+        """Add or replace a row; with the health `DELETED`, remove it."""
         if row.health == "DELETED":
             self.rows.pop(row.host, None)
         else:
             self.rows[row.host] = row
-        self.log.append(row)
+        self.changes.append(row)
         if row.health == "SERVING":
-            self.off_seq.pop(row.host, None)
+            self.not_serving_since.pop(row.host, None)
         else:
-            self.off_seq.setdefault(row.host, self.seq)
+            self.not_serving_since.setdefault(row.host, self.seq)
         self.world.trace(NAME, "change", self.seq, row.host, row.health)
 
-    def turn(self, host: str, health: str) -> None:
-        """One row's health changes."""
+    def set_health(self, host: str, health: str) -> None:
+        """Change the health of one row."""
         self.change(msgspec.structs.replace(self.rows[host], health=health))
 
-    def watch(self, process: Process, told: Told) -> None:
-        """Tell this control machine all, then each change, while it lives."""
+    def watch(self, process: Process, on_list: OnList) -> None:
+        """Send a control machine the whole list and then each change, while its process runs."""
         state = {"seq": -1}
 
-        def look() -> None:
+        def poll() -> None:
             if not process.alive:
                 return
             if process.stopped or self.fabric.blocked(NAME, process.name) or self.fabric.blocked(process.name, NAME):
-                self.world.after(AGAIN_US, look)
+                self.world.call_after(RETRY_US, poll)
                 return
             if state["seq"] < self.seq:
                 whole, seq = state["seq"] < 0, self.seq
-                rows = list(self.rows.values()) if whole else self.log[state["seq"]:]
+                rows = list(self.rows.values()) if whole else self.changes[state["seq"]:]
                 state["seq"] = seq
-                process.deliver(self._had, process.name, seq)
-                process.deliver(told, seq, whole, rows)
-            self.world.after(30 * MS + int(self.rng.random() * 250 * MS), look)
-        look()
-
-    def _had(self, name: str, seq: int) -> None:
-        for one in range(seq, 0, -1):
-            if (name, one) in self.had_us:
+                process.deliver(self._record_received, process.name, seq)
+                process.deliver(on_list, seq, whole, rows)
+            self.world.call_after(30 * MS + int(self.rng.random() * 250 * MS), poll)
+        poll()
+
+    def _record_received(self, name: str, seq: int) -> None:
+        for version in range(seq, 0, -1):
+            if (name, version) in self.received_us:
                 break
-            self.had_us[name, one] = self.world.now_us
+            self.received_us[name, version] = self.world.now_us
 
-    def up(self, destination: int) -> bool:
-        """Does the list name an endpoint of it that takes messages?"""
+    def is_serving(self, destination: int) -> bool:
+        """Return whether the list holds an endpoint of a destination that takes messages."""
         return any(row.block == destination and row.health == "SERVING" for row in self.rows.values())
--- a/wheelstep/rehearsal/shard_world/disk.py
+++ b/wheelstep/rehearsal/shard_world/disk.py
@@ -1,6 +1,7 @@
-"""What a courier's process leaves behind: its journal, as a table of what it owes, and its boot number.
+"""What lasts of a courier's process: its journal, as a table of the messages that it owes, and its boot number.
 
-A process that ends loses nothing that it wrote; a machine that goes takes with it what was not synced."""
+The end of a process loses nothing that it wrote. A machine that loses power may lose what was not synced.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +13,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """A message on disk. `ran`: an attempt of it may have run; `seq` tells the order in which they were taken."""
+class DiskRow:
+    """A message on disk. `seq` is the order of admission; `ran` says that an attempt of it may have run."""
 
     message: StoredMessage
     seq: int
@@ -22,48 +23,48 @@
 
 @dataclass(slots=True)
 class Disk:
-    """One courier's."""
+    """The disk of one courier."""
 
     boot: int = 1_700_000_000
     seq: int = 0
-    rows: dict[str, Kept] = field(default_factory=dict)
-    _undo: list[tuple[str, Kept | None]] = field(default_factory=list)  # what was there before what is not synced
+    rows: dict[str, DiskRow] = field(default_factory=dict)
+    _unsynced: list[tuple[str, DiskRow | None]] = field(default_factory=list)  # unsynced writes: name and previous row
 
-    def put(self, name: str, kept: Kept) -> None:
-        """Write it, or write it anew."""
-        self._undo.append((name, self.rows.get(name)))
-        self.rows[name] = kept
+    def write(self, name: str, row: DiskRow) -> None:
+        """Write or replace a row."""
+        self._unsynced.append((name, self.rows.get(name)))
+        self.rows[name] = row
 
-    def take(self, message: StoredMessage) -> Kept:
-        """A new message, behind all others."""
+    def add(self, message: StoredMessage) -> DiskRow:
+        """Write a new message behind all others and return its row."""
         self.seq += 1
-        kept = Kept(message, self.seq)
-        self.put(message.id, kept)
-        return kept
+        row = DiskRow(message, self.seq)
+        self.write(message.id, row)
+        return row
 
-    def ran(self, name: str, ran: bool) -> bool:
-        """Whether an attempt of it may have run; what stood there before."""
-        kept = self.rows[name]
-        self.put(name, replace(kept, ran=ran))
-        return kept.ran
+    def set_ran(self, name: str, ran: bool) -> bool:
+        """Set whether an attempt of a message may have run, and return the previous value."""
+        row = self.rows[name]
+        self.write(name, replace(row, ran=ran))
+        return row.ran
 
-    def over(self, name: str) -> None:
-        """It is owed no more."""
-        self._undo.append((name, self.rows.pop(name)))
+    def remove(self, name: str) -> None:
+        """Remove a message that is no longer owed."""
+        self._unsynced.append((name, self.rows.pop(name)))
 
     def sync(self) -> None:
-        """What is written by now stays, whatever happens."""
-        self._undo.clear()
+        """Make all writes so far durable."""
+        self._unsynced.clear()
 
-    def power_lost(self, rng: random.Random) -> None:
-        """The last of what was not synced is gone."""
-        for name, before in self._undo[rng.randint(0, len(self._undo)):][::-1]:
-            if before is None:
+    def lose_power(self, rng: random.Random) -> None:
+        """Undo a random number of the last unsynced writes."""
+        for name, previous in self._unsynced[rng.randint(0, len(self._unsynced)):][::-1]:
+            if previous is None:
                 self.rows.pop(name, None)
             else:
-                self.rows[name] = before
-        self._undo.clear()
+                self.rows[name] = previous
+        self._unsynced.clear()
 
-    def owed(self) -> Iterator[Kept]:
-        """In the order in which they were taken."""
-        return iter(sorted(self.rows.values(), key=lambda kept: kept.seq))
+    def rows_in_order(self) -> Iterator[DiskRow]:
+        """Return all rows in the order of admission."""
+        return iter(sorted(self.rows.values(), key=lambda row: row.seq))
--- a/wheelstep/rehearsal/shard_world/machine.py
+++ b/wheelstep/rehearsal/shard_world/machine.py
@@ -1,4 +1,4 @@
-"""A machine with one program on it: started, killed, stopped, gone with all its power, and started again."""
+"""A machine with one program, which can be started, killed, stopped and continued, and can lose its power."""
 
 from __future__ import annotations
 
@@ -11,87 +11,90 @@
 from wheelstep.rehearsal.shard_world.process import Process
 from wheelstep.rehearsal.shard_world.world import World
 
-KEYS = (b"a key of the fleet, thirty bytes.",)
-FLEET = "rehearsed"
+FLEET_KEYS = (b"a key of the fleet, thirty bytes.",)
+FLEET_NAME = "rehearsed"
 
 
-class Ordered(dict[Any, None]):
-    """A set that keeps the order in which things came. The code under test ends links and tasks in the order of sets,
-    which is that of their places in memory: no two runs would be the same."""
+class OrderedSet(dict[Any, None]):
+    """A set that keeps the order of insertion.
 
-    def add(self, one: object) -> None:
-        """As a set's."""
-        self[one] = None
+    The code under test closes links and cancels tasks in the order of a set, which depends on memory addresses. Without
+    this class two runs of one seed would differ.
+    """
 
-    def discard(self, one: object) -> None:
-        """As a set's."""
-        self.pop(one, None)
+    def add(self, item: object) -> None:
+        """Add an item, as `set.add` does."""
+        self[item] = None
+
+    def discard(self, item: object) -> None:
+        """Remove an item if it is there, as `set.discard` does."""
+        self.pop(item, None)
 
 
 class Machine:
-    """`name` in the zone `place`."""
+    """A machine in a zone. Its disk lasts across the runs of its process."""
 
-    def __init__(self, world: World, fabric: Fabric, check: Check, name: str, place: str, number: int) -> None:
+    def __init__(self, world: World, fabric: Fabric, check: Check, name: str, zone: str, number: int) -> None:
         self.world, self.fabric, self.check = world, fabric, check
-        self.name, self.place, self.number = name, place, number
+        self.name, self.zone, self.number = name, zone, number
         self.address = f"{name}:7000"
         self.disk = Disk()
-        self.lives: list[Process] = []
-        self.lost = False  # for good
+        self.processes: list[Process] = []
+        self.lost = False  # never started again
         self._rng = random.Random(f"{world.seed} {name}")
-        fabric.places[name] = place
+        fabric.zones[name] = zone
 
     @property
     def process(self) -> Process | None:
-        """The present life, if it has one."""
-        return self.lives[-1] if self.lives and self.lives[-1].alive else None
+        """The running process; None while the machine or the process is down."""
+        return self.processes[-1] if self.processes and self.processes[-1].alive else None
 
     async def main(self, process: Process) -> None:
-        """The program."""
+        """The program: run by each new process. Subclasses override it."""
 
     def start(self) -> None:
-        """If it is down."""
+        """Start a process if none runs and the machine is not lost."""
         if self.process is not None or self.lost:
             return
         self.disk.boot += 1
-        if self.name in self.fabric.gone:
-            self.fabric.gone.discard(self.name)
-            self.fabric.flow()
+        if self.name in self.fabric.powered_off:
+            self.fabric.powered_off.discard(self.name)
+            self.fabric.resend_stalled()
         self.world.trace(self.name, "starts", self.disk.boot)
-        process = Process(self.world, self.name, self.place, self.number, self._failed)
-        self.lives.append(process)
+        process = Process(self.world, self.name, self.zone, self.number, self._on_failure)
+        self.processes.append(process)
         process.start(self.main(process))
 
-    def _failed(self, context: dict[str, Any]) -> None:
+    def _on_failure(self, context: dict[str, Any]) -> None:
         error = context.get("exception")
         self.world.trace(self.name, "failed", context.get("message"), repr(error))
         if error is not None and not isinstance(error, OSError):
-            where = error.__traceback__
-            while where is not None and where.tb_next is not None:
-                where = where.tb_next
-            place = f"{where.tb_frame.f_code.co_filename}:{where.tb_lineno}" if where is not None else "?"
-            self.check.fail(ERROR, f"{self.name}: {error!r} at {place}")
+            frame = error.__traceback__
+            while frame is not None and frame.tb_next is not None:
+                frame = frame.tb_next
+            location = f"{frame.tb_frame.f_code.co_filename}:{frame.tb_lineno}" if frame is not None else "?"
+            self.check.fail(ERROR, f"{self.name}: {error!r} at {location}")
 
     def kill(self, vanish: bool = False) -> None:
-        """SIGKILL; with `vanish` the machine's power."""
+        """Kill the process by SIGKILL; with `vanish` the machine loses its power."""
         process = self.process
         if process is None:
             return
         self.world.trace(self.name, "vanishes" if vanish else "is killed")
         if vanish:
-            self.fabric.gone.add(self.name)
-            self.disk.power_lost(self._rng)
+            self.fabric.powered_off.add(self.name)
+            self.disk.lose_power(self._rng)
         process.kill(vanish)
-        self.check.handing.pop(self.name, None)
+        self.check.open_submissions.pop(self.name, None)
 
     def stop(self) -> None:
-        """SIGSTOP."""
+        """Stop the process by SIGSTOP."""
         if (process := self.process) is not None and not process.stopped:
             self.world.trace(self.name, "is stopped")
             process.stop()
 
-    def wake(self) -> None:
-        """SIGCONT."""
+    def resume(self) -> None:
+        """Continue the process by SIGCONT."""
         if (process := self.process) is not None and process.stopped:
             self.world.trace(self.name, "wakes")
-            process.wake()
+            process.resume()
--- a/wheelstep/rehearsal/shard_world/pipe.py
+++ b/wheelstep/rehearsal/shard_world/pipe.py
@@ -1,5 +1,6 @@
-"""Byte streams between simulated processes: they stall where a packet is lost or a link is cut, and never reorder; they
-end with a process, or some time after its machine."""
+"""Byte streams between simulated processes. They stall on a lost packet or a cut link and keep their order. They end
+with a process, or some time after the failure of its machine.
+"""
 
 from __future__ import annotations
 
@@ -11,184 +12,194 @@
 from wheelstep.rehearsal.shard_world.world import MS, S, World
 from wheelstep.shards.ports import Accept, Lost, Received
 
-KERNEL = 128 << 10  # bytes that a kernel takes off a process's hands
-UNREAD_US = 10 * S  # what the other machine has not taken for so long ends a pipe
-PROBE_US, PROBES = 5 * S, 4  # how often a silent pipe is probed, and how often in vain before it ends
+KERNEL_BUFFER_BYTES = 128 << 10  # bytes that a kernel buffers for a process
+SEND_TIMEOUT_US = 10 * S  # a pipe ends when data is unacknowledged for this long
+KEEPALIVE_INTERVAL_US, MAX_KEEPALIVES = 5 * S, 4  # unanswered keepalives before a silent pipe ends
 
 
-class Links(Protocol):
-    """What carries them: see `net.Fabric`."""
+class PipeNetwork(Protocol):
+    """The network that carries pipes (see `net.Fabric`)."""
 
     world: World
     rng: random.Random
-    lose: float
-    gone: set[str]
+    loss_rate: float
+    powered_off: set[str]
     stalled: dict[int, SimPipe]
-    pipes: int
+    pipe_count: int
 
-    def blocked(self, sender: str, to: str) -> bool: ...
+    def blocked(self, sender: str, receiver: str) -> bool:
+        """Return whether nothing passes from the sender to the receiver now."""
+        ...
 
-    def delay(self, sender: str, to: str) -> int: ...
+    def delay(self, sender: str, receiver: str) -> int:
+        """Draw the delay of one packet, in microseconds."""
+        ...
 
 
 class SimPipe:
-    """One side of a byte stream (ports.Pipe)."""
+    """One end of a byte stream (`ports.Pipe`)."""
 
-    def __init__(self, fabric: Links, process: Process) -> None:
+    def __init__(self, fabric: PipeNetwork, process: Process) -> None:
         self._fabric, self.process = fabric, process
-        fabric.pipes += 1
-        self.number = fabric.pipes
+        fabric.pipe_count += 1
+        self.number = fabric.pipe_count
         self.peer: SimPipe = self
-        self.hears: Received | None = None
-        self.lost: Lost | None = None
-        self.ended = False  # here; told once
-        self._told = False
-        self._out: list[bytes | None] = []  # stalled, in order; None: the end
-        self._out_bytes = 0
-        self._last_us = 0
-        self._sent = self._came = self._dropped_from = 0
-        self._read_on = False  # has its dialler, or its listener, gone on with it?
-        self._early: list[bytes] = []  # what came before
-        self._ends_early = False
-        self._stalls = 0  # so often it did
-        self._under_way = 0  # bytes that the other side has not read
+        self.on_received: Received | None = None
+        self.on_lost: Lost | None = None
+        self.closed = False  # this end; reported once
+        self._notified = False
+        self._stalled_data: list[bytes | None] = []  # in order; None is the end of the stream
+        self._stalled_bytes = 0
+        self._last_arrival_us = 0
+        self._sent = self._arrived = self._dropped_from = 0
+        self._reading = False  # data is delivered only once the dialler or listener has its callbacks in place
+        self._early_data: list[bytes] = []  # data that arrived before that
+        self._early_end = False
+        self._stall_count = 0
+        self._unread_bytes = 0  # sent bytes that the peer has not read
         process.pipes.append(self)
 
-    def accepted(self, accept: Accept) -> None:
-        """At the listener, in its turn."""
-        self.hears, self.lost = accept(self)
-        self._read_on = True
+    def on_accepted(self, accept: Accept) -> None:
+        """Take the callbacks of the listener, in an iteration of its process."""
+        self.on_received, self.on_lost = accept(self)
+        self._reading = True
 
-    def dialled(self, answer: asyncio.Future[SimPipe]) -> None:
-        """At the dialler, in its turn."""
+    def on_dialled(self, answer: asyncio.Future[SimPipe]) -> None:
+        """Hand the pipe to the dialler, in an iteration of its process; close it if the dialler has given up."""
         if answer.done():
-            self.lost = None
+            self.on_lost = None
             self.close()
         else:
             answer.set_result(self)
-            loop = self.process.loop  # as asyncio has it, nothing is read before the dialler has gone on
-            loop.call_soon(loop.call_soon, self._open)
+            loop = self.process.loop  # as in asyncio, nothing is read before the dialler has resumed
+            loop.call_soon(loop.call_soon, self._start_reading)
 
-    def _open(self) -> None:
-        self._read_on = True
-        early, self._early = self._early, []
-        for data in early:
-            self._read(data)
-        if self._ends_early:
-            self._hung_up()
+    def _start_reading(self) -> None:
+        self._reading = True
+        early_data, self._early_data = self._early_data, []
+        for data in early_data:
+            self._receive(data)
+        if self._early_end:
+            self._on_peer_closed()
 
     # --- ports.Pipe ---
 
     def write(self, data: bytes) -> None:
-        if not self.ended and self.process.alive and data:
-            self._carry(bytes(data))
+        """Send data, unless this end is closed."""
+        if not self.closed and self.process.alive and data:
+            self._transmit(bytes(data))
 
     @property
     def behind(self) -> int:
-        return max(0, self._out_bytes + self._under_way - KERNEL)
+        """The number of bytes that the kernels' buffers don't hold."""
+        return max(0, self._stalled_bytes + self._unread_bytes - KERNEL_BUFFER_BYTES)
 
     def close(self) -> None:
-        if not self.ended and self.process.alive:
-            self.ended = True
-            self._carry(None)
-            self.process.loop.call_soon(self._tell)
+        """Close this end; the peer hears of it after the data sent before."""
+        if not self.closed and self.process.alive:
+            self.closed = True
+            self._transmit(None)
+            self.process.loop.call_soon(self._notify_lost)
 
-    # --- what happens to it ---
+    # --- transmission ---
 
-    def _tell(self) -> None:
-        if not self._told:
-            self._told = True
-            if self.lost is not None:
-                self.lost()
+    def _notify_lost(self) -> None:
+        if not self._notified:
+            self._notified = True
+            if self.on_lost is not None:
+                self.on_lost()
 
-    def _carry(self, data: bytes | None) -> None:
+    def _transmit(self, data: bytes | None) -> None:
         fabric = self._fabric
         if data is not None:
-            self._under_way += len(data)
-        if self._out or fabric.blocked(self.process.name, self.peer.process.name):
-            self._out.append(data)
+            self._unread_bytes += len(data)
+        if self._stalled_data or fabric.blocked(self.process.name, self.peer.process.name):
+            self._stalled_data.append(data)
             if self.number not in fabric.stalled:
                 fabric.stalled[self.number] = self
-                self._stalls += 1
-                fabric.world.after(UNREAD_US, self._unread, self._stalls)
+                self._stall_count += 1
+                fabric.world.call_after(SEND_TIMEOUT_US, self._send_timed_out, self._stall_count)
             return
         self._send(data, 0)
 
     def _send(self, data: bytes | None, extra_us: int) -> None:
         fabric = self._fabric
         delay = fabric.delay(self.process.name, self.peer.process.name) + extra_us
-        if fabric.lose and fabric.rng.random() < fabric.lose:
+        if fabric.loss_rate and fabric.rng.random() < fabric.loss_rate:
             delay += 200 * MS
-        self._last_us = max(self._last_us + 1, fabric.world.now_us + delay)
+        self._last_arrival_us = max(self._last_arrival_us + 1, fabric.world.now_us + delay)
         self._sent += 1
-        fabric.world.at(self._last_us, self._arrive, self._sent, data)
+        fabric.world.call_at(self._last_arrival_us, self._arrive, self._sent, data)
 
-    def flow(self) -> None:
-        """The link may carry again: what stalled is sent once more, in order."""
+    def resend_stalled(self) -> None:
+        """Send the stalled data in order, if the link passes data again."""
         if self._fabric.blocked(self.process.name, self.peer.process.name):
             return
         self._fabric.stalled.pop(self.number, None)
-        out, self._out = self._out, []
+        stalled_data, self._stalled_data = self._stalled_data, []
         extra_us = int(self._fabric.rng.random() * 400 * MS)
-        for data in out:
+        for data in stalled_data:
             self._send(data, extra_us)
 
-    def _unread(self, stall: int) -> None:
-        """Nothing has got through for so long."""
-        if self.number in self._fabric.stalled and stall == self._stalls:
-            self._out = [None]  # the other side hears of it once the link carries again
-            self.process.deliver(self._hung_up)
+    def _send_timed_out(self, stall_count: int) -> None:
+        """End the pipe, unless the stall that began the timeout is over."""
+        if self.number in self._fabric.stalled and stall_count == self._stall_count:
+            self._stalled_data = [None]  # the peer hears of it once the link passes data again
+            self.process.deliver(self._on_peer_closed)
 
     def _arrive(self, number: int, data: bytes | None) -> None:
-        self._came = number
+        self._arrived = number
         if self._dropped_from and number >= self._dropped_from and data is not None:
             return
         peer = self.peer
         if not peer.process.alive:
             if data is not None and not self._fabric.blocked(peer.process.name, self.process.name):
                 delay = self._fabric.delay(peer.process.name, self.process.name)
-                self._fabric.world.after(delay, self.process.deliver, self._hung_up)  # as its machine says of it
+                self._fabric.world.call_after(delay, self.process.deliver, self._on_peer_closed)  # a TCP reset
             elif data is not None:
-                self._fabric.world.after(UNREAD_US, self.process.deliver, self._hung_up)
+                self._fabric.world.call_after(SEND_TIMEOUT_US, self.process.deliver, self._on_peer_closed)
             return
         if data is None:
-            peer.process.deliver(peer._hung_up)
+            peer.process.deliver(peer._on_peer_closed)
         else:
-            peer.process.deliver(peer._read, data)
+            peer.process.deliver(peer._receive, data)
 
-    def _read(self, data: bytes) -> None:
-        if not self._read_on:
-            self._early.append(data)
+    def _receive(self, data: bytes) -> None:
+        if not self._reading:
+            self._early_data.append(data)
             return
-        self.peer._under_way -= len(data)
-        if not self.ended and self.hears is not None:
-            self.hears(data)
-
-    def _hung_up(self) -> None:
-        if not self._read_on:
-            self._ends_early = True
-        elif not self.ended:
-            self.ended = True
-            self._tell()
-
-    def _probed(self, times: int) -> None:
-        """By the other side, after this one's machine went."""
-        if times >= PROBES or self.process.name not in self._fabric.gone:
-            self.peer.process.deliver(self.peer._hung_up)
+        self.peer._unread_bytes -= len(data)
+        if not self.closed and self.on_received is not None:
+            self.on_received(data)
+
+    def _on_peer_closed(self) -> None:
+        if not self._reading:
+            self._early_end = True
+        elif not self.closed:
+            self.closed = True
+            self._notify_lost()
+
+    def _keepalive(self, probes: int) -> None:
+        """A keepalive of the peer after this end's machine failed: end the peer's pipe after the last one, or once the
+        machine is back.
+        """
+        if probes >= MAX_KEEPALIVES or self.process.name not in self._fabric.powered_off:
+            self.peer.process.deliver(self.peer._on_peer_closed)
         else:
-            self._fabric.world.after(PROBE_US, self._probed, times + 1)
+            self._fabric.world.call_after(KEEPALIVE_INTERVAL_US, self._keepalive, probes + 1)
 
-    def died(self, vanished: bool) -> None:
-        """The process has ended: its kernel says so. Where its machine went with it, nobody does until that is back and
-        hears of the pipe."""
-        if self.ended:
+    def process_ended(self, vanished: bool) -> None:
+        """End the pipe with its process. The kernel closes it, and may drop data in flight. If the machine failed too
+        (`vanished`), the peer only hears of it by keepalives.
+        """
+        if self.closed:
             return
-        self.ended = True
+        self.closed = True
         if vanished:
-            self._out.clear()
-            self._fabric.world.after(PROBE_US, self._probed, 1)
+            self._stalled_data.clear()
+            self._fabric.world.call_after(KEEPALIVE_INTERVAL_US, self._keepalive, 1)
             return
         if self._fabric.rng.random() < 0.5:
-            self._dropped_from = self._fabric.rng.randint(self._came + 1, self._sent + 1)  # what was under way
-            self._out.clear()
-        self._carry(None)
+            self._dropped_from = self._fabric.rng.randint(self._arrived + 1, self._sent + 1)  # data in flight is lost
+            self._stalled_data.clear()
+        self._transmit(None)
--- a/wheelstep/rehearsal/shard_world/process.py
+++ b/wheelstep/rehearsal/shard_world/process.py
@@ -1,4 +1,4 @@
-"""A process on a machine of the fleet: its loop, and what the kernel keeps for it while it stands still."""
+"""A process on a machine of the fleet: its event loop, and what the kernel queues for it while it is stopped."""
 
 from __future__ import annotations
 
@@ -8,85 +8,89 @@
 from wheelstep.rehearsal.shard_world.loop import VirtualLoop
 from wheelstep.rehearsal.shard_world.world import MS, World
 
-QUEUE = 400  # datagrams that wait for a process that does not read
+MAX_WAITING_DATAGRAMS = 400  # queued for a stopped process; further ones are dropped
 
 
-class Ending(Protocol):
-    """What the kernel ends with a process."""
+class ProcessPipe(Protocol):
+    """A connection of a process, as the kernel sees it when the process ends."""
 
     def close(self) -> None:
-        """The process ends it."""
+        """Close it from the process."""
 
-    def died(self, vanished: bool) -> None:
-        """The process has ended, its machine with it if `vanished`."""
+    def process_ended(self, vanished: bool) -> None:
+        """The process has ended; with `vanished`, its machine has failed too."""
 
 
 class Process:
-    """One life of a named process. `place` is its zone, `region/zone`."""
+    """One run of a named process, in a zone `region/zone`."""
 
-    def __init__(self, world: World, name: str, place: str, number: int,
-                 failed: Callable[[dict[str, Any]], None] | None = None) -> None:
-        self.world, self.name, self.place = world, name, place
+    def __init__(self, world: World, name: str, zone: str, number: int,
+                 on_failure: Callable[[dict[str, Any]], None] | None = None) -> None:
+        self.world, self.name, self.zone = world, name, zone
         self.alive = True
-        self.loop = VirtualLoop(world, name, number, world.rng.randrange(10**11), failed)
-        self.pipes: list[Ending] = []
-        self.on_end: list[Callable[[bool], None]] = []  # told whether the machine went with it
-        self._waiting: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
+        self.loop = VirtualLoop(world, name, number, world.rng.randrange(10**11), on_failure)
+        self.pipes: list[ProcessPipe] = []
+        self.end_callbacks: list[Callable[[bool], None]] = []  # called with whether the machine failed too
+        self._queued: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
         self._datagrams = 0
-        self._held = False  # awake, and not all of that read yet
+        self._draining = False  # resumed, and the queue not read to its end yet
 
     @property
     def stopped(self) -> bool:
-        """By SIGSTOP."""
+        """Whether it is stopped by SIGSTOP."""
         return self.loop.stopped
 
     def start(self, main: Coroutine[Any, Any, None]) -> None:
-        """Run this in it."""
+        """Run a coroutine in this process."""
         self.loop.create_task(main)
         self.loop.call_soon(lambda: None)
 
-    def deliver(self, what: Callable[..., object], *given: Any, datagram: bool = False) -> None:
-        """From outside, in its next turn; while it stands still the kernel keeps it."""
+    def deliver(self, callback: Callable[..., object], *args: Any, datagram: bool = False) -> None:
+        """Call a callback in the next iteration, for an event from outside.
+
+        It is queued while the process is stopped, and dropped if the process is dead, or if it is a datagram and too
+        many are queued.
+        """
         if not self.alive:
             return
-        if not self.stopped and not self._held:
-            self.loop.call_soon(what, *given)
-        elif not datagram or self._datagrams < QUEUE:
+        if not self.stopped and not self._draining:
+            self.loop.call_soon(callback, *args)
+        elif not datagram or self._datagrams < MAX_WAITING_DATAGRAMS:
             self._datagrams += datagram
-            self._waiting.append((what, given))
+            self._queued.append((callback, args))
 
     def kill(self, vanish: bool = False) -> None:
-        """SIGKILL; with `vanish` its machine goes too, and nothing tells its peers."""
+        """Kill it by SIGKILL. With `vanish` its machine fails too, and its peers hear nothing of the end."""
         if not self.alive:
             return
         self.alive = False
         self.loop.kill()
-        self._waiting.clear()
+        self._queued.clear()
         for pipe in self.pipes:
-            pipe.died(vanish)
-        for told in self.on_end:
-            told(vanish)
+            pipe.process_ended(vanish)
+        for callback in self.end_callbacks:
+            callback(vanish)
 
     def stop(self) -> None:
-        """SIGSTOP."""
+        """Stop it by SIGSTOP."""
         self.loop.stopped = True
 
-    def wake(self) -> None:
-        """SIGCONT: some of what waited is read before the timers that are due, the rest right after."""
+    def resume(self) -> None:
+        """Continue it by SIGCONT. A random part of the queue is read before the timers that are due, the rest after."""
         if not self.alive or not self.stopped:
             return
-        waiting, self._waiting, self._datagrams = self._waiting, [], 0
-        early = self.world.rng.randint(0, len(waiting))
-        self.loop.stopped, self._held = False, True
-        for what, given in waiting[:early]:
-            self.loop.call_soon(what, *given)
-        self._waiting = waiting[early:]  # what comes meanwhile stands behind them
-        self.loop.wake()
-        self.world.after(self.world.rng.randrange(MS // 2), self._read)
-
-    def _read(self) -> None:
+        queued, self._queued, self._datagrams = self._queued, [], 0
+        read_first = self.world.rng.randint(0, len(queued))
+        self.loop.stopped, self._draining = False, True
+        for callback, args in queued[:read_first]:
+            self.loop.call_soon(callback, *args)
+        self._queued = queued[read_first:]  # events that come meanwhile are queued behind them
+        self.loop.resume()
+        self.world.call_after(self.world.rng.randrange(MS // 2), self._deliver_rest)
+
+    def _deliver_rest(self) -> None:
         if not self.alive or self.stopped:
             return
-        waiting, self._waiting, self._held = self._waiting, [], False
-        for what, given in waiting:
-            self.loop.call_soon(what, *given)
+        queued, self._queued, self._draining = self._queued, [], False
+        for callback, args in queued:
+            self.loop.call_soon(callback, *args)
--- a/wheelstep/rehearsal/shard_world/reach.py
+++ b/wheelstep/rehearsal/shard_world/reach.py
@@ -1,4 +1,4 @@
-"""For how long a courier has been within reach of a control machine that knows of a drain, without a break."""
+"""How long a courier has been able to reach a control machine that knows of a drain, without interruption."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from wheelstep.rehearsal.shard_world.world import World
 
 
-def _runs(machine: Machine) -> bool:
+def _is_running(machine: Machine) -> bool:
     process = machine.process
     return process is not None and not process.stopped
 
 
 @dataclass(slots=True)
-class Reach:
-    """`look` is to be called whenever a fault begins or ends."""
+class Reachability:
+    """Since when couriers and control machines reach each other. Call `update` whenever a fault begins or ends."""
 
     world: World
     fabric: Fabric
@@ -29,27 +29,32 @@
     controls: Sequence[Control]
     _since: dict[tuple[str, str], int] = field(default_factory=dict)
 
-    def look(self) -> None:
-        """Who reaches whom has changed, perhaps."""
-        calm = not self.fabric.lose and not self.fabric.late
+    def update(self) -> None:
+        """Note which couriers and control machines reach each other from now on."""
+        lossless = not self.fabric.loss_rate and not self.fabric.delay_rate
         for courier in self.fleet:
             for control in self.controls:
                 pair = courier.name, control.name
-                good = (calm and _runs(courier) and _runs(control) and not self.fabric.blocked(*pair)
-                        and not self.fabric.blocked(control.name, courier.name) and pair not in self.fabric.slow)
-                if not good:
+                reachable = (lossless and _is_running(courier) and _is_running(control)
+                             and not self.fabric.blocked(*pair)
+                             and not self.fabric.blocked(control.name, courier.name)
+                             and pair not in self.fabric.extra_delay_us)
+                if not reachable:
                     self._since.pop(pair, None)
                 else:
                     self._since.setdefault(pair, self.world.now_us)
 
     def late_us(self, courier: str, endpoint: str) -> int:
-        """0 if it is on, or if the courier has not been told by anybody for so long."""
-        seq = self.discovery.off_seq.get(endpoint)
+        """Return for how long a courier could have known that an endpoint takes no messages, in microseconds.
+
+        0 if the endpoint takes messages, or if no control machine that knows otherwise is within reach.
+        """
+        seq = self.discovery.not_serving_since.get(endpoint)
         if seq is None:
             return 0
         late_us = 0
         for control in self.controls:
-            had_us = self.discovery.had_us.get((control.name, seq))
+            had_us = self.discovery.received_us.get((control.name, seq))
             since_us = self._since.get((courier, control.name))
             if had_us is not None and since_us is not None:
                 late_us = max(late_us, self.world.now_us - max(had_us, since_us))
--- a/wheelstep/rehearsal/shard_world/shelf.py
+++ b/wheelstep/rehearsal/shard_world/shelf.py
@@ -1,4 +1,4 @@
-"""A simulated courier's own side (ports.CourierPort) and its admission: messages go to disk, are delivered, and end."""
+"""A simulated courier's `ports.CourierPort` and admission: messages are written to disk, delivered, and ended."""
 
 from __future__ import annotations
 
@@ -19,23 +19,25 @@
 from wheelstep.rehearsal.shard_world.world import MS, S
 from wheelstep.shards.types import EndpointHealth, OwedKey, shard_of
 
-MOST = 400  # messages held
-WAIT_S = 1.0  # for a call's answer
-Key = tuple[int, str, str]
+MAX_MESSAGES = 400
+CALL_TIMEOUT_S = 1.0
+MessageKey = tuple[int, str, str]
 UNSAFE = "unsafe"
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldMessage:
     message: StoredMessage
     begun: bool
-    out: int = 0  # number of the call under way
+    open_call: int = 0  # number of the open call; 0 if there is none
     calls: int = 0
 
 
-class SimShelf:
-    """Both, for one life of a courier's process. Calls of an ordered key go one at a time, in the order in which its
-    messages were taken; an unsafe message whose call may have run is not called for again."""
+class SimStore:
+    """The `ports.CourierPort` and `Admission` of one process of a courier; the protocols describe the methods. Messages
+    of an ordered key are called one at a time, in the order of admission. An unsafe message is not called again if a
+    call of it may have run.
+    """
 
     ready = True
     syncs = True
@@ -45,25 +47,25 @@
         self._process, self._disk, self._partners, self._check = process, disk, partners, check
         self._shards, self._rng = shards, rng
         self.rows: dict[str, api.EndpointInfo] = {}
-        self._held: dict[str, _Held] = {}
-        self._keys: dict[Key, list[str]] = {}  # in their order
-        self._health: dict[str, tuple[int, tuple[float | bool, ...]]] = {}  # noted when, and what
-        self._synced: list[asyncio.Future[None]] = []
-        self._number = 0
+        self._held: dict[str, _HeldMessage] = {}
+        self._keys: dict[MessageKey, list[str]] = {}  # messages in the order of admission
+        self._health: dict[str, tuple[int, tuple[float | bool, ...]]] = {}  # by endpoint: when noted, and the fields
+        self._sync_waiters: list[asyncio.Future[None]] = []
+        self._call_count = 0
         self.adopted = 0
-        for kept in disk.owed():  # an earlier life's
-            self._add(kept.message, True)
-            check.began(process.name, kept.message, restored=True)
-            process.loop.call_soon(self._go, kept.message.id)
+        for row in disk.rows_in_order():  # of earlier processes
+            self._add(row.message, True)
+            check.on_begun(process.name, row.message, restored=True)
+            process.loop.call_soon(self._call_if_due, row.message.id)
 
     @property
-    def desk(self) -> SimShelf:
+    def desk(self) -> SimStore:
         return self
 
     # --- admission.Admission ---
 
     def full(self) -> bool:
-        return len(self._held) >= MOST
+        return len(self._held) >= MAX_MESSAGES
 
     def serves(self, destination: int) -> bool:
         return any(info.destination == destination for info in self.rows.values())
@@ -75,42 +77,43 @@
         return message in self._held and not self._held[message].begun
 
     def take(self, message: StoredMessage) -> None:
+        """Write a message to disk. Raises `NoRoomError` if no further message can be held."""
         if self.full():
             raise NoRoomError("holds all it can")
-        self._disk.take(message)
+        self._disk.add(message)
         self._add(message, False)
-        self._check.took(self._process.name, message)
+        self._check.on_taken(self._process.name, message)
 
     def durable(self) -> asyncio.Future[None]:
         loop = self._process.loop
         done: asyncio.Future[None] = loop.create_future()
-        if not self._synced:
+        if not self._sync_waiters:
             loop.call_later(0.0003 + self._rng.random() * (0.05 if self._rng.random() < 0.02 else 0.002), self._sync)
-        self._synced.append(done)
+        self._sync_waiters.append(done)
         return done
 
     def _sync(self) -> None:
         self._disk.sync()
-        synced, self._synced = self._synced, []
-        for done in synced:
+        waiters, self._sync_waiters = self._sync_waiters, []
+        for done in waiters:
             if not done.done():
                 done.set_result(None)
 
     def begin(self, name: str) -> None:
         if (held := self._held.get(name)) is not None and not held.begun:
             held.begun = True
-            self._check.began(self._process.name, held.message)
-            self._go(name)
+            self._check.on_begun(self._process.name, held.message)
+            self._call_if_due(name)
 
     def withdraw(self, name: str) -> None:
         held = self._held.get(name)
         if held is not None and not held.begun:
-            self._disk.over(name)
-            self._check.withdrawn(self._process.name, held.message)
+            self._disk.remove(name)
+            self._check.on_withdrawn(self._process.name, held.message)
             self._remove(name)
 
     def record_answer(self, message: StoredMessage, status: int) -> None:
-        """Recorded by the door."""
+        """Do nothing: the client interface records answers."""
 
     # --- ports.CourierPort ---
 
@@ -123,15 +126,15 @@
         for destination in dict.fromkeys(info.destination for info, _ in rows):
             for held in list(self._held.values()):
                 if held.message.destination == destination:
-                    self._go(held.message.id)
+                    self._call_if_due(held.message.id)
 
     def drop(self, destinations: Iterable[int]) -> None:
-        gone = set(destinations)
+        dropped = set(destinations)
         for held in self._held.values():
-            if held.message.destination in gone:
-                self._check.dropped_owed(self._process.name, held.message)
+            if held.message.destination in dropped:
+                self._check.on_destination_dropped(self._process.name, held.message)
         for endpoint, info in list(self.rows.items()):
-            if info.destination in gone:
+            if info.destination in dropped:
                 del self.rows[endpoint]
                 self._health.pop(endpoint, None)
 
@@ -162,8 +165,6 @@
                 self._health[health.endpoint] = noted_us, health.fields
                 self.adopted += 1
 
-    # --- what is held ---
-
     def _now_us(self) -> int:
         return self._process.world.now_us + self._process.loop.offset_us
 
@@ -173,11 +174,11 @@
     def _shard(self, destination: int) -> int:
         return shard_of(destination, self._shards)
 
-    def _key(self, message: StoredMessage) -> Key | None:
+    def _key(self, message: StoredMessage) -> MessageKey | None:
         return (message.destination, message.message_class, message.key) if message.key is not None else None
 
     def _add(self, message: StoredMessage, begun: bool) -> None:
-        self._held[message.id] = _Held(message, begun)
+        self._held[message.id] = _HeldMessage(message, begun)
         if (key := self._key(message)) is not None:
             self._keys.setdefault(key, []).append(message.id)
 
@@ -187,22 +188,22 @@
             names = self._keys[key]
             names.remove(name)
             if names:
-                self._go(names[0])
+                self._call_if_due(names[0])
             else:
                 del self._keys[key]
 
     def _end(self, name: str, outcome: str) -> None:
-        self._disk.over(name)
-        self._disk.sync()  # else it would be owed again after the machine's power went, and be called for out of order
-        self._check.ended(self._process.name, self._held[name].message, outcome)
+        self._disk.remove(name)
+        self._disk.sync()  # otherwise it would be owed again after a loss of power, and be called out of order
+        self._check.on_ended(self._process.name, self._held[name].message, outcome)
         self._remove(name)
 
     # --- calls ---
 
-    def _go(self, name: str) -> None:
-        """Call for it, if it is its turn."""
+    def _call_if_due(self, name: str) -> None:
+        """Start a call of a message, if it has begun, is the first of its key, and has no open call."""
         held = self._held.get(name)
-        if held is None or not held.begun or held.out:
+        if held is None or not held.begun or held.open_call:
             return
         message, loop = held.message, self._process.loop
         key = self._key(message)
@@ -218,32 +219,32 @@
         endpoints = [info.endpoint for info in self.rows.values()
                      if info.destination == message.destination and info.state is api.EndpointState.UP]
         if not endpoints:
-            loop.call_later(min(left_us, S) / 1e6 + 0.001, self._go, name)
+            loop.call_later(min(left_us, S) / 1e6 + 0.001, self._call_if_due, name)
             return
         endpoint = self._rng.choice(endpoints)
-        self._number += 1
-        held.out, held.calls = self._number, held.calls + 1
-        before = self._disk.ran(name, True)
+        self._call_count += 1
+        held.open_call, held.calls = self._call_count, held.calls + 1
+        ran_before = self._disk.set_ran(name, True)
         if message.message_class == UNSAFE:
-            self._disk.sync()  # else its call could be forgotten with the machine's power
+            self._disk.sync()  # otherwise a loss of power could undo the note of its call
         self._partners.call(self._process, endpoint, message,
-                            functools.partial(self._heard, name, self._number, endpoint, before))
-        loop.call_later(WAIT_S, self._late, name, self._number, endpoint)
+                            functools.partial(self._on_call_answer, name, self._call_count, endpoint, ran_before))
+        loop.call_later(CALL_TIMEOUT_S, self._on_call_timeout, name, self._call_count, endpoint)
 
-    def _heard(self, name: str, number: int, endpoint: str, before: bool, outcome: Outcome) -> None:
+    def _on_call_answer(self, name: str, number: int, endpoint: str, ran_before: bool, outcome: Outcome) -> None:
         held = self._held.get(name)
-        if held is None or held.out != number:
+        if held is None or held.open_call != number:
             return
-        held.out = 0
+        held.open_call = 0
         self._health[endpoint] = self._now_us(), (outcome is Outcome.DOWN, False, 0.0, 0.0)
         if outcome is Outcome.OK:
             self._end(name, "delivered")
             return
-        self._disk.ran(name, before)
-        self._process.loop.call_later(0.05 + self._rng.random() * 0.2, self._go, name)
+        self._disk.set_ran(name, ran_before)
+        self._process.loop.call_later(0.05 + self._rng.random() * 0.2, self._call_if_due, name)
 
-    def _late(self, name: str, number: int, endpoint: str) -> None:
-        if (held := self._held.get(name)) is not None and held.out == number:
-            held.out = 0
+    def _on_call_timeout(self, name: str, number: int, endpoint: str) -> None:
+        if (held := self._held.get(name)) is not None and held.open_call == number:
+            held.open_call = 0
             self._health[endpoint] = self._now_us(), (True, False, 0.0, 0.0)
-            self._go(name)
+            self._call_if_due(name)
