--- a/wheelstep/rehearsal/shard_world/check.py
+++ b/wheelstep/rehearsal/shard_world/check.py
@@ -88,10 +88,10 @@
     def on_withdrawn(self, courier: str, message: StoredMessage) -> None:
         """A courier withdrew a message that it had not begun."""
         self.world.trace(courier, "withdrew", message.id)
-        if message.id in self.accepted and message.id not in self.outcomes and not self._kept(message.id):
+        if message.id in self.accepted and message.id not in self.outcomes and not self._on_any_disk(message.id):
             self.fail(OWED, f"{message.id}, answered 202 by {self.accepted[message.id][0]}, is withdrawn at {courier}")
 
-    def _kept(self, name: str) -> bool:
+    def _on_any_disk(self, name: str) -> bool:
         """Return whether any courier's disk holds a message."""
         return any(name in held for held in self.held_on_disk().values())
 
@@ -103,7 +103,7 @@
             self.fail(KNOWN, f"{message.destination} handed in as {message.id} at {courier}")
         if status != 202:
             return
-        if message.id not in self.outcomes and not self._kept(message.id):
+        if message.id not in self.outcomes and not self._on_any_disk(message.id):
             self.fail(OWED, f"{message.id}, answered 202 by {courier}, is on no disk")
         self.accepted.setdefault(message.id, (courier, message))
 
--- a/wheelstep/rehearsal/shard_world/faults.py
+++ b/wheelstep/rehearsal/shard_world/faults.py
@@ -16,6 +16,7 @@
 from wheelstep.rehearsal.shard_world.world import MS, S, World
 from wheelstep.shards.types import region_of
 
+# Kinds of faults and their weights.
 KINDS = {"kill": 5, "vanish": 3, "for good": 1, "stop": 5, "cut": 4, "one way": 4, "alone": 3, "zone": 2, "regions": 2,
          "slow": 3, "strain": 4, "lossy": 3, "leave": 3, "weight": 2, "stall": 3, "control down": 3, "control stop": 4,
          "controls gone": 1, "control hang": 1, "discovery cut": 1, "control cut": 3, "partners": 2, "flap": 2}
--- a/wheelstep/rehearsal/shard_world/net.py
+++ b/wheelstep/rehearsal/shard_world/net.py
@@ -97,7 +97,7 @@
 
     def dial(self, process: Process, address: str, received: Received, lost: Lost,
              answer: asyncio.Future[SimPipe], attempt: int = 0) -> None:
-        """Open a connection, at the latest of `SYN_TIMES_US`. `answer` gets the dialler's pipe, or an `OSError`."""
+        """Open a connection, with further attempts at `SYN_TIMES_US`. `answer` gets a pipe or an `OSError`."""
         if not process.alive or answer.done():
             return
         listener = self.listeners.get(address)
