--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -49,7 +49,7 @@
         self.history.base.add(Notice(at_us, "c0", f"{channel}#{number}", outcome))
         return self
 
-    def gone(self, courier: str, begin_us: int, end_us: int, disk: bool = True) -> HistoryBuilder:
+    def unavailable(self, courier: str, begin_us: int, end_us: int, disk: bool = True) -> HistoryBuilder:
         """Add a span in which a courier was unavailable."""
         self.history.add(Gone(courier, begin_us, end_us, disk))
         return self
--- a/tests/test_fleet_judge.py
+++ b/tests/test_fleet_judge.py
@@ -86,7 +86,7 @@
 def test_call_left_open_by_an_unavailable_courier_does_not_count() -> None:
     builder = two_submitted().submit(3, 200 * MS).call(2, 2 * S, fate=Fate.UNTOLD, took_us=20 * S, how=How.OPEN)
     assert builder.call(3, 4 * S, epoch=2, courier="c1").broken_rules() >= {FleetRule.ORDER}
-    assert FleetRule.ORDER not in builder.gone("c0", 2 * S, 9 * S).broken_rules()
+    assert FleetRule.ORDER not in builder.unavailable("c0", 2 * S, 9 * S).broken_rules()
 
 
 # --- gaps ---
@@ -106,7 +106,7 @@
     lost = HistoryBuilder().submit(1, 0).submit(2, S, courier="c1").call(2, 2 * S, epoch=2, courier="c1") \
         .notice(1, 3 * S)
     assert lost.broken_rules() == {FleetRule.GAPS}
-    assert lost.gone("c0", 500 * MS, 3 * S).broken_rules() == set()
+    assert lost.unavailable("c0", 500 * MS, 3 * S).broken_rules() == set()
 
 
 def test_call_of_a_skipped_number_breaks_order() -> None:
@@ -128,23 +128,23 @@
     assert lost.broken_rules() == {FleetRule.NUMBERS}
     assert (lost.breaches()[0].numbers, lost.breaches()[0].couriers) == ((1,), ("c0",))
     assert HistoryBuilder(end_us=10 * S).submit(1, 0).broken_rules() == set()  # not due yet
-    assert HistoryBuilder(end_us=14 * S).submit(1, 0).gone("c0", 9 * S, 13 * S).broken_rules() == set()
+    assert HistoryBuilder(end_us=14 * S).submit(1, 0).unavailable("c0", 9 * S, 13 * S).broken_rules() == set()
     assert HistoryBuilder().submit(1, 0, status=503).broken_rules() == set()
 
 
 def test_message_lost_with_a_disk_needs_no_end() -> None:
-    builder = HistoryBuilder().submit(1, 0).gone("c0", S, 3 * S, disk=False)
+    builder = HistoryBuilder().submit(1, 0).unavailable("c0", S, 3 * S, disk=False)
     assert judge_fleet(builder.history).ruling is Ruling.KEPT
-    assert judge_fleet(HistoryBuilder().submit(1, 4 * S).gone("c0", S, 3 * S, disk=False)
+    assert judge_fleet(HistoryBuilder().submit(1, 4 * S).unavailable("c0", S, 3 * S, disk=False)
                        .history).ruling is Ruling.BROKEN
 
 
 def test_call_after_delivery_breaks_numbers_unless_the_courier_missed_the_answer() -> None:
     again = two_submitted().call(1, 2 * S, epoch=2, courier="c1").call(2, 3 * S, epoch=2, courier="c1")
     assert again.broken_rules() == {FleetRule.NUMBERS}
-    assert again.gone("c0", S + 10 * MS, 2 * S).broken_rules() == set()
+    assert again.unavailable("c0", S + 10 * MS, 2 * S).broken_rules() == set()
     long_before = two_submitted().call(1, 3 * S, epoch=2, courier="c1").call(2, 4 * S, epoch=2, courier="c1")
-    assert long_before.gone("c0", 2 * S, 3 * S).broken_rules() == {FleetRule.NUMBERS}
+    assert long_before.unavailable("c0", 2 * S, 3 * S).broken_rules() == {FleetRule.NUMBERS}
 
 
 def test_second_open_call_of_a_number_breaks_numbers() -> None:
--- a/tests/test_fleet_judge_days.py
+++ b/tests/test_fleet_judge_days.py
@@ -33,7 +33,7 @@
         epoch, courier = owners.get(part, (1, "c0"))
         if rng.random() < 0.15:
             if rng.random() < 0.5:  # the owner is stopped and another one takes over
-                builder.gone(courier, at_us + 30 * MS, at_us + 3 * S)
+                builder.unavailable(courier, at_us + 30 * MS, at_us + 3 * S)
                 at_us += 3200 * MS
             epoch, courier = epoch + 1, rng.choice(["c0", "c1", "c2"])
         owners[part] = epoch, courier
--- a/wheelstep/rehearsal/fleet/broken/__init__.py
+++ b/wheelstep/rehearsal/fleet/broken/__init__.py
@@ -22,12 +22,12 @@
 
 
 BROKEN_COURIERS: dict[str, BrokenCourier] = {
-    "ignores-epoch": BrokenCourier(FleetRule.FENCE, "looks at no epoch before an attempt's first byte", "frozen"),
-    "outlives-lease": BrokenCourier(FleetRule.FENCE, "sends on after its lease has ended", "single"),
-    "forgets-position": BrokenCourier(FleetRule.POSITIONS, "knows no position after a restart", "restarted"),
-    "moves-with-a-call-out": BrokenCourier(FleetRule.NUMBERS, "gives a part away as if no call were out", "swap-slow"),
-    "skips-gaps": BrokenCourier(FleetRule.GAPS, "passes a missing number over without a word", "gaps"),
-    "needs-no-majority": BrokenCourier(FleetRule.EPOCHS, "takes a part over by its own voice alone", "thirds"),
+    "ignores-epoch": BrokenCourier(FleetRule.FENCE, "doesn't check the epoch before a call's first byte", "frozen"),
+    "outlives-lease": BrokenCourier(FleetRule.FENCE, "sends calls after its lease has ended", "single"),
+    "forgets-position": BrokenCourier(FleetRule.POSITIONS, "restores no position after a restart", "restarted"),
+    "moves-with-a-call-out": BrokenCourier(FleetRule.NUMBERS, "gives a part away although calls are open", "swap-slow"),
+    "skips-gaps": BrokenCourier(FleetRule.GAPS, "skips a missing number whatever the contract says", "gaps"),
+    "needs-no-majority": BrokenCourier(FleetRule.EPOCHS, "takes a part over by its own vote alone", "thirds"),
 }
 
 
--- a/wheelstep/rehearsal/shard_world/door.py
+++ b/wheelstep/rehearsal/shard_world/door.py
@@ -74,10 +74,10 @@
 class SimClientServer:
     """The interface for clients of one process of a courier."""
 
-    def __init__(self, process: Process, boot: int, desk: Admission, find: Callable[[int], Admission],
+    def __init__(self, process: Process, boot: int, admission: Admission, find_admission: Callable[[int], Admission],
                  check: Check) -> None:
         self.process, self.boot, self.check = process, boot, check
-        self.server = ClientServer(desk, CLASSES, 1_000, find)
+        self.server = ClientServer(admission, CLASSES, 1_000, find_admission)
 
     def serve(self, request: Request, message: StoredMessage, on_status: Callable[[int], None],
               on_open: Callable[[SimConnection], None]) -> None:
--- a/wheelstep/rehearsal/shard_world/pipe.py
+++ b/wheelstep/rehearsal/shard_world/pipe.py
@@ -91,7 +91,7 @@
 
     @property
     def behind(self) -> int:
-        """The number of bytes that the kernels' buffers don't hold."""
+        """The number of sent bytes beyond what the kernel buffers."""
         return max(0, self._stalled_bytes + self._unread_bytes - KERNEL_BUFFER_BYTES)
 
     def close(self) -> None:
--- a/wheelstep/rehearsal/shard_world/world.py
+++ b/wheelstep/rehearsal/shard_world/world.py
@@ -38,22 +38,22 @@
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._scheduled = 0
 
-    def call_at(self, true_us: int, what: Callable[..., None], *args: Any) -> None:
+    def call_at(self, true_us: int, callback: Callable[..., None], *args: Any) -> None:
         """Schedule a callback at a time, or now if that time has passed."""
         self._scheduled += 1
-        heapq.heappush(self._queue, (max(true_us, self.now_us), self._scheduled, what, args))
+        heapq.heappush(self._queue, (max(true_us, self.now_us), self._scheduled, callback, args))
 
-    def call_after(self, in_us: int, what: Callable[..., None], *args: Any) -> None:
+    def call_after(self, in_us: int, callback: Callable[..., None], *args: Any) -> None:
         """Schedule a callback after `in_us`."""
-        self.call_at(self.now_us + in_us, what, *args)
+        self.call_at(self.now_us + in_us, callback, *args)
 
     def run(self, until_us: int) -> None:
         """Run all events up to `until_us`, or until the world is stopped."""
         queue = self._queue
         while queue and queue[0][0] <= until_us and not self.stopped:
-            self.now_us, _, what, args = heapq.heappop(queue)
+            self.now_us, _, callback, args = heapq.heappop(queue)
             self.events += 1
-            what(*args)
+            callback(*args)
         if not self.stopped:
             self.now_us = until_us
 
@@ -61,10 +61,10 @@
         """Run events until `done` returns true. Raises `StuckError` if no event is left before."""
         while not done():
             if not self._queue:
-                raise StuckError(f"seed {self.seed} at {self.now_us / S:.6f} s: nothing is left to happen")
-            self.now_us, _, what, args = heapq.heappop(self._queue)
+                raise StuckError(f"seed {self.seed} at {self.now_us / S:.6f} s: no event is left in the queue")
+            self.now_us, _, callback, args = heapq.heappop(self._queue)
             self.events += 1
-            what(*args)
+            callback(*args)
 
     def wall_us(self) -> int:
         """The true wall clock, in microseconds since the Unix epoch."""
@@ -74,9 +74,9 @@
         """Add an iteration of a process's loop to the fingerprint."""
         self.fingerprint = zlib.crc32(b"%d %d" % (self.now_us, number), self.fingerprint)
 
-    def trace(self, who: str, what: str, *about: object) -> None:
+    def trace(self, who: str, event: str, *details: object) -> None:
         """Add a line of the trace to the fingerprint, and keep it if the run is traced."""
-        line = f"{self.now_us / S:10.6f} {who:<6} {what} {' '.join(str(one) for one in about)}"
+        line = f"{self.now_us / S:10.6f} {who:<6} {event} {' '.join(str(detail) for detail in details)}"
         self.fingerprint = zlib.crc32(line.encode(), self.fingerprint)
         if self.trace_lines is not None:
             self.trace_lines.append(line)
