--- a/wheelstep/cli/__init__.py
+++ b/wheelstep/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line `umberchute`. Each command imports what it needs, and only when it is called."""
+"""The command line `umberchute`. Each command imports its dependencies only when it runs: extras stay optional."""
--- a/wheelstep/cli/account_commands.py
+++ b/wheelstep/cli/account_commands.py
@@ -1,4 +1,4 @@
-"""`umberchute account`: needs nothing but the account's package."""
+"""The `umberchute account` commands. They import only `wheelstep.account`, so no extra is needed."""
 
 from __future__ import annotations
 
@@ -14,34 +14,37 @@
 from wheelstep.account.timeline import MessageTimeline
 from wheelstep.cli.exits import OK, InputError
 
-_WORDS = {
-    "take": "taken on: class {1}, destination {2}, {4} ms left", "back": "found in the journal: {4} ms left",
-    "door": "turned away at the door: status {2}", "go": "attempt {1} begins at {2}",
-    "out": "attempt {1} at {2}: {3} after {4} ms", "end": "ends undelivered: {1}"}
+_DESCRIPTIONS = {
+    "take": "accepted: class {1}, destination {2}, {4} ms left", "back": "restored from the journal: {4} ms left",
+    "door": "rejected at admission: status {2}", "go": "attempt {1} starts at {2}",
+    "out": "attempt {1} at {2}: {3} after {4} ms", "end": "undelivered: {1}"}
 
 
-def run(given: argparse.Namespace) -> int:
-    """Carry out a parsed command: 0, or 2 where logs can't be read or tell nothing."""
-    files = list(_files(given.logs))
-    book = AccountBuilder()
+def run(args: argparse.Namespace) -> int:
+    """Run a parsed command and return its exit code.
+
+    Raises `InputError` where a log can't be read, holds no lines of the account, or doesn't mention the message.
+    """
+    files = list(_files(args.logs))
+    builder = AccountBuilder()
     for file in files:
-        take = book.courier(file.name)
+        read_line = builder.courier(file.name)
         for text in _lines(file):
-            take(text)
-    if given.verb == "trace":
-        if given.message not in book.timelines:
-            raise InputError(f"{given.message}: in none of {len(files)} logs; expected a message's id as couriers "
-                             "log it")
-        _trace(book.timelines[given.message], given.json)
+            read_line(text)
+    if args.verb == "trace":
+        if args.message not in builder.timelines:
+            raise InputError(f"{args.message}: not found in {len(files)} logs; expected a message's id as in the "
+                             "couriers' logs")
+        _trace(builder.timelines[args.message], args.json)
         return OK
-    if not book.read:
-        raise InputError(f"{given.logs[0]}: no line of an account in {len(files)} files; expected logs of couriers "
+    if not builder.read:
+        raise InputError(f"{args.logs[0]}: no account lines in {len(files)} files; expected logs of couriers "
                          "with [account] on = true in the operator's file")
-    account = book.account()
-    if given.json:
-        print(json.dumps(_plain(account, book.damaged), sort_keys=True))
+    account = builder.account()
+    if args.json:
+        print(json.dumps(_as_dict(account, builder.damaged), sort_keys=True))
     else:
-        _show(account, book.damaged, given.by)
+        _print_account(account, builder.damaged, args.by)
     return OK
 
 
@@ -53,7 +56,7 @@
         elif path.is_file():
             yield path
         else:
-            raise InputError(f"{name}: is not there; expected a courier's log, or a folder of them")
+            raise InputError(f"{name}: not found; expected a courier's log, or a folder of logs")
 
 
 def _lines(file: Path) -> Iterator[str]:
@@ -65,10 +68,10 @@
 
 
 def _trace(timeline: MessageTimeline, as_json: bool) -> None:
-    """One message's lines of all couriers, by time."""
+    """Print one message's lines of all couriers by time."""
     rows = sorted(timeline.lines, key=lambda row: row[:2])
     for at_ms, _, courier, line in rows:
-        words = _WORDS[line.kind].format(*line.fields)
+        words = _DESCRIPTIONS[line.kind].format(*line.fields)
         if as_json:
             print(json.dumps({"at_ms": at_ms, "courier": courier, "kind": line.kind, "text": words}))
         else:
@@ -76,7 +79,7 @@
                   + (", over" if line.kind == "out" and line.fields[5] else ""))
 
 
-def _plain(account: Account, damaged: int) -> dict[str, Any]:
+def _as_dict(account: Account, damaged: int) -> dict[str, Any]:
     return {
         "messages": account.messages, "pending": account.pending, "worth": round(account.worth, 3),
         "lost": round(account.lost, 3), "how": dict(account.how), "damaged_lines": damaged,
@@ -91,32 +94,32 @@
     return {name: round(value, 3) for name, value in sorted(row.items(), key=lambda pair: -pair[1])}
 
 
-def _show(account: Account, damaged: int, by: str) -> None:
+def _print_account(account: Account, damaged: int, by: str) -> None:
     share = account.lost / account.worth if account.worth else 0.0
     print(f"{account.messages} messages, worth {account.worth:.1f}; lost {account.lost:.1f} ({share:.1%}); "
           + ", ".join(f"{many} {how}" for how, many in account.how.most_common())
-          + (f"; {account.pending} whose time was not over" if account.pending else "")
-          + (f"; {damaged} damaged lines passed over" if damaged else ""))
+          + (f"; {account.pending} pending" if account.pending else "")
+          + (f"; {damaged} damaged lines skipped" if damaged else ""))
     names = list(_rounded(account.causes))
     if by == "cause":
         for name in names:
             print(f"  {account.causes[name]:10.1f}  {account.causes[name] / max(account.lost, 1e-9):6.1%}  {name}")
             for cause, lost in list(_rounded(account.behind).items())[:5] if name == Cause.ORDER.value else ():
-                print(f"  {lost:10.1f}          of it behind a message that waited for: {cause}")
+                print(f"  {lost:10.1f}          of this behind a message that waited for: {cause}")
     elif by == "class":
-        _grid("class", names, sorted(account.classes.items()))
+        _print_grid("class", names, sorted(account.classes.items()))
     elif by == "courier":
         for courier, lost in list(_rounded(account.couriers).items())[:30]:
             print(f"  {lost:10.1f}  {courier}")
     else:
-        _grid("second", names, sorted(account.seconds.items()))
-    print("fleet: second, calls, refused, of these without a report, probes, handshakes, list calls, connections")
+        _print_grid("second", names, sorted(account.seconds.items()))
+    print("fleet: second, calls, rejected, of these without a load report, probes, handshakes, list calls, connections")
     for second, row in sorted(account.fleet.items()):
         print(f"  {second:6} {row.calls:7} {row.refused:7} {row.untold:7} {row.probes:7} {row.handshakes:7} "
               f"{row.lists:7} {row.links:7}")
 
 
-def _grid(head: str, names: Sequence[str], rows: Sequence[tuple[object, dict[str, float]]]) -> None:
+def _print_grid(head: str, names: Sequence[str], rows: Sequence[tuple[object, dict[str, float]]]) -> None:
     shown = names[:8]
     print(f"  {head:>8} {'all':>8}  " + "  ".join(shown))
     for name, row in rows:
--- a/wheelstep/cli/check_commands.py
+++ b/wheelstep/cli/check_commands.py
@@ -1,4 +1,4 @@
-"""The commands that look at files: `config check` and `rehearse verify`."""
+"""The commands that check files: `config check` and `rehearse verify`."""
 
 from __future__ import annotations
 
@@ -17,9 +17,13 @@
 from wheelstep.standalone.model import load as load_standalone
 
 
-def check(given: argparse.Namespace) -> int:
-    """Is an operator's file, a configuration, a standalone courier's file or a scenario fine?"""
-    path = Path(given.file)
+def check(args: argparse.Namespace) -> int:
+    """Check an operator's file, a configuration, a standalone courier's file or a scenario.
+
+    The kind is told from the suffix and the tables. Each kind's error is raised if the file is invalid, and
+    `InputError` if it can't be read or is of no known kind.
+    """
+    path = Path(args.file)
     if path.suffix == ".json":
         what = "configuration"
         _check_configuration(path)
@@ -38,8 +42,8 @@
             what = "operator's file"
             load_operator(str(path))
     else:
-        raise InputError(f"{path}: what it is can't be told; expected .toml (operator's file or scenario) or .json")
-    if given.json:
+        raise InputError(f"{path}: unknown kind of file; expected .toml (operator's file or scenario) or .json")
+    if args.json:
         Screen(True).json({"file": str(path), "what": what, "fine": True})
     else:
         print(f"{path}: fine ({what})")
@@ -56,20 +60,23 @@
             raise InputError(str(error)) from error
 
 
-def verify(given: argparse.Namespace) -> int:
-    """Judge a kept history again, or check a record."""
-    path = Path(given.file)
+def verify(args: argparse.Namespace) -> int:
+    """Judge a saved history again, or check a record.
+
+    Returns the verdict's exit code for a history; for a record `BAD_INPUT` if it is damaged, else `OK`.
+    """
+    path = Path(args.file)
     try:
         with open(path, "rb") as file:
             first = file.read(64)
     except OSError as error:
         raise InputError(f"{path}: can't be read: {error}") from error
-    screen = Screen(given.json)
+    screen = Screen(args.json)
     if first.startswith(b'{"format": "umberchute-history"'):
         with open(path, encoding="utf-8") as lines:
             history = load(lines)
         verdict = judge(history)
-        if given.json:
+        if args.json:
             screen.json(json.loads(verdict.canonical()))
         else:
             for rule, ruling in verdict.rulings.items():
@@ -77,11 +84,11 @@
             for finding in verdict.findings:
                 print(f"{finding.rule.name.lower()} {finding.at_us / 1e6:.3f} s {finding.courier}: {finding.text}")
         return EXITS[verdict.ruling]
-    record = playing.read(str(path), up_to_damage=True)
+    record = playing.read_record(str(path), up_to_damage=True)
     about = {"file": str(path), "messages": len(record.rows), "ended": record.ended or "cut off",
              "damage": record.damage}
-    if given.json:
+    if args.json:
         screen.json(about)
     else:
-        print(f"{path}: {len(record.rows)} messages, " + (record.damage or f"whole ({record.ended})"))
+        print(f"{path}: {len(record.rows)} messages, " + (record.damage or f"complete ({record.ended})"))
     return BAD_INPUT if record.damage else OK
--- a/wheelstep/cli/exits.py
+++ b/wheelstep/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, and the error that means wrong use."""
+"""Exit codes, and the error for wrong usage."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class InputError(Exception):
-    """Wrong use or bad input, told on one line."""
+    """Wrong usage or invalid input; the message is printed on one line and the exit code is `BAD_INPUT`."""
--- a/wheelstep/cli/journal_commands.py
+++ b/wheelstep/cli/journal_commands.py
@@ -1,4 +1,4 @@
-"""`umberchute journal`: needs nothing but the journal's package."""
+"""The `umberchute journal` commands. They import only `wheelstep.journal`, so no extra is needed."""
 
 from __future__ import annotations
 
@@ -11,34 +11,37 @@
 from wheelstep.journal import tools
 
 
-def run(given: argparse.Namespace) -> int:
-    """Carry out a parsed command: 0 fine, 1 damaged, 2 where the folder can't be worked on."""
-    folder = Path(given.folder)
+def run(args: argparse.Namespace) -> int:
+    """Run a parsed command; return `OK`, or `BROKEN` if `verify` found damage.
+
+    Raises `InputError` if the folder is in use or not a journal's.
+    """
+    folder = Path(args.folder)
     try:
-        if given.verb == "inspect":
-            found = tools.inspect(folder, given.messages)
+        if args.verb == "inspect":
+            result = tools.inspect(folder, args.messages)
         else:
-            found = {"verify": tools.verify, "repair": tools.repair, "compact": tools.compact}[given.verb](folder)
+            result = {"verify": tools.verify, "repair": tools.repair, "compact": tools.compact}[args.verb](folder)
     except tools.ToolError as error:
         raise InputError(str(error)) from error
-    if given.json:
-        print(json.dumps(found, sort_keys=True))
+    if args.json:
+        print(json.dumps(result, sort_keys=True))
     else:
-        _show(found)
-    return BROKEN if given.verb == "verify" and not found["fine"] else OK
+        _print(result)
+    return BROKEN if args.verb == "verify" and not result["fine"] else OK
 
 
-def _show(found: dict[str, Any]) -> None:
-    for name, value in found.items():
+def _print(result: dict[str, Any]) -> None:
+    for name, value in result.items():
         if isinstance(value, list):
             print(f"{name.replace('_', ' ')}: {len(value)}")
-            _table(value)
+            _print_rows(value)
         else:
             print(f"{name.replace('_', ' ')}: {'none' if value is None else value}")
 
 
-def _table(rows: list[Any]) -> None:
-    """Rows under one heading, in columns as wide as their widest cell; plain values one a line."""
+def _print_rows(rows: list[Any]) -> None:
+    """Print rows under one heading, with columns as wide as their widest cell; plain values one per line."""
     if not rows or not isinstance(rows[0], dict):
         for row in rows:
             print(f"  {row}")
--- a/wheelstep/cli/matrix_commands.py
+++ b/wheelstep/cli/matrix_commands.py
@@ -1,4 +1,4 @@
-"""`rehearse matrix`: every scenario against our courier and the broken ones."""
+"""The `rehearse matrix` command: plays scenarios against our courier and the broken ones."""
 
 from __future__ import annotations
 
@@ -16,17 +16,20 @@
 from wheelstep.rehearsal.report import EXITS, Screen
 
 
-def matrix(given: argparse.Namespace) -> int:
-    """Every scenario against ours and the broken ones, several at once, each in a process of its own."""
-    names = given.scenarios or [name for name in scenario.shipped() if name not in ("demo", "monday")]
+def matrix(args: argparse.Namespace) -> int:
+    """Play each scenario against our courier and the broken ones, several at once, each in its own process.
+
+    Returns the exit code of `Ruling.BROKEN` if our courier broke a rule, else `OK`: broken couriers are expected to.
+    """
+    names = args.scenarios or [name for name in scenario.shipped() if name not in ("demo", "monday")]
     pairs: list[tuple[str, str]] = []
     for name in names:
         rule = scenario.find(name)[1].rule
         pairs.append((name, ""))
         pairs += [(name, build) for build, about in BUILDS.items()
-                  if not given.own or about.rule.name.lower() == rule]
-    found = asyncio.run(_all(pairs, given.repeat, given.jobs, given.seed))
-    screen = Screen(given.json)
+                  if not args.own or about.rule.name.lower() == rule]
+    found = asyncio.run(_play_all(pairs, args.repeat, args.jobs, args.seed))
+    screen = Screen(args.json)
     screen.rows(("scenario", "courier", "kept", "broken", "inconclusive", "rules broken"),
                 [(name, build or "ours", *(str(counts.get(code, 0)) for code in (0, 1, 3)), ", ".join(rules))
                  for (name, build), (counts, rules) in found.items()])
@@ -34,17 +37,17 @@
     return EXITS[Ruling.BROKEN] if wrong else OK
 
 
-async def _all(pairs: Sequence[tuple[str, str]], repeat: int, jobs: int,
-               seed: int) -> dict[tuple[str, str], tuple[dict[int, int], list[str]]]:
-    gate = asyncio.Semaphore(max(1, jobs))
+async def _play_all(pairs: Sequence[tuple[str, str]], repeat: int, jobs: int,
+                    seed: int) -> dict[tuple[str, str], tuple[dict[int, int], list[str]]]:
+    semaphore = asyncio.Semaphore(max(1, jobs))
     found: dict[tuple[str, str], tuple[dict[int, int], list[str]]] = {pair: ({}, []) for pair in pairs}
 
-    async def one(pair: tuple[str, str]) -> None:
-        words = ["rehearse", "run", pair[0], "--json", "--seed", str(seed)]
-        words += ["--broken", pair[1]] if pair[1] else []
-        async with gate:
+    async def play_pair(pair: tuple[str, str]) -> None:
+        command_line = ["rehearse", "run", pair[0], "--json", "--seed", str(seed)]
+        command_line += ["--broken", pair[1]] if pair[1] else []
+        async with semaphore:
             process = await asyncio.create_subprocess_exec(
-                *shlex.split(rig.module_command("wheelstep.cli", *words)), stdout=asyncio.subprocess.PIPE,
+                *shlex.split(rig.module_command("wheelstep.cli", *command_line)), stdout=asyncio.subprocess.PIPE,
                 stderr=asyncio.subprocess.PIPE, env=os.environ)
             try:
                 out, err = await process.communicate()
@@ -65,5 +68,5 @@
     async with asyncio.TaskGroup() as group:
         for _ in range(repeat):
             for pair in pairs:
-                group.create_task(one(pair))
+                group.create_task(play_pair(pair))
     return found
--- a/wheelstep/cli/playing.py
+++ b/wheelstep/cli/playing.py
@@ -1,4 +1,4 @@
-"""What the commands of the rehearsal kit share: which courier, how a plan is played and judged, what is kept."""
+"""Shared by the commands of the rehearsal kit: the choice of a courier, playing and judging, and files."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from wheelstep.cli.exits import OK, InputError
 from wheelstep.recording.format import Record, RecordError
-from wheelstep.recording.format import read as read_record
+from wheelstep.recording.format import read as load_record
 from wheelstep.rehearsal import rig
 from wheelstep.rehearsal.broken import BUILDS
 from wheelstep.rehearsal.historyfile import dump
@@ -20,44 +20,47 @@
 from wheelstep.rehearsal.plan import Plan
 from wheelstep.rehearsal.report import EXITS, Result, Screen
 
-_DESCRIPTORS = 16_384  # the rig's sockets, as far as the system allows
+_OPEN_FILES = 16_384  # wanted limit of open files, for the rig's sockets
 
 
-def command(given: argparse.Namespace) -> tuple[str, str]:
-    """The courier's command, and its name in reports."""
-    if given.broken is not None:
-        if given.broken not in BUILDS:
-            raise InputError(f"--broken: no broken courier {given.broken!r}; expected one of {', '.join(BUILDS)}")
-        return rig.module_command("wheelstep.rehearsal.broken", given.broken), f"broken: {given.broken}"
-    if given.front == "standalone":
+def courier_command(args: argparse.Namespace) -> tuple[str, str]:
+    """Return the courier's command and its name in reports. Raises `InputError` for an invalid choice."""
+    if args.broken is not None:
+        if args.broken not in BUILDS:
+            raise InputError(f"--broken: no broken courier {args.broken!r}; expected one of {', '.join(BUILDS)}")
+        return rig.module_command("wheelstep.rehearsal.broken", args.broken), f"broken: {args.broken}"
+    if args.front == "standalone":
         return rig.module_command("wheelstep.rehearsal.fronts.standalone"), "ours, standalone"
-    if given.courier is not None:
+    if args.courier is not None:
         try:
-            if not shlex.split(given.courier):
+            if not shlex.split(args.courier):
                 raise ValueError("it is empty")
         except ValueError as error:
-            raise InputError(f"--courier: {given.courier!r} is no command: {error}") from error
-        return given.courier, given.courier
+            raise InputError(f"--courier: {args.courier!r} is no command: {error}") from error
+        return args.courier, args.courier
     return rig.OURS, "ours"
 
 
-def speed(given: argparse.Namespace) -> float:
-    """The speed that was asked for."""
-    found = float(given.speed)
-    if not 0.05 <= found <= 100:
-        raise InputError(f"--speed: {given.speed} makes no sense; expected 0.05 to 100")
-    return found
+def checked_speed(args: argparse.Namespace) -> float:
+    """Return the requested speed. Raises `InputError` if it is out of range."""
+    speed = float(args.speed)
+    if not 0.05 <= speed <= 100:
+        raise InputError(f"--speed: {args.speed} is out of range; expected 0.05 to 100")
+    return speed
 
 
 def play(plan: Plan, command: str, name: str, screen: Screen, orderly: bool = False) -> Result:
-    """Play and judge. SIGTERM ends it as Ctrl-C does: nothing stays behind."""
+    """Play a plan against a courier and judge the history.
+
+    SIGTERM ends it as Ctrl-C does: all processes are stopped. Raises the soft limit of open files where allowed.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = _DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, _DESCRIPTORS)
-    if soft < most:
+    target = _OPEN_FILES if hard == resource.RLIM_INFINITY else min(hard, _OPEN_FILES)
+    if soft < target:
         with contextlib.suppress(ValueError, OSError):
-            resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+            resource.setrlimit(resource.RLIMIT_NOFILE, (target, hard))
 
-    async def work() -> rig.Played:
+    async def rehearse() -> rig.Played:
         task = asyncio.current_task()
         assert task is not None
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -65,22 +68,22 @@
 
     with screen.progress(plan.scenario) as tell:
         try:
-            played = asyncio.run(work())
+            played = asyncio.run(rehearse())
         except asyncio.CancelledError:
             raise KeyboardInterrupt from None
     return Result(plan, played, judge(played.history), name)
 
 
-def worst(codes: Sequence[int]) -> int:
-    """One exit code for several: broken counts most, then inconclusive."""
+def worst_exit_code(codes: Sequence[int]) -> int:
+    """Return one exit code for several: that of a broken rule, else of an inconclusive run, else `OK`."""
     for code in (EXITS[Ruling.BROKEN], EXITS[Ruling.INCONCLUSIVE]):
         if code in codes:
             return code
     return OK
 
 
-def save(path: str | None, result: Result) -> None:
-    """Keep what was seen, where that was asked for."""
+def save_history(path: str | None, result: Result) -> None:
+    """Write the history to the file of `--save`, if one was given. Raises `InputError` if it can't be written."""
     if path is None:
         return
     try:
@@ -90,11 +93,11 @@
         raise InputError(f"--save: {path}: {error}") from error
 
 
-def read(path: str, up_to_damage: bool) -> Record:
-    """A record, or `InputError` that says what is wrong with it."""
+def read_record(path: str, up_to_damage: bool) -> Record:
+    """Read a record. Raises `InputError` if it is missing, or damaged without `up_to_damage`."""
     try:
         with open(path, "rb") as file:
-            return read_record(file, up_to_damage)
+            return load_record(file, up_to_damage)
     except OSError as error:
         raise InputError(f"{path}: can't be read: {error}") from error
     except RecordError as error:
