--- a/benchmarks/channels_rig/courier.py
+++ b/benchmarks/channels_rig/courier.py
@@ -28,7 +28,7 @@
         (folder / "state").mkdir(parents=True)
         (folder / "config.json").write_text(json.dumps({
             "name": name, "listen": self.address, "discovery": agent.port.address, "seed": f"{seed:x}",
-            "limits": {"disk_mb": 200, "sockets": 4096}, "known": agent.whole(), "settings": {
+            "limits": {"disk_mb": 200, "sockets": 4096}, "known": agent.full_list(), "settings": {
                 "services": [{"name": service, "promise_us": 2_000_000, "deadline_us": 20_000_000, "effect": "once",
                               "group": "all", "by_arrival": False} for service in ("once", "keyed")],
                 "specifics": {"calls_out": 512, "per_call": [1], "kind_apart": [False]}, "kinds": ["k"], "areas": ["a"],
--- a/benchmarks/growth_run.py
+++ b/benchmarks/growth_run.py
@@ -40,7 +40,7 @@
     try:
         await place.open()
         fleet = Fleet(given.command, given.tree, folder, 1, lambda: {
-            "discovery": place.agent.port.address, "known": place.agent.whole(),
+            "discovery": place.agent.port.address, "known": place.agent.full_list(),
             "limits": {"disk_mb": 20, "sockets": 256}, "settings": settings(1, True, SLOTS)})
         await fleet.start(fleet.members)
         member = fleet.members[0]
--- a/benchmarks/rig_rate.py
+++ b/benchmarks/rig_rate.py
@@ -63,7 +63,7 @@
 class Plain(wire.Server):
     """Answers 200 to all."""
 
-    def requested(self, request: wire.Request) -> None:
+    def on_request(self, request: wire.Request) -> None:
         self.answer(200)
 
 
--- a/benchmarks/scale_edges.py
+++ b/benchmarks/scale_edges.py
@@ -55,7 +55,7 @@
     first: asyncio.Future[float] = asyncio.get_running_loop().create_future()
 
     class Plain(wire.Server):
-        def requested(self, request: wire.Request) -> None:
+        def on_request(self, request: wire.Request) -> None:
             if not first.done():
                 first.set_result(time.perf_counter())
             self.answer(200)
@@ -65,7 +65,7 @@
     agent.hosts = {f"e{number}": row(f"e{number}", partner.address, number, "k") for number in range(1_000)}
     await agent.open()
     with tempfile.TemporaryDirectory(prefix="umberchute-edges-") as folder:
-        env = configuration(folder, agent.port.address, agent.whole())
+        env = configuration(folder, agent.port.address, agent.full_list())
         journal = Journal(Path(folder) / "state", 500_000_000)
         due_ms = int(time.time() * 1000) + 600_000
         for number in range(owed):
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -116,7 +116,8 @@
                     "caps": {**SETTINGS["caps"], "open_cap": 20_000}}
         config.write_text(json.dumps({
             "name": "n0", "listen": f"{address[0]}:{address[1]}", "discovery": platform.address, "seed": "5",
-            "limits": {"disk_mb": 50, "sockets": 3 * clients * 2}, "settings": settings, "known": platform.whole()}))
+            "limits": {"disk_mb": 50, "sockets": 3 * clients * 2}, "settings": settings,
+            "known": platform.full_list()}))
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_STATE": str(state), "PYTHONPATH": str(tree),
                "RELAY_DISCOVERY": platform.address}
         with open(Path(folder, "log"), "wb") as log:
--- a/benchmarks/spread_rig/growth.py
+++ b/benchmarks/spread_rig/growth.py
@@ -105,13 +105,13 @@
         super().__init__()
         self._endpoint = endpoint
 
-    def connected(self) -> None:
+    def on_connect(self) -> None:
         self._endpoint.links.add(self)
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         self._endpoint.links.discard(self)
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         place = self._endpoint.place
         if request.target != "/inbox":
             self.answer(200)
--- a/benchmarks/spread_rig/play.py
+++ b/benchmarks/spread_rig/play.py
@@ -69,7 +69,7 @@
     try:
         await site.open()
         fleet = Fleet(given.command, given.tree, folder, given.couriers, lambda: {
-            "discovery": site.agent.port.address, "known": site.agent.whole(),
+            "discovery": site.agent.port.address, "known": site.agent.full_list(),
             "limits": {"disk_mb": 3, "sockets": 256}, "settings": settings(given.couriers, given.reports, given.slots)})
         took_s = await fleet.start(fleet.members, tell)
         seen.notes.append(f"start ({given.command}): {given.couriers} couriers ready after {took_s:.1f} s, each after "
--- a/benchmarks/spread_rig/site.py
+++ b/benchmarks/spread_rig/site.py
@@ -9,7 +9,7 @@
 
 from wheelstep.rehearsal.history import Figures, History
 from wheelstep.rehearsal.plan import Limit
-from wheelstep.rehearsal.standins.model import Gauge
+from wheelstep.rehearsal.standins.model import RateLimiter
 from wheelstep.rehearsal.standins.platform import Agent, row
 from wheelstep.rehearsal.standins.wire import Port, Request, Server
 
@@ -41,7 +41,7 @@
 class Endpoint:
     """One endpoint and its port."""
 
-    def __init__(self, site: Site, name: str, destination: int, place: int, gauge: Gauge | None) -> None:
+    def __init__(self, site: Site, name: str, destination: int, place: int, gauge: RateLimiter | None) -> None:
         self.site, self.name, self.destination, self.place, self.gauge = site, name, destination, place, gauge
         self.desk = Desk()
         self.links: set[_Link] = set()
@@ -65,16 +65,16 @@
         super().__init__()
         self._endpoint = endpoint
 
-    def connected(self) -> None:
+    def on_connect(self) -> None:
         endpoint = self._endpoint
         endpoint.links.add(self)
         if (play := endpoint.site.play) is not None:
             play.dials.append((play.now_s(), endpoint.destination))
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         self._endpoint.links.discard(self)
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         endpoint, play = self._endpoint, self._endpoint.site.play
         tag, _, number = request.headers.get("x-request-id", "").partition("-")
         if request.target != "/inbox" or play is None or tag != play.tag:
@@ -84,7 +84,7 @@
         gauge, head = endpoint.gauge, {}
         if gauge is not None:
             now_us = round(asyncio.get_running_loop().time() * 1e6)
-            fits, head = gauge.take(now_us, 1), {"X-Load": gauge.report(now_us)}
+            fits, head = gauge.try_acquire(now_us, 1), {"X-Load": gauge.load_report(now_us)}
         end_s = None if gauge is not None and not fits else endpoint.desk.take(now_s, message.work_s)
         play.calls.append(Call(endpoint.destination, endpoint.place, message.number, now_s, end_s))
         if end_s is None:
@@ -109,7 +109,7 @@
         self.notices = 0  # of messages that ended undelivered
         self.play: Play | None = None
         self._made = 0
-        self._gauges = {shape.destination: Gauge(Limit(OVER * per_s / len(shapes))) if reports else None
+        self._gauges = {shape.destination: RateLimiter(Limit(OVER * per_s / len(shapes))) if reports else None
                         for shape in shapes}
         self.endpoints = {shape.destination: [self._make(shape.destination, place) for place in range(shape.endpoints)]
                           for shape in shapes}
--- a/benchmarks/workers_rate.py
+++ b/benchmarks/workers_rate.py
@@ -178,7 +178,7 @@
         (Path(folder) / "state").mkdir()
         (Path(folder) / "config.json").write_text(json.dumps({
             "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": agent.port.address, "seed": "1",
-            "limits": {"disk_mb": 200, "sockets": 4096}, "known": agent.whole(), "settings": {
+            "limits": {"disk_mb": 200, "sockets": 4096}, "known": agent.full_list(), "settings": {
                 "services": [{"name": name, "promise_us": 2_000_000, "deadline_us": 20_000_000, "effect": effect,
                               "group": "all", "key_ttl_us": 15_000_000, "by_arrival": False}
                              for name, effect, _ in CLASSES],
--- a/tests/crossings_endpoints.py
+++ b/tests/crossings_endpoints.py
@@ -29,13 +29,13 @@
         self._play, self._endpoint = play, endpoint
         self._calls: list[Call] = []
 
-    def requested(self, request: wire.Request) -> None:
+    def on_request(self, request: wire.Request) -> None:
         """Record the call and start its answer."""
         if request.method != "POST":
             self.answer(200)
             return
         name = request.headers["x-request-id"]
-        call = Call(name, self._endpoint, request.first_at, request.last_at)
+        call = Call(name, self._endpoint, request.first_byte_at, request.last_byte_at)
         self._calls.append(call)
         self._play.seen.calls.append(call)
         self._play.tries[name] += 1
@@ -80,7 +80,7 @@
         elif self.transport is not None:
             self.transport.close()
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         """Record when the connection of its calls ended."""
         for call in self._calls:
             call.closed_at = call.closed_at or time.monotonic()
--- a/tests/crossings_world.py
+++ b/tests/crossings_world.py
@@ -107,9 +107,9 @@
             case "silent":
                 platform.down = True
             case "heard":
-                platform.back()
+                platform.restore()
             case "mute" | "unmute":
-                platform.takes_notices = step.what == "unmute"
+                platform.accepts_notices = step.what == "unmute"
             case "refuse" | "hush":
                 self.spawn(self._away(self._ports[step.name], step.what == "hush"))
             case "HUP" if self._up:
@@ -142,7 +142,7 @@
         """An endpoint takes no connection for a while; what is written to one that waits in its queue is read later."""
         port.refuse()
         if hush:
-            port.hush()
+            port.drop_connections()
         await asyncio.sleep(0.4)
         await port.listen()
 
@@ -192,8 +192,8 @@
 
     async def _ended(self) -> None:
         """Wait until nothing is owed, or it is too late for it."""
-        self._platform.takes_notices = True
-        self._platform.back()
+        self._platform.accepts_notices = True
+        self._platform.restore()
         until = time.monotonic() + 2.0 + self._ends_s
         while self.seen.owed() and time.monotonic() < until:
             await asyncio.sleep(0.02)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""What surrounds a courier, on loopback sockets: endpoints, the platform, and the courier's own process."""
+"""A courier's environment on loopback sockets: endpoints, the platform, and the courier's own process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from wheelstep.rehearsal.standins.platform import Agent, row
 
 ROOT = Path(__file__).parent.parent
-LIMIT_S = 20.0  # a wait for an event that takes longer has failed
+LIMIT_S = 20.0  # a wait for an event fails after this
 Reply = tuple[int, dict[str, str], bytes]
 
 
@@ -32,7 +32,7 @@
 
 @dataclass
 class Call:
-    """One request as an endpoint read it; `closed` is set once its connection has ended."""
+    """One request that an endpoint received; `closed` is set when its connection has ended."""
 
     target: str
     headers: dict[str, str]
@@ -49,12 +49,12 @@
         self._endpoint = endpoint
         self.calls: list[Call] = []
 
-    def connected(self) -> None:
+    def on_connect(self) -> None:
         self._endpoint.connections += 1
         self._endpoint.open += 1
         self._number = self._endpoint.connections
 
-    def requested(self, request: wire.Request) -> None:
+    def on_request(self, request: wire.Request) -> None:
         call = Call(request.target, request.headers, request.body, self._number)
         self.calls.append(call)
         self._endpoint.tasks.append(asyncio.create_task(self._reply(call)))
@@ -69,14 +69,14 @@
         if answer is not None:
             self.answer(*answer)
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         self._endpoint.open -= 1
         for call in self.calls:
             call.closed.set()
 
 
 class Endpoint:
-    """An endpoint; `reply` gives the answer to each call, None hangs, an `OSError` breaks the connection."""
+    """An endpoint. `reply` returns the answer to a call, or None for no answer; an `OSError` resets the connection."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
@@ -106,7 +106,7 @@
 
 
 class Platform(Agent):
-    """Discovery and the place for notices: the kit's agent, with what tests look at."""
+    """Discovery and the receiver of notifications: the kit's agent, which lets tests wait for events."""
 
     def __init__(self) -> None:
         super().__init__("n0", History(Figures({})), lambda: 0, self._hear)
@@ -123,20 +123,20 @@
         self.close()
 
     def list(self, *rows: dict[str, Any]) -> None:
-        """The whole list, before any courier is started."""
+        """Set the full list, before any courier is started."""
         self.hosts = {row["host"]: row for row in rows}
 
     def push(self, *rows: dict[str, Any]) -> None:
-        """Any rows, junk too."""
+        """Send changes with any rows, also invalid ones."""
         self.seq += 1
-        self.say(json.dumps({"seq": self.seq, "whole": False, "hosts": list(rows)}).encode() + b"\n")
+        self.broadcast(json.dumps({"seq": self.seq, "whole": False, "hosts": list(rows)}).encode() + b"\n")
 
     def _hear(self, courier: str, notice: dict[str, Any]) -> None:
         self.notices_heard[notice["message"]] = notice
         self._tell()
 
-    def watch(self, connection: Any) -> None:
-        super().watch(connection)
+    def add_watch(self, connection: Any) -> None:
+        super().add_watch(connection)
         self._tell()
 
     def _tell(self) -> None:
@@ -152,7 +152,7 @@
 
     async def wait_watches(self, count: int) -> None:
         async with asyncio.timeout(LIMIT_S), self._news:
-            await self._news.wait_for(lambda: len(self.asked_after) >= count)
+            await self._news.wait_for(lambda: len(self.watch_versions) >= count)
 
 
 def host(name: str, address: str, block: int = 7, health: str = "SERVING", kind: str = "k") -> dict[str, Any]:
@@ -172,21 +172,21 @@
               "overload_for_us": 3000000, "drain_grace_us": 250000},
     "tick_us": 5000,
 }
-ALONE: dict[str, Any] = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "per_call": [1]}}  # no shared calls
+ALONE: dict[str, Any] = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "per_call": [1]}}  # one message per call
 
 
 def free_address() -> str:
-    """An address that nobody listens at just now."""
+    """Return an address that is free at the moment."""
     with socket.socket() as found:
         found.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{found.getsockname()[1]}"
 
 
-started: list[asyncio.subprocess.Process] = []  # couriers of the test that runs; conftest.py ends what it left
+started: list[asyncio.subprocess.Process] = []  # couriers of the running test; conftest.py kills those left
 
 
 class Courier:
-    """The real process; `address` changes with each start."""
+    """A courier in a process of its own; `address` changes with each start."""
 
     program: tuple[str, ...] = ("wheelstep.courier",)
 
@@ -199,13 +199,13 @@
         (folder / "state").mkdir(exist_ok=True)
 
     def successor(self) -> Courier:
-        """The next version of the same courier, not started yet."""
+        """Return another process of the same courier, not started, at the same address."""
         after = Courier(self.folder, self.platform, self.settings, self.operator, self.disk_mb, console=True)
         after.listen = self.address
         return after
 
     async def call(self, line: str) -> str:
-        """One call at the second address."""
+        """Send one command to the console and return its reply."""
         reader, writer = await asyncio.open_connection(*self.console.rsplit(":", 1))
         writer.write(line.encode() + b"\n")
         async with asyncio.timeout(LIMIT_S):
@@ -214,7 +214,7 @@
         return reply.decode()
 
     async def figures(self) -> dict[str, int]:
-        """What `telemetry` says, without the prefix."""
+        """Return the metrics of `telemetry`, without the prefix of their names."""
         lines = (await self.call("telemetry")).splitlines()
         assert lines[0] == "+OK" and lines[-1] == "."
         return {name.removeprefix("app."): int(value.partition("|")[0])
@@ -232,10 +232,10 @@
         return json.dumps({
             "name": "n0", "listen": self.listen, "discovery": platform.address,
             "seed": "8c1f30d27a5be964", "limits": {"disk_mb": self.disk_mb}, "settings": self.settings,
-            "known": platform.whole(), **({"console": self.console} if self.console else {})})
+            "known": platform.full_list(), **({"console": self.console} if self.console else {})})
 
     def renew(self, text: str) -> None:
-        """Replace the file of the configuration and tell the courier."""
+        """Replace the configuration's file and send SIGHUP."""
         (self.folder / "config.new").write_text(text)
         (self.folder / "config.new").replace(self.folder / "config.json")
         self.process.send_signal(signal.SIGHUP)
@@ -250,7 +250,7 @@
         self.address = await asyncio.wait_for(self._serving, LIMIT_S)
 
     async def begin(self) -> None:
-        """Start the process, and don't wait until it serves."""
+        """Start the process without waiting until it serves."""
         (self.folder / "config.json").write_text(self.config(self.platform))
         env = {**os.environ, "RELAY_CONFIG": str(self.folder / "config.json"),
                "RELAY_STATE": str(self.folder / "state"), "RELAY_DISCOVERY": self.platform.address}
@@ -300,12 +300,12 @@
 
 
 class Scene:
-    """A platform, one endpoint of destination 7, and a courier."""
+    """A platform, one endpoint of destination 7, and a courier, started and stopped as a context manager."""
 
     def __init__(self, folder: Path, operator: Path | None = None, disk_mb: float = 3,
                  console: bool = False) -> None:
         self.platform, self.endpoint = Platform(), Endpoint()
-        # A plain endpoint answers calls with several messages as a whole, which is no end of each.
+        # `Endpoint` gives one answer for the whole call, which is no outcome of each message in a bulk call.
         settings = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "per_call": [1]}} if console else None
         self.courier = Courier(folder, self.platform, settings, operator, disk_mb, console)
 
--- a/tests/silent_agent.py
+++ b/tests/silent_agent.py
@@ -57,7 +57,7 @@
         self.agent, self.word, self.posts = agent, "", 0
         self._task: asyncio.Task[None] | None = None
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         """Record a notification, or open a watch with the script's next word."""
         if request.method == "POST":
             self.posts += 1
@@ -98,7 +98,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         """Stop sending on a closed connection."""
         self.hush()
         self.agent.news.set()
@@ -126,8 +126,8 @@
             self.accepted_posts.append(body)
             link.answer(204)
 
-    def whole(self) -> dict[str, Any]:
-        """Return the whole list, as in a courier's configuration."""
+    def full_list(self) -> dict[str, Any]:
+        """Return the full list, as in a courier's configuration."""
         return changes(self.seq, whole=True)
 
     async def start(self) -> Address:
@@ -151,7 +151,7 @@
         """Let connections hang, neither opened nor refused, until the returned sockets are closed and the port
         listens."""
         self.port.refuse()
-        self.port.hush()
+        self.port.drop_connections()
         fillers = []
         for _ in range(3):
             fillers.append(filler := socket.socket())
--- a/tests/stub_fleet.py
+++ b/tests/stub_fleet.py
@@ -50,7 +50,7 @@
 
 
 class Door(Server):
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         path = request.target.split("/")
         if request.target == "/healthz":
             self.answer(200)
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -130,14 +130,14 @@
         async with Scene(tmp_path) as s:
             async def error(call: Call) -> Reply:
                 return 500, {}, b""
-            s.endpoint.reply, s.platform.takes_notices = error, False
+            s.endpoint.reply, s.platform.accepts_notices = error, False
             assert await s.courier.hand_in("m1", "once") == 202
             call = (await s.endpoint.wait(1))[0]
             while not any("notices: status 503" in line for line in s.courier.log):
                 await asyncio.sleep(0.01)
             await s.courier.kill()
             await call.closed.wait()
-            s.platform.takes_notices = True
+            s.platform.accepts_notices = True
             await s.courier.start()
             assert (await s.platform.wait_notice("m1"))["outcome"] == "given_up"
             assert len(s.endpoint.calls) == 1
@@ -182,7 +182,7 @@
     """Guards against a second message of a key at its endpoint before the platform knows that the first failed."""
     async def scene() -> None:
         async with Scene(tmp_path) as s:
-            s.platform.takes_notices = False
+            s.platform.accepts_notices = False
             seen: list[Any] = []
             async def reply(call: Call) -> Reply:
                 seen.append((call.headers["x-request-id"], "first" in s.platform.notices_heard))
@@ -192,7 +192,7 @@
             assert await s.courier.hand_in("second", "ordered", key="k") == 202
             while not any("notices: status 503" in line for line in s.courier.log):
                 await asyncio.sleep(0.01)
-            s.platform.takes_notices = True
+            s.platform.accepts_notices = True
             await s.platform.wait_notice("first")
             while ("second", True) not in seen:
                 await asyncio.sleep(0.01)
@@ -215,9 +215,9 @@
             assert await s.courier.hand_in("m3", X_Consignee="dest=8", X_Deadline_Ms="300") == 202
             await s.platform.wait_notice("m3")
             assert len(s.endpoint.calls) == 2
-            s.platform.say(b"no json\n")
+            s.platform.broadcast(b"no json\n")
             await s.platform.wait_watches(2)
-            assert s.platform.asked_after[1] == s.platform.seq
+            assert s.platform.watch_versions[1] == s.platform.seq
             assert s.courier.process.returncode is None
     run(scene())
 
@@ -294,7 +294,7 @@
         async with Scene(tmp_path) as s:
             async def error(call: Call) -> Reply:
                 return 500, {}, b""
-            s.endpoint.reply, s.platform.takes_notices = error, False
+            s.endpoint.reply, s.platform.accepts_notices = error, False
             assert await s.courier.hand_in("m1", "once") == 202
             await s.courier.wait_log("notices: status 503")
             await s.platform.wait_watches(1)
@@ -332,7 +332,7 @@
             while await s.courier.hand_in("m1", X_Consignee="dest=8") != 202:
                 await asyncio.sleep(0.01)
             await s.endpoint.wait(1)
-            assert len(s.platform.asked_after) == 1  # the watch went on
+            assert len(s.platform.watch_versions) == 1  # the watch went on
             assert await s.courier.terminate() == 0
     run(scene())
 
@@ -344,7 +344,7 @@
             row = host("e1", s.endpoint.address, block=8)
             for count, line in enumerate((b'{"seq":2,"hosts":7}', b"[" * 100_000), 1):
                 await s.platform.wait_watches(count)
-                s.platform.say(line + b"\n")
+                s.platform.broadcast(line + b"\n")
             await s.platform.wait_watches(3)
             bad = ({**row, "block": float("inf")}, {**row, "share": 10 ** 400}, {**row, "dial": [7]})
             s.platform.push(*bad, {**row, "host": "e2"})
--- a/tests/test_crossings_restart.py
+++ b/tests/test_crossings_restart.py
@@ -66,7 +66,7 @@
             codes = [await client.hand_in(f"new{number}") for number in range(5)]
             assert codes == [503] * 5 and not platform.notices_heard
             platform.set_health("SERVING")
-            platform.back() if platform.down else platform.push(*platform.hosts.values())
+            platform.restore() if platform.down else platform.push(*platform.hosts.values())
             await until(lambda: platform.called >= old)
             assert not platform.notices_heard and platform.called == old
             await until(lambda: len(platform.ended_at) >= OLD_COUNT)
@@ -187,8 +187,8 @@
                 journal.take(StoredMessage(f"m{number}", "once", 7, int((time.time() - 3600) * 1000)))
             journal.close()
             sizes: list[int] = []
-            take = s.platform.notices
-            s.platform.notices = lambda body: sizes.append(body.count(b"\n")) or take(body)  # type: ignore
+            take = s.platform.accept_notices
+            s.platform.accept_notices = lambda body: sizes.append(body.count(b"\n")) or take(body)  # type: ignore
             await s.courier.start()
             await until(lambda: len(s.platform.notices_heard) >= 5000)
             assert not s.endpoint.calls and max(sizes) <= 201
@@ -212,7 +212,7 @@
                 if name == "first":
                     return (500, {}, b"") if first == "notice unanswered" else None
                 return 200, {}, b""
-            s.endpoint.reply, s.platform.takes_notices = reply, False
+            s.endpoint.reply, s.platform.accepts_notices = reply, False
             left = "900" if first == "notice unanswered" else "2500"
             assert await s.courier.hand_in("first", "ordered", key="k", X_Deadline_Ms=left) == 202
             assert await s.courier.hand_in("second", "ordered", key="k") == 202
@@ -224,7 +224,7 @@
             await s.courier.start()
             await s.courier.wait_log("notices: status 503")
             assert "second" not in [name for name, _ in heard]
-            s.platform.takes_notices = True
+            s.platform.accepts_notices = True
             await s.platform.wait_notice("first")
             answered = time.monotonic()
             await until(lambda: heard[-1][0] == "second")
--- a/tests/test_order_across_processes.py
+++ b/tests/test_order_across_processes.py
@@ -74,11 +74,11 @@
         self._endpoints = endpoints
         self._open: list[Attempt] = []
 
-    def requested(self, request: wire.Request) -> None:
+    def on_request(self, request: wire.Request) -> None:
         if request.method != "POST":
             self.answer(200)
             return
-        attempt = Attempt(request.headers["x-request-id"], request.first_at, reset=self.abort, write=self.write)
+        attempt = Attempt(request.headers["x-request-id"], request.first_byte_at, reset=self.abort, write=self.write)
         self._open.append(attempt)
         self._endpoints.attempts.append(attempt)
         self._task = asyncio.create_task(self._reply(attempt))
@@ -89,7 +89,7 @@
             attempt.answered, attempt.ended_at = True, time.monotonic()
             self.answer(200)
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         for attempt in self._open:
             attempt.ended_at = min(attempt.ended_at, time.monotonic())
 
--- a/tests/test_workers_edges.py
+++ b/tests/test_workers_edges.py
@@ -99,9 +99,9 @@
     async def scene() -> None:
         async with TwoWorkers(tmp_path) as s:
             s.endpoint.reply = hang
-            s.platform.takes_notices = False  # handed back messages count until their notice is answered
+            s.platform.accepts_notices = False  # handed back messages count until their notice is answered
             taken = await s.fill(7, b"x")
-            s.platform.takes_notices = True
+            s.platform.accepts_notices = True
             assert len(taken) == 50  # half of what the courier holds
             for number in range(100):
                 assert await s.hand_in(f"m{number}", s.number) == 202
--- a/wheelstep/rehearsal/fleet/clients.py
+++ b/wheelstep/rehearsal/fleet/clients.py
@@ -14,8 +14,8 @@
 from wheelstep.rehearsal.fleet.looks import numbers
 from wheelstep.rehearsal.history import End, Strange
 from wheelstep.rehearsal.plan import Arrival, Plan
-from wheelstep.rehearsal.standins.clients import PATIENCE_S, _request, _retry_us
-from wheelstep.rehearsal.standins.partner import Known, Ledger
+from wheelstep.rehearsal.standins.clients import CLIENT_TIMEOUT_S, request_bytes, retry_after_us
+from wheelstep.rehearsal.standins.partner import Ledger, Submission
 from wheelstep.rehearsal.standins.wire import Client
 
 Address = tuple[str, int]
@@ -124,7 +124,7 @@
         deadline_us = self._now_us() + whole_us
         message = self._plan.message_id(arrival.number, self._tries[arrival.number])
         body = self._plan.body(arrival)
-        self._ledger.known[message] = Known(arrival, body)
+        self._ledger.submissions[message] = Submission(arrival, body)
         hops, unclear = 0, False
         while (left_us := deadline_us - self._now_us()) > 0:
             number = number if reserved else max(number, line.next)
@@ -162,7 +162,7 @@
                    deadline_us: int) -> tuple[Heard, int, dict[str, int]]:
         asked_us, courier, session = self._now_us(), line.at, line.session
         head = f"\r\nX-Channel-Number: {number}\r\nX-Channel-Epoch: {session}\r\n".encode()
-        request = _request(arrival, message, body, left_us, "").replace(b"\r\n", head, 1)
+        request = request_bytes(arrival, message, body, left_us, "").replace(b"\r\n", head, 1)
         assert arrival.key is not None
         self._history.add(Asked(asked_us, courier, line.channel, number, session, message, arrival.message_class,
                                 arrival.destination, arrival.key, arrival.number, deadline_us))
@@ -171,12 +171,12 @@
         heard = Heard(self._now_us(), asked_us, courier, line.channel, number, message, end, status,
                       _number(headers.get("x-channel-next", "")), self._name(owner) if owner else "")
         self._history.add(heard)
-        return heard, _retry_us(headers.get("retry-after", "")), numbers(answer)
+        return heard, retry_after_us(headers.get("retry-after", "")), numbers(answer)
 
     async def _exchange(self, line: _Line, request: bytes) -> tuple[End, int, dict[str, str], bytes]:
         reached = False
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 if line.link is None or line.link.gone:
                     line.link = await Client.dial(*self._doors.get(line.at, ("127.0.0.1", 1)))
                 reached = True
--- a/wheelstep/rehearsal/fleet/courier.py
+++ b/wheelstep/rehearsal/fleet/courier.py
@@ -75,15 +75,15 @@
         if "RIG_POINT" not in self.trouble:
             return await super()._watch(process)
         code = await process.wait()
-        if process is self.process and not self._going:
+        if process is self.process and not self._stopping:
             self.ready.clear()
             if code == -signal.SIGKILL:
-                self._going = True
-                self._turn(Turn.KILLED)
-                self._turn(Turn.EXITED, code)
+                self._stopping = True
+                self._record_turn(Turn.KILLED)
+                self._record_turn(Turn.EXITED, code)
                 self.fell.set()
             else:
-                self._turn(Turn.CRASHED, code)
+                self._record_turn(Turn.CRASHED, code)
 
     async def crash(self) -> None:
         """SIGKILL, and no next process yet."""
@@ -97,9 +97,9 @@
         process = self.process
         if process is None or process.returncode is not None:
             return "fell"
-        self._going = True
+        self._stopping = True
         self.ready.clear()
-        self._turn(turn)
+        self._record_turn(turn)
         if turn is Turn.TERMINATED:
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGTERM)
@@ -109,7 +109,7 @@
         self._signal(signal.SIGCONT)
         self._signal(signal.SIGKILL)
         code = await process.wait()
-        self._turn(Turn.EXITED, code)
+        self._record_turn(Turn.EXITED, code)
         return "stayed" if stayed else "fell" if code == -signal.SIGKILL else "left"
 
     async def back(self, keep: bool = True) -> bool:
@@ -117,7 +117,7 @@
         if not keep:
             shutil.rmtree(self._folder / "state", ignore_errors=True)
             (self._folder / "state").mkdir(parents=True)
-        self._going = False
+        self._stopping = False
         return await self.start()
 
     async def stop(self) -> None:
--- a/wheelstep/rehearsal/fleet/lives.py
+++ b/wheelstep/rehearsal/fleet/lives.py
@@ -146,7 +146,7 @@
             self._late("the rig", now_us - before_us - round(_TICK_S * 1e6))
             before_us = now_us
             for name, courier in self._couriers.items():
-                total_us = courier.waited_us() if courier.up else None
+                total_us = courier.run_queue_wait_us() if courier.up else None
                 if total_us is None or courier.process is None:
                     continue
                 pid, last_us = waited.get(name, (0, 0))
--- a/wheelstep/rehearsal/fleet/looks.py
+++ b/wheelstep/rehearsal/fleet/looks.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from wheelstep.rehearsal.fleet.history import Looked
-from wheelstep.rehearsal.standins.clients import PATIENCE_S
+from wheelstep.rehearsal.standins.clients import CLIENT_TIMEOUT_S
 from wheelstep.rehearsal.standins.wire import Client
 
 _UNKNOWN = b"only a courier that is gone"  # of an owner that has never heard of the channel and can't look back
@@ -30,7 +30,7 @@
             request = f"GET /channels/{name} HTTP/1.1\r\nHost: origin.svc\r\n\r\n".encode()
             answer = None
             try:
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(CLIENT_TIMEOUT_S):
                     if link is None or link.gone:
                         link = await Client.dial(*door)
                     answer = await link.ask(request)
--- a/wheelstep/rehearsal/fleet/partner.py
+++ b/wheelstep/rehearsal/fleet/partner.py
@@ -6,16 +6,16 @@
 
 from wheelstep.rehearsal.fleet.history import FleetHistory, Touch
 from wheelstep.rehearsal.history import Fate, How
-from wheelstep.rehearsal.standins.partner import Endpoint, Stage, _Connection
+from wheelstep.rehearsal.standins.partner import Endpoint, PartnerPool, _Connection
 
 _MOST = 1 << 62  # numbers and epochs
 
 
-def attach(stage: Stage, history: FleetHistory, classes: frozenset[str]) -> None:
+def attach(pool: PartnerPool, history: FleetHistory, classes: frozenset[str]) -> None:
     """All endpoints' new connections note what they see of channels. Messages of `classes` must be in one."""
-    for endpoint in stage.endpoints.values():
+    for endpoint in pool.endpoints.values():
         for index, port in enumerate(endpoint.ports):
-            port.make = functools.partial(_ChannelConnection, endpoint, f"c{index}", history, classes)
+            port.factory = functools.partial(_ChannelConnection, endpoint, f"c{index}", history, classes)
 
 
 class _ChannelConnection(_Connection):
@@ -23,27 +23,27 @@
         super().__init__(endpoint, courier)
         self._seen, self._classes = history, classes
 
-    def _note(self, how: How, fate: Fate = Fate.UNTOLD, wait_us: int = 0) -> None:
-        current = self._current
-        super()._note(how, fate, wait_us)
-        if current is None:
+    def _record_call(self, how: How, fate: Fate = Fate.UNTOLD, wait_us: int = 0) -> None:
+        active = self._active_call
+        super()._record_call(how, fate, wait_us)
+        if active is None:
             return
-        headers, message = current.request.headers, current.messages[0]
+        headers, message = active.request.headers, active.messages[0]
         channel = headers.get("x-channel", "")
-        bound = self._known(message).arrival.message_class in self._classes
+        bound = self._submission(message).arrival.message_class in self._classes
         if not channel:
             if bound:
-                self._strange(f"message {message} of a contract's class in a call without X-Channel")
+                self._report_violation(f"message {message} of a contract's class in a call without X-Channel")
             return
         number, epoch = _whole(headers.get("x-channel-number", "")), _whole(headers.get("x-channel-epoch", ""))
-        if len(current.messages) > 1 or number is None or epoch is None \
+        if len(active.messages) > 1 or number is None or epoch is None \
                 or channel.partition("/")[0] not in self._seen.contracts:
-            self._strange(f"message {message} in a call with channel {channel!r}, number "
+            self._report_violation(f"message {message} in a call with channel {channel!r}, number "
                           f"{headers.get('x-channel-number')!r}, epoch {headers.get('x-channel-epoch')!r}")
             return
         self._seen.add(Touch(
             self._courier, self._endpoint.name, channel, number, epoch, message,
-            self._stage.us(current.request.first_at), self._stage.now_us(), how, fate))
+            self._pool.to_us(active.request.first_byte_at), self._pool.now_us(), how, fate))
 
 
 def _whole(text: str) -> int | None:
--- a/wheelstep/rehearsal/fleet/rig.py
+++ b/wheelstep/rehearsal/fleet/rig.py
@@ -23,7 +23,7 @@
 from wheelstep.rehearsal.fleet.relays import Relays
 from wheelstep.rehearsal.history import Call, Fact, Fate, HandIn, History, Notice, Outage
 from wheelstep.rehearsal.rig import _few_collections
-from wheelstep.rehearsal.standins.partner import Stage
+from wheelstep.rehearsal.standins.partner import PartnerPool
 from wheelstep.rehearsal.standins.platform import Agent, row
 
 _CHECK_S = 0.1
@@ -65,9 +65,9 @@
         self._epoch = self._loop.time()
         base = History(self._plan.figures)
         self._history = FleetHistory(base, scene.parts, {scene.contract.name: scene.contract}, lease_us=scene.lease_us)
-        self._stage = Stage(self._plan, base, self._now_us)
-        self._stage.epoch = self._epoch
-        partner.attach(self._stage, self._history, frozenset({CLASS}))
+        self._pool = PartnerPool(self._plan, base, self._now_us)
+        self._pool.epoch = self._epoch
+        partner.attach(self._pool, self._history, frozenset({CLASS}))
         self._agents = {name: Agent(name, base, self._now_us, self._heard) for name in scene.names}
         self._key = folder / "fleet.key"
         self._key.write_text(random.Random(f"key/{scene.seed}").randbytes(32).hex() + "\n")
@@ -86,7 +86,7 @@
         self._relays = Relays({name: ("127.0.0.1", courier.peers.port) for name, courier in self._couriers.items()},
                               scene.seed, self._now_us)
         self._doors: dict[str, tuple[str, int]] = {}
-        self._clients = Clients(self._plan, {CLASS: scene.contract.name}, self._stage.ledger, self._history,
+        self._clients = Clients(self._plan, {CLASS: scene.contract.name}, self._pool.ledger, self._history,
                                 self._now_us, self._doors, scene.gap_share, scene.roam)
         self._lives = Lives(self._couriers, self._doors, self._history, self._now_us, folder / "arm")
         self._tasks: list[asyncio.Task[None]] = []
@@ -102,7 +102,7 @@
     def _config(self, name: str, listen: str) -> dict[str, Any]:
         agent, index = self._agents[name], int(name[1:])
         return {"name": name, "listen": listen, "discovery": agent.port.address, "seed": f"{self._plan.seed + index:x}",
-                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 4096, "disk_mb": 64}, "known": agent.whole(),
+                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 4096, "disk_mb": 64}, "known": agent.full_list(),
                 "settings": {**self._plan.settings, "self_index": index}}
 
     def _operator(self, name: str) -> str:
@@ -124,13 +124,13 @@
 
     async def run(self) -> Played:
         """Start all, play, wait for every end and for one owner of each channel, and stop all."""
-        await self._stage.open()
+        await self._pool.open()
         await self._relays.open()
         for name, agent in self._agents.items():
             index = int(name[1:])
             agent.hosts = {host: row(host, at.ports[index].address, at.partner.destination,
                                      self._plan.settings["kinds"][at.partner.kind])
-                           for host, at in self._stage.endpoints.items()}
+                           for host, at in self._pool.endpoints.items()}
             await agent.open()
         first = self._scene.names[:self._scene.begin]
         await asyncio.gather(*(self._couriers[name].start() for name in first))
@@ -151,7 +151,7 @@
                 task.cancel()
         await self._until_over()
         await self._until_served(last=True)
-        self._stage.close()
+        self._pool.close()
         self._history.base.end_us = self._now_us()
         played = self._played
         played.logs = {name: courier.log_text() for name, courier in self._couriers.items()}
@@ -163,7 +163,7 @@
     def _rebase(self) -> None:
         """Time counts from when all is served; what was seen before lies before it."""
         shift_us = self._now_us()
-        self._epoch = self._stage.epoch = self._loop.time()
+        self._epoch = self._pool.epoch = self._loop.time()
         facts: list[Fact] = []
         for fact in self._history.base.facts:
             if not isinstance(fact, Call | Outage | HandIn):
@@ -245,6 +245,6 @@
         await self._relays.close()
         for agent in self._agents.values():
             agent.close()
-        for endpoint in self._stage.endpoints.values():
+        for endpoint in self._pool.endpoints.values():
             endpoint.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/wheelstep/rehearsal/lateness.py
+++ b/wheelstep/rehearsal/lateness.py
@@ -20,7 +20,7 @@
         if late_us >= _LATE_US:
             history.add(Late(now_us(), who, late_us))
 
-    waited = [courier.waited_us() for courier in couriers]
+    waited = [courier.run_queue_wait_us() for courier in couriers]
     pids = [courier.process.pid if courier.process else 0 for courier in couriers]
     before = loop.time()
     while True:
@@ -30,7 +30,7 @@
         before = now
         for index, courier in enumerate(couriers):
             pid = courier.process.pid if courier.process else 0
-            total_us = courier.waited_us()
+            total_us = courier.run_queue_wait_us()
             if pid == pids[index] and total_us is not None and waited[index] is not None:
                 note(courier.name, total_us - (waited[index] or 0))
             waited[index], pids[index] = total_us, pid
--- a/wheelstep/rehearsal/partners.py
+++ b/wheelstep/rehearsal/partners.py
@@ -20,7 +20,7 @@
         super().__init__()
         self._name = name
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         """Take it."""
         if request.target.startswith("/inbox"):
             print(f"{self._name}: {request.headers.get('x-request-id', 'a bulk call')}, {len(request.body)} bytes",
--- a/wheelstep/rehearsal/rig.py
+++ b/wheelstep/rehearsal/rig.py
@@ -28,7 +28,7 @@
 from wheelstep.rehearsal.plan import Plan
 from wheelstep.rehearsal.progress import Ends, Progress
 from wheelstep.rehearsal.standins.clients import Clients
-from wheelstep.rehearsal.standins.partner import Stage
+from wheelstep.rehearsal.standins.partner import PartnerPool
 from wheelstep.rehearsal.standins.platform import Agent, row
 from wheelstep.rehearsal.standins.process import Courier
 
@@ -66,7 +66,7 @@
         try:
             played = await rig.run()
             if orderly:
-                await rig.dismiss()
+                await rig.request_exit()
             return played
         finally:
             await rig.close()
@@ -93,11 +93,11 @@
         self._history = History(plan.figures)
         self._loop = asyncio.get_running_loop()
         self._epoch = self._loop.time()
-        self._stage = Stage(plan, self._history, self._now_us)
-        self._stage.epoch = self._epoch
+        self._pool = PartnerPool(plan, self._history, self._now_us)
+        self._pool.epoch = self._epoch
         names = [f"c{index}" for index in range(plan.couriers)]
         self._agents = [Agent(name, self._history, self._now_us, self._heard) for name in names]
-        self._clients = [Clients(plan, index, self._stage.ledger, self._history, self._now_us)
+        self._clients = [Clients(plan, index, self._pool.ledger, self._history, self._now_us)
                          for index in range(plan.couriers)]
         self._couriers = [
             made(name, command, folder / name, self._history, self._now_us,
@@ -116,27 +116,27 @@
         settings = {**self._plan.settings, "self_index": index}
         limits = {"cores": 1.0, "memory_mb": 256, "sockets": 1024, "disk_mb": 16, **self._limits}
         return {"name": f"c{index}", "listen": listen, "discovery": agent.port.address,
-                "seed": f"{self._plan.seed + index:x}", "limits": limits, "known": agent.whole(),
+                "seed": f"{self._plan.seed + index:x}", "limits": limits, "known": agent.full_list(),
                 "settings": settings}
 
     def _row(self, endpoint: str, index: int, health: str = "SERVING") -> dict[str, Any]:
-        at = self._stage.at(endpoint)
+        at = self._pool.endpoint(endpoint)
         return row(endpoint, at.ports[index].address, at.partner.destination,
                    self._plan.settings["kinds"][at.partner.kind], health)
 
     def _heard(self, courier: str, notice: dict[str, Any]) -> None:
         if notice["outcome"] == "handed_back":
             index = int(courier[1:])
-            self._clients[index].handed_back(str(notice["message"]), int(notice.get("retry_in_ms", 0)) * 1000)
+            self._clients[index].on_handed_back(str(notice["message"]), int(notice.get("retry_in_ms", 0)) * 1000)
 
     # --- the run ---
 
     async def run(self) -> Played:
         """Start all, play, wait for every end, and stop all."""
         began = self._loop.time()
-        await self._stage.open()
+        await self._pool.open()
         for index, agent in enumerate(self._agents):
-            agent.hosts = {name: self._row(name, index) for name in self._stage.endpoints}
+            agent.hosts = {name: self._row(name, index) for name in self._pool.endpoints}
             await agent.open()
         ready = await asyncio.gather(*(courier.start() for courier in self._couriers))
         if all(ready):
@@ -146,27 +146,27 @@
             for index, clients in enumerate(self._clients):
                 clients.address = self._couriers[index].address
                 if self._plan.crowd:
-                    await clients.crowd(self._plan.crowd)
+                    await clients.open_idle_connections(self._plan.crowd)
             self._task(lateness.watch(self._couriers, self._history, self._now_us))
-            faults = Faults(self._stage, self._agents, self._couriers, self._row, self._until, self._task)
+            faults = Faults(self._pool, self._agents, self._couriers, self._row, self._until, self._task)
             for fault in self._plan.faults:
                 self._task(faults.play(fault))
             await self._hand_in()
             await self._until_over()
-        self._stage.close()
+        self._pool.close()
         self._history.end_us = self._now_us()
         self._progress.phase = "judging"
         self._say()
         return Played(
             self._history, {courier.name: courier.log_text() for courier in self._couriers},
             {courier.name: courier.log_total for courier in self._couriers},
-            dict(self._stage.ledger.effects), self._loop.time() - began,
+            dict(self._pool.ledger.effects), self._loop.time() - began,
             [line for courier in self._couriers for line in courier.suspect])
 
     def _rebase(self) -> None:
         """Time counts from when all are ready; what was seen before lies before it."""
         shift_us = self._now_us()
-        self._epoch = self._stage.epoch = self._loop.time()
+        self._epoch = self._pool.epoch = self._loop.time()
 
         facts: list[Fact] = []
         for fact in self._history.facts:
@@ -183,7 +183,7 @@
             while (left_s := arrival.at_us / 1e6 - (self._loop.time() - self._epoch)) > 0:
                 await asyncio.sleep(min(left_s, _CHECK_S))
                 self._say()
-            self._clients[arrival.courier].hand_in(arrival)
+            self._clients[arrival.courier].submit(arrival)
             self._raise_dead()
 
     def _raise_dead(self) -> None:
@@ -215,16 +215,16 @@
             return
         progress = self._progress
         progress.at_us = min(self._now_us(), self._plan.end_us)
-        progress.handed_in = sum(clients.asked for clients in self._clients)
+        progress.handed_in = sum(clients.submitted for clients in self._clients)
         self._ends.owed()
         self._tell(progress)
 
     async def _until(self, at_us: int) -> None:
         await asyncio.sleep(max(0.0, self._epoch + at_us / 1e6 - self._loop.time()))
 
-    async def dismiss(self) -> None:
+    async def request_exit(self) -> None:
         """SIGTERM to all couriers, and wait until they have left."""
-        await asyncio.gather(*(courier.dismiss() for courier in self._couriers))
+        await asyncio.gather(*(courier.request_exit() for courier in self._couriers))
 
     async def close(self) -> None:
         """Nothing stays: tasks, processes, ports."""
@@ -235,6 +235,6 @@
         await asyncio.gather(*(courier.stop() for courier in self._couriers), return_exceptions=True)
         for agent in self._agents:
             agent.close()
-        for endpoint in self._stage.endpoints.values():
+        for endpoint in self._pool.endpoints.values():
             endpoint.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/wheelstep/rehearsal/scale/discovery.py
+++ b/wheelstep/rehearsal/scale/discovery.py
@@ -105,7 +105,7 @@
         super().__init__()
         self._discovery = discovery
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         path, _, query = request.target.partition("?")
         if request.method == "POST":
             self._discovery.heard(request.body)
@@ -126,7 +126,7 @@
         self._discovery.bytes_out += len(data)
         self.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         self._discovery.watches.discard(self)
 
 
--- a/wheelstep/rehearsal/scale/standin.py
+++ b/wheelstep/rehearsal/scale/standin.py
@@ -59,7 +59,7 @@
         self._partners = partners
         self._destination = -1
 
-    def connected(self) -> None:
+    def on_connect(self) -> None:
         assert self.transport is not None
         peer, here = self.transport.get_extra_info("peername"), self.transport.get_extra_info("sockname")
         if not peer or not peer[0].startswith("127."):
@@ -69,7 +69,7 @@
         self._partners.counts["handshakes"] += 1
         self._destination = self._partners.destination(here[0])
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         partners = self._partners
         down_s = partners.down_s(self._destination)
         if request.method != "POST":
--- a/wheelstep/rehearsal/soak/courier.py
+++ b/wheelstep/rehearsal/soak/courier.py
@@ -37,7 +37,7 @@
     # --- starting ---
 
     async def _spawn(self) -> asyncio.subprocess.Process:
-        self._console.renew()
+        self._console.change()
         configure = self._configure
         console = f"127.0.0.1:{self._console.port}"
         self._configure = lambda listen: {**configure(listen), "console": console}
@@ -80,7 +80,7 @@
 
     # --- faults ---
 
-    async def meet(self, fault: Fault) -> None:
+    async def apply_fault(self, fault: Fault) -> None:
         """Play one fault of this courier's, from its begin to its end."""
         for_s = (fault.until_us - fault.at_us) / 1e6
         match fault.kind:
@@ -113,14 +113,14 @@
             process = await self._spawn()
             ready = await self._ready_console(process)
             if before.returncode is not None:
-                self._turn(Turn.CRASHED, before.returncode)
+                self._record_turn(Turn.CRASHED, before.returncode)
             if not ready:
-                self._turn(Turn.CRASHED if process.returncode is not None else Turn.NEVER_READY,
+                self._record_turn(Turn.CRASHED if process.returncode is not None else Turn.NEVER_READY,
                            process.returncode or 0)
                 return
-            self._keep(self._watch(process))
+            self._create_task(self._watch(process))
             self._serving = process
-            self._keep(self._dismiss(before))
+            self._create_task(self._dismiss(before))
 
     async def _dismiss(self, process: asyncio.subprocess.Process) -> None:
         with contextlib.suppress(ProcessLookupError):
@@ -132,16 +132,16 @@
                 os.killpg(process.pid, signal.SIGKILL)
             await process.wait()
         if process.returncode not in (0, -signal.SIGKILL):
-            self._turn(Turn.CRASHED, process.returncode or 0)
+            self._record_turn(Turn.CRASHED, process.returncode or 0)
         self._before.discard(process)
 
-    async def _end(self, number: int, turn: Turn, back_s: float) -> None:
+    async def _stop_and_restart(self, number: int, turn: Turn, restart_delay_s: float) -> None:
         async with self._turns:
             if number == signal.SIGKILL:
                 for process in self._before:
                     with contextlib.suppress(ProcessLookupError):
                         os.killpg(process.pid, signal.SIGKILL)
-            await super()._end(number, turn, back_s)
+            await super()._stop_and_restart(number, turn, restart_delay_s)
 
     async def stop(self) -> None:
         for process in self._before:
--- a/wheelstep/rehearsal/standins/__init__.py
+++ b/wheelstep/rehearsal/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins on loopback sockets: partners, platform, clients, and the courier's process.
+"""Stand-ins on loopback sockets for partners, platform and clients, and the courier's process.
 
-May import `history`, `plan` and `warmth`. Read `wire` first, then `ledger`, `answering`, `partner`,
+May import `history`, `plan` and `warmth`. Reading order: `wire`, `ledger`, `model`, `answering`, `partner`,
 `platform`, `clients`, `machine`, `process`.
 """
--- a/wheelstep/rehearsal/standins/answering.py
+++ b/wheelstep/rehearsal/standins/answering.py
@@ -1,4 +1,4 @@
-"""One connection of a courier to an endpoint: how a call is read, what is answered, and what is noted of it."""
+"""One connection of a courier to an endpoint: parses calls, answers them and records them in the history."""
 
 from __future__ import annotations
 
@@ -7,225 +7,232 @@
 from typing import TYPE_CHECKING
 
 from wheelstep.rehearsal.history import Call, Fate, How, Probe, Strange
-from wheelstep.rehearsal.standins.ledger import Known
-from wheelstep.rehearsal.standins.model import Job
+from wheelstep.rehearsal.standins.ledger import Submission
+from wheelstep.rehearsal.standins.model import QueuedCall
 from wheelstep.rehearsal.standins.wire import Request, Server
 
-if TYPE_CHECKING:  # an endpoint makes its connections
+if TYPE_CHECKING:  # `partner` imports this module
     from wheelstep.rehearsal.standins.partner import Endpoint
 
-_SPOILT = (b"HTTP/1.1 200", b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", b"\x16\x03\x01garbage\r\n\r\n",
-           b"HTTP/1.1 500 Error\r\nContent-Length: nine\r\n\r\n")
+_MALFORMED_RESPONSES = (b"HTTP/1.1 200", b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
+                        b"\x16\x03\x01garbage\r\n\r\n", b"HTTP/1.1 500 Error\r\nContent-Length: nine\r\n\r\n")
 
 
 @dataclass(slots=True)
-class _Current:
-    """The call that a connection carries."""
+class _ActiveCall:
+    """The call in progress on a connection."""
 
     request: Request
     messages: tuple[str, ...]
     ran: tuple[bool, ...]
-    job: Job | None = None
+    job: QueuedCall | None = None
 
 
 class Connection(Server):
-    """One connection of a courier to an endpoint."""
+    """One connection of a courier to an endpoint. It carries one call at a time."""
 
     def __init__(self, endpoint: Endpoint, courier: str) -> None:
         super().__init__()
         self._endpoint, self._courier = endpoint, courier
-        self._stage, self._desk = endpoint.stage, endpoint.desk
-        self._current: _Current | None = None
-        self._idle: asyncio.TimerHandle | None = None
-        self._muted = False
+        self._pool, self._model = endpoint.pool, endpoint.model
+        self._active_call: _ActiveCall | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
+        self._silent = False
 
-    def connected(self) -> None:
+    def on_connect(self) -> None:
+        """Register the connection, or reset it if there are too many or a fault says so."""
         most = self._endpoint.partner.connections
         self._endpoint.connections.add(self)
-        self._stage.connections[self._courier] += 1
-        if not self._stage.admits(self._courier, self._endpoint.name):
+        self._pool.connections[self._courier] += 1
+        if not self._pool.allows_connection(self._courier, self._endpoint.name):
             self.abort()
         elif most and len(self._endpoint.connections) > most:
-            self.abort()  # its table is full
-        elif self._resets_before():
+            self.abort()  # the endpoint's connection limit
+        elif self._reset_early():
             self.abort()
         else:
-            self._rest()
+            self._start_idle_timer()
 
-    def _resets_before(self) -> bool:
-        mode = self._desk.mode
-        return "reset" in mode.faults and mode.reset_before and self._desk.chance(mode.faults["reset"])
+    def _reset_early(self) -> bool:
+        faults = self._model.active_faults
+        return "reset" in faults.shares and faults.reset_before and self._model.occurs(faults.shares["reset"])
 
-    def mute(self) -> None:
-        """From now on nothing that comes counts, and nothing is written. That the courier closes is still seen when
-        it does: a call ends then, not when the machine is back."""
-        self._muted = True
+    def silence(self) -> None:
+        """Ignore all data and write nothing from now on.
+
+        A close by the courier is still noticed at once, so that its call ends then and not at the end of the fault.
+        """
+        self._silent = True
 
     def data_received(self, data: bytes) -> None:
-        if self._muted:
+        """Parse received data, unless the connection is silent or is reset before its first byte."""
+        if self._silent:
             return
-        if self._idle is not None:
-            self._idle.cancel()
-            self._idle = None
-        if self._current is None and self.first_at is None and self._resets_before():
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+            self._idle_timer = None
+        if self._active_call is None and self.first_byte_at is None and self._reset_early():
             self.abort()
             return
         super().data_received(data)
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
+        """Cancel the call in progress and record that the courier closed it."""
         self._endpoint.connections.discard(self)
-        self._stage.connections[self._courier] -= 1
-        if self._idle is not None:
-            self._idle.cancel()
-        if self._current is not None:
-            if self._current.job is not None:
-                self._desk.give_up(self._current.job)
-            self._note(How.CLOSED)
-
-    def _rest(self) -> None:
-        idle_us = self._stage.plan.settings["caps"]["conn_idle_us"]
-        self._idle = asyncio.get_running_loop().call_later(idle_us / 1e6, self._close_idle)
+        self._pool.connections[self._courier] -= 1
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        if self._active_call is not None:
+            if self._active_call.job is not None:
+                self._model.cancel(self._active_call.job)
+            self._record_call(How.CLOSED)
+
+    def _start_idle_timer(self) -> None:
+        idle_us = self._pool.plan.settings["caps"]["conn_idle_us"]
+        self._idle_timer = asyncio.get_running_loop().call_later(idle_us / 1e6, self._close_idle)
 
     def _close_idle(self) -> None:
-        if self.transport is not None and self._current is None:
+        if self.transport is not None and self._active_call is None:
             self.transport.close()
 
-    # --- a request ---
+    # --- requests ---
 
-    def requested(self, request: Request) -> None:
-        if self._current is not None:  # a connection carries one call at a time
-            self._strange("a second call on a connection before the first one's answer")
+    def on_request(self, request: Request) -> None:
+        """Answer a probe, or reject a call or queue it at the endpoint."""
+        if self._active_call is not None:  # a connection carries one call at a time
+            self._report_violation("a second call on a connection before the first one's answer")
             self.abort()
             return
         if request.method == "GET":
-            self._probed(request)
+            self._answer_probe(request)
             return
-        messages = self._read(request)
+        messages = self._parse_messages(request)
         if messages is None:
             self.answer(400)
             return
-        current = self._current = _Current(request, messages, (False,) * len(messages))
-        mode = self._desk.mode
-        if "hang" in mode.faults or "silent" in mode.faults:
-            self._desk.push(1.0)
+        active = self._active_call = _ActiveCall(request, messages, (False,) * len(messages))
+        faults = self._model.active_faults
+        if "hang" in faults.shares or "silent" in faults.shares:
+            self._model.add_load(1.0)
             return
-        refusal = self._desk.refusal(len(messages))
-        if refusal is not None:
-            status, wait_us = refusal
+        rejection = self._model.rejection(len(messages))
+        if rejection is not None:
+            status, wait_us = rejection
             headers = {"Retry-After": f"{wait_us / 1e6:.3f}"} if wait_us else {}
             self._reply(status, headers, b"", Fate.REFUSED, wait_us)
             return
-        work = max(self._known(name).arrival.work for name in messages)
-        current.job = self._desk.serve(work, len(messages), lambda: self._served(current))
-
-    def _probed(self, request: Request) -> None:
-        mode = self._desk.mode
-        self._desk.push(1.0)
-        fine = not ({"shut", "hang", "silent"} & set(mode.faults) or self._desk.fallen or self._desk.draining)
-        if "fail" in mode.faults and self._desk.chance(mode.faults["fail"]):
+        work = max(self._submission(name).arrival.work for name in messages)
+        active.job = self._model.serve(work, len(messages), lambda: self._finish_call(active))
+
+    def _answer_probe(self, request: Request) -> None:
+        faults = self._model.active_faults
+        self._model.add_load(1.0)
+        fine = not ({"shut", "hang", "silent"} & set(faults.shares) or self._model.collapsed or self._model.draining)
+        if "fail" in faults.shares and self._model.occurs(faults.shares["fail"]):
             fine = False
-        self._stage.history.add(Probe(self._courier, self._endpoint.name, self._endpoint.partner.destination,
-                                      self._stage.us(request.last_at), fine))
-        if {"hang", "silent"} & set(mode.faults):
-            return  # never answered
-        report = self._desk.report()
-        self.answer(200 if fine else 503, {"X-Load": report} if report else None)
-        self._rest()
-
-    def _read(self, request: Request) -> tuple[str, ...] | None:
-        """The ids that a call carries, or None if it can't be read. Notes what no courier may do."""
+        self._pool.history.add(Probe(self._courier, self._endpoint.name, self._endpoint.partner.destination,
+                                      self._pool.to_us(request.last_byte_at), fine))
+        if {"hang", "silent"} & set(faults.shares):
+            return  # a probe is never answered then
+        load_report = self._model.load_report()
+        self.answer(200 if fine else 503, {"X-Load": load_report} if load_report else None)
+        self._start_idle_timer()
+
+    def _parse_messages(self, request: Request) -> tuple[str, ...] | None:
+        """Return the ids of a call's messages; None if the call is malformed. Records violations of the protocol."""
         if request.target == "/inbox":
             rows = [(request.headers.get("x-request-id", ""), request.headers.get("idempotency-key"), request.body)]
         elif request.target == "/inbox/bulk":
             try:
-                rows = _rows(request.body)
+                rows = _parse_bulk(request.body)
             except ValueError as error:
-                self._strange(f"a bulk call that can't be read: {error}")
+                self._report_violation(f"a bulk call that can't be read: {error}")
                 return None
-            most = self._stage.plan.settings["specifics"]["per_call"][self._endpoint.partner.kind]
+            most = self._pool.plan.settings["specifics"]["per_call"][self._endpoint.partner.kind]
             if not rows or len(rows) > most:
-                self._strange(f"a bulk call of {len(rows)} messages, {most} at most")
+                self._report_violation(f"a bulk call of {len(rows)} messages, {most} at most")
                 return None
         else:
-            self._strange(f"a call to {request.target}")
+            self._report_violation(f"a call to {request.target}")
             return None
         for name, token, body in rows:
-            known = self._stage.ledger.known.get(name)
+            known = self._pool.ledger.submissions.get(name)
             if known is None:
-                self._strange(f"message {name!r}, which no client handed in")
+                self._report_violation(f"message {name!r}, which no client handed in")
                 return None
             if known.arrival.destination != self._endpoint.partner.destination:
-                self._strange(f"message {name} for destination {known.arrival.destination}")
+                self._report_violation(f"message {name} for destination {known.arrival.destination}")
             if body != known.body:
-                self._strange(f"message {name} with a changed body")
+                self._report_violation(f"message {name} with a changed body")
             if token != known.arrival.token:
-                self._strange(f"message {name} with a changed idempotency key")
+                self._report_violation(f"message {name} with a changed idempotency key")
         names = tuple(name for name, _, _ in rows)
         if len(set(names)) < len(names):
-            self._strange("a bulk call that names a message twice")
+            self._report_violation("a bulk call that names a message twice")
             return None
         return names
 
-    def _known(self, name: str) -> Known:
-        return self._stage.ledger.known[name]
-
-    def _strange(self, what: str) -> None:
-        self._stage.history.add(Strange(self._stage.now_us(), self._courier, self._endpoint.name, what))
-
-    def _served(self, current: _Current) -> None:
-        """The call has run; its answer may still come to nothing."""
-        mode = self._desk.mode
-        fails = "fail" in mode.faults and self._desk.chance(mode.faults["fail"])
-        current.ran = (True,) * len(current.messages)
-        for name in current.messages:
-            self._stage.ledger.ran(name, self._endpoint.partner, self._stage.now_us(), self._key_life(name))
-        if self._current is not current or self._muted:
-            return  # cancelled, and run on; or silent
-        if "reset" in mode.faults and not mode.reset_before and self._desk.chance(mode.faults["reset"]):
-            self._note(How.RESET)
+    def _submission(self, name: str) -> Submission:
+        return self._pool.ledger.submissions[name]
+
+    def _report_violation(self, what: str) -> None:
+        self._pool.history.add(Strange(self._pool.now_us(), self._courier, self._endpoint.name, what))
+
+    def _finish_call(self, active: _ActiveCall) -> None:
+        """Record that the call ran, and answer it as the active faults say."""
+        faults = self._model.active_faults
+        fails = "fail" in faults.shares and self._model.occurs(faults.shares["fail"])
+        active.ran = (True,) * len(active.messages)
+        for name in active.messages:
+            self._pool.ledger.record_execution(name, self._endpoint.partner, self._pool.now_us(),
+                                               self._key_life(name))
+        if self._active_call is not active or self._silent:
+            return  # cancelled while it ran, or the connection is silent
+        if "reset" in faults.shares and not faults.reset_before and self._model.occurs(faults.shares["reset"]):
+            self._record_call(How.RESET)
             self.abort()
-        elif "spoil" in mode.faults and self._desk.chance(mode.faults["spoil"]):
-            spoilt = _SPOILT[len(self._stage.history.facts) % len(_SPOILT)]
-            delivered = spoilt.startswith(b"HTTP/1.1 200") and len(current.messages) == 1
-            self._note(How.SPOILT, Fate.DELIVERED if delivered else Fate.UNTOLD)
-            self.write(spoilt)
+        elif "spoil" in faults.shares and self._model.occurs(faults.shares["spoil"]):
+            malformed = _MALFORMED_RESPONSES[len(self._pool.history.facts) % len(_MALFORMED_RESPONSES)]
+            delivered = malformed.startswith(b"HTTP/1.1 200") and len(active.messages) == 1
+            self._record_call(How.SPOILT, Fate.DELIVERED if delivered else Fate.UNTOLD)
+            self.write(malformed)
             if self.transport is not None:
                 self.transport.close()
         elif fails:
             self._reply(500, {}, b"", Fate.FAILED)
         else:
-            body = b"".join(f"{name} delivered\r\n".encode() for name in current.messages)
-            self._reply(200, {}, body if current.request.target != "/inbox" else b"", Fate.DELIVERED)
+            body = b"".join(f"{name} delivered\r\n".encode() for name in active.messages)
+            self._reply(200, {}, body if active.request.target != "/inbox" else b"", Fate.DELIVERED)
 
     def _key_life(self, name: str) -> int:
-        return self._stage.plan.figures.classes[self._known(name).arrival.message_class].key_life_us
+        return self._pool.plan.figures.classes[self._submission(name).arrival.message_class].key_life_us
 
     def _reply(self, status: int, headers: dict[str, str], body: bytes, fate: Fate, wait_us: int = 0) -> None:
-        if self._muted:
+        if self._silent:
             return
-        if report := self._desk.report():
-            headers["X-Load"] = report
-        self._note(How.ANSWERED, fate, wait_us)
+        if load_report := self._model.load_report():
+            headers["X-Load"] = load_report
+        self._record_call(How.ANSWERED, fate, wait_us)
         self.answer(status, headers, body)
-        self._rest()
+        self._start_idle_timer()
 
-    def _note(self, how: How, fate: Fate = Fate.UNTOLD, wait_us: int = 0) -> None:
-        current, self._current = self._current, None
-        if current is None:
+    def _record_call(self, how: How, fate: Fate = Fate.UNTOLD, wait_us: int = 0) -> None:
+        active, self._active_call = self._active_call, None
+        if active is None:
             return
-        request = current.request
-        self._stage.history.add(Call(
-            self._courier, self._endpoint.name, self._endpoint.partner.destination, self._stage.us(request.first_at),
-            self._stage.us(request.last_at), current.messages, how, self._stage.now_us(),
-            (fate,) * len(current.messages), current.ran, wait_us))
+        request = active.request
+        self._pool.history.add(Call(
+            self._courier, self._endpoint.name, self._endpoint.partner.destination,
+            self._pool.to_us(request.first_byte_at), self._pool.to_us(request.last_byte_at), active.messages, how,
+            self._pool.now_us(), (fate,) * len(active.messages), active.ran, wait_us))
 
-    def note_open(self) -> None:
-        """The rehearsal ends with a call that has no end."""
-        self._note(How.OPEN)
+    def record_open_call(self) -> None:
+        """Record the call in progress, if any, as open at the rehearsal's end."""
+        self._record_call(How.OPEN)
 
 
-def _rows(body: bytes) -> list[tuple[str, str | None, bytes]]:
-    """The messages of a bulk call."""
+def _parse_bulk(body: bytes) -> list[tuple[str, str | None, bytes]]:
+    """Return id, token and body of each message of a bulk call. Raises `ValueError` for a malformed body."""
     rows = []
     while body:
         line, mark, body = body.partition(b"\r\n")
--- a/wheelstep/rehearsal/standins/ledger.py
+++ b/wheelstep/rehearsal/standins/ledger.py
@@ -1,4 +1,4 @@
-"""What clients handed in, and what took effect at partners. No I/O."""
+"""The submitted messages and their effects at partners. No I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """A message that some client handed in, by the id it was given."""
+class Submission:
+    """A message as a client submitted it, stored by the id of the submission."""
 
     arrival: Arrival
     body: bytes
 
 
 class Ledger:
-    """What clients handed in, and what took effect at partners."""
+    """All submissions by message id, and how often each planned message took effect at its partner."""
 
     def __init__(self) -> None:
-        self.known: dict[str, Known] = {}
+        self.submissions: dict[str, Submission] = {}
         self.effects: Counter[int] = Counter()  # by the planned message's number
-        self._keys: dict[tuple[int, str], int] = {}  # keyed: until when a repeat is dropped
+        self._keys: dict[tuple[int, str], int] = {}  # by destination and token: until when repeats are dropped
 
-    def ran(self, message: str, partner: Partner, now_us: int, key_life_us: int) -> None:
-        """A call for this message ran."""
-        known = self.known.get(message)
+    def record_execution(self, message: str, partner: Partner, now_us: int, key_life_us: int) -> None:
+        """Record that a call for a message ran at a partner.
+
+        A repeat of a token within `key_life_us` has no further effect if the partner remembers keys. An unknown
+        message is ignored.
+        """
+        known = self.submissions.get(message)
         if known is None:
             return
         token = known.arrival.token
--- a/wheelstep/rehearsal/standins/machine.py
+++ b/wheelstep/rehearsal/standins/machine.py
@@ -1,4 +1,4 @@
-"""What the system tells of processes and ports."""
+"""Queries to the operating system about processes and ports."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import IO
 
-_PORTS = range(10_240, 32_000)  # below those that the system gives to connections
+_PORTS = range(10_240, 32_000)  # below the system's ephemeral ports
 
 
 def children(pid: int) -> list[int]:
-    """The processes whose parent it is."""
+    """Return the ids of a process's children, ordered by command line."""
     found = []
     for path in Path("/proc").glob("[0-9]*"):
         try:
@@ -23,12 +23,15 @@
             if parent == pid:
                 found.append(((path / "cmdline").read_bytes(), int(path.name)))
         except (OSError, ValueError, IndexError):
-            continue  # it has ended meanwhile
+            continue  # the process has ended
     return [child for _, child in sorted(found)]
 
 
-def waited_us(pid: int) -> int | None:
-    """How long a process's main thread has stood in line for a core so far; None where that is not told."""
+def run_queue_wait_us(pid: int) -> int | None:
+    """Return how long a process's main thread has waited for a core so far, in microseconds.
+
+    None if the process is gone or the system doesn't tell.
+    """
     try:
         text = Path(f"/proc/{pid}/schedstat").read_text()
         return int(text.split()[1]) // 1000
@@ -36,8 +39,8 @@
         return None
 
 
-def free(port: int) -> bool:
-    """Can it be bound on 127.0.0.1?"""
+def is_free(port: int) -> bool:
+    """Return whether the port can be bound on 127.0.0.1."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as trial:
         trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -48,25 +51,28 @@
 
 
 class NoStartError(Exception):
-    """The command could not be started at all."""
+    """The courier's command could not be started."""
 
 
 class CourierPort:
-    """A port that two rehearsals on one machine never both use. It is free until the courier takes it."""
+    """A free port for a courier, locked against other rehearsals on this machine by a file.
+
+    Nothing is bound to it until the courier listens. Raises `NoStartError` if no free port is found.
+    """
 
     def __init__(self) -> None:
         self._lock: IO[str] | None = None
         self.port = 0
-        self.renew()
+        self.change()
 
-    def renew(self) -> None:
-        """Another one: somebody else has taken it."""
+    def change(self) -> None:
+        """Choose another port and release the present one. Raises `NoStartError` if none is free."""
         self.close()
         for port in random.SystemRandom().sample(_PORTS, 200):
             lock = open(Path(tempfile.gettempdir()) / f"umberchute-port-{port}.lock", "a")  # noqa: SIM115
             try:
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                if free(port):
+                if is_free(port):
                     self._lock, self.port = lock, port
                     return
             except OSError:
@@ -75,7 +81,7 @@
         raise NoStartError("no free port found on 127.0.0.1")
 
     def close(self) -> None:
-        """Give it back."""
+        """Release the port's lock."""
         if self._lock is not None:
             with contextlib.suppress(OSError):
                 os.unlink(self._lock.name)
--- a/wheelstep/rehearsal/standins/partner.py
+++ b/wheelstep/rehearsal/standins/partner.py
@@ -1,6 +1,6 @@
-"""Partners on loopback: each endpoint has a port for each courier, so that it is known who calls.
+"""Partners on loopback: each endpoint has one port per courier, which tells the couriers apart.
 
-Faults act here where they concern connections; what they mean for the work is in `model`, for a call in `answering`.
+This module plays the faults of connections. `model` has their effect on processing, `answering` on answers.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 from wheelstep.rehearsal.history import History, Outage, Strange
 from wheelstep.rehearsal.plan import Fault, Partner, Plan
 from wheelstep.rehearsal.standins.answering import Connection as _Connection
-from wheelstep.rehearsal.standins.ledger import Known, Ledger
-from wheelstep.rehearsal.standins.model import FAILING_MOST, OUTAGES, Desk, Gauge
+from wheelstep.rehearsal.standins.ledger import Ledger, Submission
+from wheelstep.rehearsal.standins.model import OUTAGE_FAIL_SHARE, OUTAGE_FAULTS, EndpointModel, RateLimiter
 from wheelstep.rehearsal.standins.wire import Port
 
-__all__ = ["Endpoint", "Known", "Ledger", "Stage", "_Connection"]
+__all__ = ["Endpoint", "Ledger", "PartnerPool", "Submission", "_Connection"]
 
-MOST_CONNECTIONS = 2_000  # of one courier to all endpoints; who opens more is turned away and named
+MAX_CONNECTIONS_PER_COURIER = 2_000  # to all endpoints together; more are reset and recorded
 
 
 class Endpoint:
-    """One endpoint with its ports."""
+    """One endpoint with its ports, by courier."""
 
-    def __init__(self, name: str, partner: Partner, desk: Desk, stage: Stage,
+    def __init__(self, name: str, partner: Partner, desk: EndpointModel, pool: PartnerPool,
                  ports: list[Port] | None = None) -> None:
-        self.name, self.partner, self.desk, self.stage = name, partner, desk, stage
+        self.name, self.partner, self.model, self.pool = name, partner, desk, pool
         self.connections: set[_Connection] = set()
-        makers = [functools.partial(_Connection, self, f"c{index}") for index in range(stage.plan.couriers)]
+        makers = [functools.partial(_Connection, self, f"c{index}") for index in range(pool.plan.couriers)]
         self.ports = [Port(make) for make in makers] if ports is None else ports
         for port, make in zip(self.ports, makers, strict=True):
-            port.make = make
-        self._plugs: list[socket.socket] = []
+            port.factory = make
+        self._fillers: list[socket.socket] = []
         self._outage_us: int | None = None
 
     async def open(self) -> None:
-        """Listen."""
+        """Listen on all ports."""
         for port in self.ports:
             await port.listen()
 
     def close(self) -> None:
-        """For good."""
-        self._unplug()
+        """Reset all connections and release the ports."""
+        self._close_fillers()
         for connection in list(self.connections):
             connection.abort()
         for port in self.ports:
@@ -53,68 +53,71 @@
 
     # --- faults ---
 
-    async def begin(self, fault: Fault) -> None:
-        """A fault sets in."""
-        mode = self.desk.mode
-        mode.faults[fault.kind] = fault.share
+    async def start_fault(self, fault: Fault) -> None:
+        """Start a fault."""
+        faults = self.model.active_faults
+        faults.shares[fault.kind] = fault.share
         if fault.kind == "shut":
-            mode.wait_us = fault.wait_us
+            faults.wait_us = fault.wait_us
         if fault.kind == "reset":
-            mode.reset_before = fault.when == "before"
-        if fault.kind in OUTAGES and (fault.kind != "fail" or fault.share >= FAILING_MOST):
-            self._outage_us = self.stage.now_us()
+            faults.reset_before = fault.when == "before"
+        if fault.kind in OUTAGE_FAULTS and (fault.kind != "fail" or fault.share >= OUTAGE_FAIL_SHARE):
+            self._outage_us = self.pool.now_us()
         if fault.kind == "refuse":
             for port in self.ports:
                 port.refuse()
             self._reset()
         if fault.kind == "silent":
-            self._silence()
+            self._drop_traffic()
 
-    async def end(self, fault: Fault) -> None:
-        """The fault is over; after an outage the endpoint is cold."""
-        mode = self.desk.mode
-        mode.faults.pop(fault.kind, None)
+    async def end_fault(self, fault: Fault) -> None:
+        """End a fault. After an outage the endpoint is cold, and the outage is recorded."""
+        faults = self.model.active_faults
+        faults.shares.pop(fault.kind, None)
         if fault.kind in ("refuse", "silent"):
-            self._unplug()
+            self._close_fillers()
             for port in self.ports:
-                port.refuse()  # what stands in the kernel's queue is reset
-            self._reset()  # what stood through the silence is reset when the machine is back
+                port.refuse()  # resets the connections in the kernel's accept queue
+            self._reset()  # a machine that comes back resets the connections from before
             await self.open()
-        if fault.kind in OUTAGES and self._outage_us is not None:
-            now_us = self.stage.now_us()
-            self.stage.history.add(Outage(self.name, self.partner.destination, self._outage_us, now_us,
+        if fault.kind in OUTAGE_FAULTS and self._outage_us is not None:
+            now_us = self.pool.now_us()
+            self.pool.history.add(Outage(self.name, self.partner.destination, self._outage_us, now_us,
                                           self.partner.per_s))
             self._outage_us = None
-            self.desk.came_back(now_us)
+            self.model.recover(now_us)
 
     def _reset(self) -> None:
         for connection in list(self.connections):
             connection.abort()
 
-    def _silence(self) -> None:
-        """Guards the claim that nothing comes up: full queues of the kernel drop what asks for a connection."""
+    def _drop_traffic(self) -> None:
+        """Answer nothing: silence the open connections and drop attempts to connect.
+
+        New connections must not come up, so a full accept queue makes the kernel drop them.
+        """
         for connection in self.connections:
-            connection.mute()
+            connection.silence()
         for port in self.ports:
             port.refuse()
-        # A queue of none, filled by ourselves: what comes then is dropped without a word (Linux; elsewhere refused).
+        # Once our own connections fill the queue, Linux drops further ones silently; other systems refuse them.
         for port in self.ports:
             with contextlib.suppress(OSError):
-                port.hush()
+                port.drop_connections()
                 for _ in range(3):
-                    plug = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-                    plug.setblocking(False)
-                    plug.connect_ex(("127.0.0.1", port.port))
-                    self._plugs.append(plug)
+                    filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+                    filler.setblocking(False)
+                    filler.connect_ex(("127.0.0.1", port.port))
+                    self._fillers.append(filler)
 
-    def _unplug(self) -> None:
-        for plug in self._plugs:
-            plug.close()
-        self._plugs.clear()
+    def _close_fillers(self) -> None:
+        for filler in self._fillers:
+            filler.close()
+        self._fillers.clear()
 
 
-class Stage:
-    """What all endpoints of a rehearsal share."""
+class PartnerPool:
+    """All endpoints of a rehearsal and what they share: plan, history, clock, ledger and connection counts."""
 
     def __init__(self, plan: Plan, history: History, now_us: Callable[[], int]) -> None:
         self.plan, self.history, self.now_us = plan, history, now_us
@@ -122,69 +125,76 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.partners: dict[str, Partner] = {}
         self._successors: dict[str, str] = {}
-        self.connections: Counter[str] = Counter()  # of each courier
-        self._crowding: set[str] = set()
-        self.epoch = 0.0  # the loop's time at the rehearsal's start
+        self.connections: Counter[str] = Counter()  # open, by courier
+        self._over_limit: set[str] = set()
+        self.epoch = 0.0  # the event loop's time at the rehearsal's start, in seconds
         for partner in plan.partners:
-            gauge = None if partner.limit is None else Gauge(partner.limit)
+            limiter = None if partner.limit is None else RateLimiter(partner.limit)
             for number, name in enumerate(partner.endpoints):
-                apart = partner.destination in plan.figures.routes_apart
-                own = Gauge(partner.limit) if apart and partner.limit is not None else gauge
-                luck = plan.luck[number:] + plan.luck[:number]
-                self._make(name, partner, Desk(partner, plan.figures, own, luck, self.later, now_us))
+                separate = partner.destination in plan.figures.routes_apart
+                own_limiter = RateLimiter(partner.limit) if separate and partner.limit is not None else limiter
+                draws = plan.luck[number:] + plan.luck[:number]
+                self._add_endpoint(name, partner, EndpointModel(partner, plan.figures, own_limiter, draws,
+                                                                self.call_at, now_us))
 
-    def _make(self, name: str, partner: Partner, desk: Desk) -> Endpoint:
+    def _add_endpoint(self, name: str, partner: Partner, desk: EndpointModel) -> Endpoint:
         self.partners[name] = partner
         self.endpoints[name] = Endpoint(name, partner, desk, self)
         return self.endpoints[name]
 
-    def admits(self, courier: str, endpoint: str) -> bool:
-        """May this courier open one more connection? Guards the rig's descriptors against a courier that opens
-        thousands."""
-        if self.connections[courier] <= MOST_CONNECTIONS:
+    def allows_connection(self, courier: str, endpoint: str) -> bool:
+        """Return whether a courier's newest connection is within its limit.
+
+        The limit protects the rig's descriptors from a courier that opens thousands of connections. The first excess
+        is recorded as a violation.
+        """
+        if self.connections[courier] <= MAX_CONNECTIONS_PER_COURIER:
             return True
-        if courier not in self._crowding:
-            self._crowding.add(courier)
+        if courier not in self._over_limit:
+            self._over_limit.add(courier)
             self.history.add(Strange(self.now_us(), courier, endpoint,
-                                     f"more than {MOST_CONNECTIONS} connections at once"))
+                                     f"more than {MAX_CONNECTIONS_PER_COURIER} connections at once"))
         return False
 
-    def later(self, at_us: int, what: Callable[[], None]) -> None:
-        """Call it then."""
-        asyncio.get_running_loop().call_at(self.epoch + at_us / 1e6, what)
+    def call_at(self, at_us: int, callback: Callable[[], None]) -> None:
+        """Call `callback` at a time of the rehearsal."""
+        asyncio.get_running_loop().call_at(self.epoch + at_us / 1e6, callback)
 
-    def us(self, at: float) -> int:
-        """The loop's time as the rehearsal's."""
-        return round((at - self.epoch) * 1e6)
+    def to_us(self, loop_s: float) -> int:
+        """Convert the event loop's time in seconds to the rehearsal's in microseconds."""
+        return round((loop_s - self.epoch) * 1e6)
 
     async def open(self) -> None:
-        """All endpoints listen."""
+        """Listen on all endpoints."""
         for endpoint in self.endpoints.values():
             await endpoint.open()
 
     def close(self) -> None:
-        """All are shut, and calls without an end are noted."""
+        """Close all endpoints; calls in progress are recorded as open."""
         for endpoint in self.endpoints.values():
             for connection in list(endpoint.connections):
-                connection.note_open()
+                connection.record_open_call()
             endpoint.close()
 
     def replace(self, name: str) -> str:
-        """A new endpoint at the same addresses; returns its name. Calls under way end as their process does."""
-        old = self.at(name)
+        """Replace an endpoint by a new one at the same addresses and return the new name.
+
+        Its connections are reset, so calls in progress end.
+        """
+        old = self.endpoint(name)
         fresh = f"{old.name}+"
-        desk = Desk(old.partner, self.plan.figures, None, self.plan.luck, self.later, self.now_us)
+        desk = EndpointModel(old.partner, self.plan.figures, None, self.plan.luck, self.call_at, self.now_us)
         for connection in list(old.connections):
             connection.abort()
-        # The ports stay: whoever calls the old name's address reaches the new process.
+        # The ports stay: a call to the old endpoint's address reaches the new one.
         new = Endpoint(fresh, old.partner, desk, self, old.ports)
         del self.endpoints[old.name]
         self.endpoints[fresh], self.partners[fresh] = new, old.partner
         self._successors[old.name] = fresh
         return fresh
 
-    def at(self, name: str) -> Endpoint:
-        """The endpoint of this name, or the one that took its place."""
+    def endpoint(self, name: str) -> Endpoint:
+        """Return the endpoint of this name or its latest replacement."""
         while name in self._successors:
             name = self._successors[name]
         return self.endpoints[name]
--- a/wheelstep/rehearsal/standins/platform.py
+++ b/wheelstep/rehearsal/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform on loopback: discovery's agent and the place for notices, one address for each courier."""
+"""The platform on loopback: discovery's agent and the receiver of notifications, one address per courier."""
 
 from __future__ import annotations
 
@@ -11,59 +11,62 @@
 from wheelstep.rehearsal.history import History, Notice, Strange, Told
 from wheelstep.rehearsal.standins.wire import Port, Request, Server
 
-_ALIVE_S = 2.0  # an empty line so often on a watch
-_TOLD_LATEST_US = 6_000_000  # a change counts as told so long after it, whether or not it arrived
+_HEARTBEAT_S = 2.0  # interval of empty lines on a watch
+_ASSUMED_TOLD_US = 6_000_000  # a change counts as told after this time even if no watch was open
 OUTCOMES = ("given_up", "handed_back")
 Row = dict[str, Any]
 
 
 def row(host: str, dial: str, block: int, kind: str, health: str = "SERVING", site: str = "a") -> Row:
-    """A line of discovery's list."""
+    """Return an endpoint's row of discovery's list."""
     return {"host": host, "dial": dial, "site": site, "class": kind, "block": block, "health": health, "share": 1.0,
             "born_ms": 0}
 
 
 class Agent:
-    """What one courier sees of the platform. `heard` is called with each notice that is answered."""
+    """Discovery's agent of one courier. `on_notice` is called with each accepted notification.
+
+    `down` stops lists and changes; with `accepts_notices` off, notifications are answered 503.
+    """
 
     def __init__(self, courier: str, history: History, now_us: Callable[[], int],
-                 heard: Callable[[str, dict[str, Any]], None] | None = None) -> None:
-        self.courier, self._history, self._now_us, self._heard = courier, history, now_us, heard
-        self.hosts: dict[str, Row] = {}  # the list as this courier last had it
+                 on_notice: Callable[[str, dict[str, Any]], None] | None = None) -> None:
+        self.courier, self._history, self._now_us, self._on_notice = courier, history, now_us, on_notice
+        self.hosts: dict[str, Row] = {}  # the list with all changes that were told
         self.seq = 1
         self.down = False
-        self.takes_notices = True
-        self.asked_after: list[int] = []  # the version that each watch began with
-        self._unsent: list[Row] = []  # changes that came while discovery was down
+        self.accepts_notices = True
+        self.watch_versions: list[int] = []  # the version that each watch asked to start after
+        self._unsent: list[Row] = []  # changes made while discovery was down
         self._watches: set[_Connection] = set()
         self._told: dict[str, str] = {}
         self.port = Port(lambda: _Connection(self))
-        self._alive: asyncio.Task[None] | None = None
+        self._heartbeats: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
-        """Listen."""
+        """Listen and send heartbeats."""
         await self.port.listen()
-        self._alive = asyncio.create_task(self._stay_alive())
+        self._heartbeats = asyncio.create_task(self._send_heartbeats())
 
     def close(self) -> None:
-        """For good."""
-        if self._alive is not None:
-            self._alive.cancel()
+        """Reset all watches and release the port."""
+        if self._heartbeats is not None:
+            self._heartbeats.cancel()
         for watch in list(self._watches):
             watch.abort()
         self.port.close()
 
-    def whole(self) -> dict[str, Any]:
-        """The whole list, as a courier finds it in its configuration."""
+    def full_list(self) -> dict[str, Any]:
+        """Return the full list, as in a courier's configuration."""
         return {"seq": self.seq, "whole": True, "hosts": list(self.hosts.values())}
 
     def change(self, *rows: Row) -> None:
-        """Tell of changes, now or when discovery is back."""
+        """Apply changes and send them to all watches, now or after `restore`."""
         if self.down:
             self._unsent += rows
             loop = asyncio.get_running_loop()
             for changed in rows:
-                loop.call_later(_TOLD_LATEST_US / 1e6, self._note, changed)
+                loop.call_later(_ASSUMED_TOLD_US / 1e6, self._record_told, changed)
             return
         self.seq += 1
         for changed in rows:
@@ -72,61 +75,61 @@
             else:
                 self.hosts[changed["host"]] = changed
             if self._watches:
-                self._note(changed)
+                self._record_told(changed)
             else:
-                asyncio.get_running_loop().call_later(_TOLD_LATEST_US / 1e6, self._note, changed)
-        self.say(json.dumps({"seq": self.seq, "whole": False, "hosts": list(rows)}).encode() + b"\n")
+                asyncio.get_running_loop().call_later(_ASSUMED_TOLD_US / 1e6, self._record_told, changed)
+        self.broadcast(json.dumps({"seq": self.seq, "whole": False, "hosts": list(rows)}).encode() + b"\n")
 
-    def _note(self, changed: Row) -> None:
-        """It was told, or counts as told."""
+    def _record_told(self, changed: Row) -> None:
+        """Record that the courier was told of a change, or counts as told."""
         if self._told.get(changed["host"]) != changed["health"]:
             self._told[changed["host"]] = changed["health"]
             self._history.add(Told(self._now_us(), self.courier, changed["host"], changed["health"]))
 
-    def back(self) -> None:
-        """Discovery is up again."""
+    def restore(self) -> None:
+        """Bring discovery back: send the full list to new watches, then the unsent changes to all."""
         self.down = False
         for watch in self._watches:
-            watch.begin()
+            watch.start()
         if self._unsent:
             rows, self._unsent = self._unsent, []
             self.change(*rows)
 
-    def say(self, line: bytes) -> None:
-        """Write a line to every watch, whatever it holds."""
+    def broadcast(self, line: bytes) -> None:
+        """Send a line to every watch; the content isn't checked."""
         for watch in self._watches:
-            watch.line(line)
+            watch.send_line(line)
 
-    async def _stay_alive(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(_ALIVE_S)
+            await asyncio.sleep(_HEARTBEAT_S)
             if not self.down:
                 for watch in self._watches:
-                    watch.line(b"\n")
+                    watch.send_line(b"\n")
 
-    def watch(self, connection: _Connection) -> None:
-        """A courier asks to be told; it hears the whole list first."""
+    def add_watch(self, connection: _Connection) -> None:
+        """Add a watch; the full list is sent first unless discovery is down."""
         self._watches.add(connection)
-        self.asked_after.append(connection.after)
+        self.watch_versions.append(connection.after)
         if not self.down:
-            connection.begin()
+            connection.start()
 
-    def unwatch(self, connection: _Connection) -> None:
-        """Its connection has ended."""
+    def remove_watch(self, connection: _Connection) -> None:
+        """Remove a watch whose connection has closed."""
         self._watches.discard(connection)
 
-    def send_whole(self, connection: _Connection) -> None:
-        """Write the list as it stands."""
+    def send_full_list(self, connection: _Connection) -> None:
+        """Send the full list on a watch, and record what it tells."""
         for host in self.hosts.values():
-            self._note(host)
+            self._record_told(host)
         for name, state in list(self._told.items()):
             if name not in self.hosts and state != "DELETED":
-                self._note({"host": name, "health": "DELETED"})
-        connection.line(json.dumps(self.whole()).encode() + b"\n")
+                self._record_told({"host": name, "health": "DELETED"})
+        connection.send_line(json.dumps(self.full_list()).encode() + b"\n")
 
-    def notices(self, body: bytes) -> int:
-        """Take notices; the status to answer."""
-        if not self.takes_notices:
+    def accept_notices(self, body: bytes) -> int:
+        """Record notifications and return the status to answer: 204, 400 if malformed, 503 if not accepted."""
+        if not self.accepts_notices:
             return 503
         try:
             lines = [json.loads(line) for line in body.splitlines() if line.strip()]
@@ -139,43 +142,45 @@
         now_us = self._now_us()
         for (message, outcome, retry_ms), line in zip(taken, lines, strict=True):
             self._history.add(Notice(now_us, self.courier, message, outcome, retry_ms * 1000))
-            if self._heard is not None:
-                self._heard(self.courier, line)
+            if self._on_notice is not None:
+                self._on_notice(self.courier, line)
         return 204
 
 
 class _Connection(Server):
-    """One connection of a courier to its agent."""
+    """One connection of a courier to its agent; `after` is the version that a watch starts after."""
 
     def __init__(self, agent: Agent) -> None:
         super().__init__()
         self._agent = agent
-        self._begun = False
+        self._started = False
         self.after = 0
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
+        """Accept notifications, open a watch, or answer with the full list."""
         path, _, query = request.target.partition("?")
         if request.method == "POST" and path == "/v1/outcomes":
-            self.answer(self._agent.notices(request.body))
+            self.answer(self._agent.accept_notices(request.body))
         elif request.method == "GET" and path == "/v1/servers" and "watch=1" in query:
             self.after = int(urllib.parse.parse_qs(query).get("after", ["0"])[0] or 0)
-            self._agent.watch(self)
+            self._agent.add_watch(self)
         elif request.method == "GET" and path == "/v1/servers":
-            self.answer(200, {"Content-Type": "application/json"}, json.dumps(self._agent.whole()).encode())
+            self.answer(200, {"Content-Type": "application/json"}, json.dumps(self._agent.full_list()).encode())
         else:
             self.answer(404)
 
-    def begin(self) -> None:
-        """The head and the whole list, once."""
-        if not self._begun:
-            self._begun = True
+    def start(self) -> None:
+        """Send the response's head and the full list, once."""
+        if not self._started:
+            self._started = True
             self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self._agent.send_whole(self)
+            self._agent.send_full_list(self)
 
-    def line(self, data: bytes) -> None:
-        """One line of the watch, if it has begun."""
-        if self._begun:
+    def send_line(self, data: bytes) -> None:
+        """Send one line on the watch if it has started."""
+        if self._started:
             self.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
-    def lost(self) -> None:
-        self._agent.unwatch(self)
+    def on_disconnect(self) -> None:
+        """Remove the watch."""
+        self._agent.remove_watch(self)
--- a/wheelstep/rehearsal/standins/process.py
+++ b/wheelstep/rehearsal/standins/process.py
@@ -1,4 +1,4 @@
-"""A courier's process: its port and environment, its start and readiness, signals, its log, and its end."""
+"""A courier's process: port, environment, start and readiness, signals, log and exit."""
 
 from __future__ import annotations
 
@@ -15,19 +15,23 @@
 
 from wheelstep.rehearsal.history import History, Life, Turn
 from wheelstep.rehearsal.planned import PROCESS_FAULTS, Fault
-from wheelstep.rehearsal.standins.machine import CourierPort, NoStartError, children, free, waited_us
+from wheelstep.rehearsal.standins.machine import CourierPort, NoStartError, children, is_free, run_queue_wait_us
 from wheelstep.rehearsal.standins.wire import Client
 
 __all__ = ["Courier", "NoStartError"]
 
-_LOG_BYTES = 64 * 1024  # of the end of a log
-_TERM_S = 3.7  # from SIGTERM until SIGKILL
-_BACK_S = 0.6  # from an end until the next start
+_LOG_BYTES = 64 * 1024  # kept from the end of the log
+_TERM_TIMEOUT_S = 3.7  # from SIGTERM until SIGKILL
+_RESTART_DELAY_S = 0.6  # from the exit until the next start
 _POLL_S = 0.02
 
 
 class Courier:
-    """One courier, over all its restarts. `command` keeps to the RELAY_* environment."""
+    """One courier through all its restarts. `command` is a program that implements the RELAY_* environment.
+
+    `configure` returns the configuration for a listening address. `ready_s` limits the time until the process is
+    ready. `suspect` lists lines of the log that point to a fault of the program.
+    """
 
     def __init__(self, name: str, command: str, folder: Path, history: History, now_us: Callable[[], int],
                  configure: Callable[[str], dict[str, Any]], ready_s: float) -> None:
@@ -40,35 +44,39 @@
         self.process: asyncio.subprocess.Process | None = None
         self.ready = asyncio.Event()
         self.suspect: list[str] = []
-        self._going = False  # an end that was asked for is under way
+        self._stopping = False  # the process was told to exit, so an exit is no crash
         self._tasks: set[asyncio.Task[None]] = set()
         (folder / "state").mkdir(parents=True, exist_ok=True)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where clients connect."""
+        """The address for clients."""
         return "127.0.0.1", self.port.port
 
-    def _turn(self, turn: Turn, code: int = 0) -> None:
+    def _record_turn(self, turn: Turn, code: int = 0) -> None:
         self._history.add(Life(self._now_us(), self.name, turn, code))
 
     async def start(self) -> bool:
-        """Start it and wait until it is ready; False if it never is. Raises `NoStartError`."""
+        """Start the process and wait until it is ready; return False if it exits or times out first.
+
+        Tries up to three times if another process has taken the port. Raises `NoStartError` if the command can't be
+        started.
+        """
         for _ in range(3):
             process = await self._spawn()
             ready = await self._wait_ready(process)
-            if ready or process.returncode is None or free(self.port.port):
+            if ready or process.returncode is None or is_free(self.port.port):
                 break
-            self.port.renew()  # it died, and the port is somebody else's
+            self.port.change()  # it exited because another process has the port
         if ready:
-            self._turn(Turn.READY)
+            self._record_turn(Turn.READY)
             self.ready.set()
-            self._keep(self._watch(process))
+            self._create_task(self._watch(process))
             return True
         if process.returncode is not None:
-            self._turn(Turn.CRASHED, process.returncode)
+            self._record_turn(Turn.CRASHED, process.returncode)
         else:
-            self._turn(Turn.NEVER_READY)
+            self._record_turn(Turn.NEVER_READY)
         return False
 
     async def _spawn(self) -> asyncio.subprocess.Process:
@@ -88,7 +96,7 @@
                 stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT, start_new_session=True)
         except (OSError, ValueError) as error:
             raise NoStartError(f"{self._command!r} can't be started: {error}") from error
-        self._keep(self._read_log(self.process))
+        self._create_task(self._read_log(self.process))
         return self.process
 
     async def _wait_ready(self, process: asyncio.subprocess.Process) -> bool:
@@ -107,13 +115,13 @@
             await asyncio.sleep(_POLL_S)
         return False
 
-    def _keep(self, work: Any) -> None:
+    def _create_task(self, work: Any) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
-        """Keeps the end of the log only: a courier may write megabytes."""
+        """Read the log and keep its end only: a courier may write megabytes."""
         assert process.stdout is not None
         while data := await process.stdout.read(65536):
             self.log_total += len(data)
@@ -123,14 +131,14 @@
                 self._log_bytes -= len(self.log.popleft())
 
     def log_text(self) -> str:
-        """The end of its log."""
+        """Return the end of the log."""
         return b"".join(self.log).decode("utf-8", "replace")
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        if process is self.process and not self._going:
+        if process is self.process and not self._stopping:
             self.ready.clear()
-            self._turn(Turn.CRASHED, code)
+            self._record_turn(Turn.CRASHED, code)
 
     # --- faults ---
 
@@ -139,77 +147,77 @@
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(self.process.pid, number)
 
-    async def kill(self, back_s: float = _BACK_S) -> None:
-        """SIGKILL, and started again after a while."""
-        await self._end(signal.SIGKILL, Turn.KILLED, back_s)
+    async def kill(self, restart_delay_s: float = _RESTART_DELAY_S) -> None:
+        """Send SIGKILL and start the courier again after `restart_delay_s`."""
+        await self._stop_and_restart(signal.SIGKILL, Turn.KILLED, restart_delay_s)
 
-    async def terminate(self, back_s: float = _BACK_S) -> None:
-        """A planned restart: SIGTERM, SIGKILL if it is still there in the end, and started again."""
-        await self._end(signal.SIGTERM, Turn.TERMINATED, back_s)
+    async def terminate(self, restart_delay_s: float = _RESTART_DELAY_S) -> None:
+        """Restart as planned: SIGTERM, SIGKILL to what is still running after a while, and a new start."""
+        await self._stop_and_restart(signal.SIGTERM, Turn.TERMINATED, restart_delay_s)
 
-    async def _end(self, number: int, turn: Turn, back_s: float) -> None:
+    async def _stop_and_restart(self, number: int, turn: Turn, restart_delay_s: float) -> None:
         process = self.process
         if process is None or process.returncode is not None:
             return
-        self._going = True
+        self._stopping = True
         self.ready.clear()
-        self._turn(turn)
+        self._record_turn(turn)
         if number == signal.SIGTERM:
-            await self.dismiss()
+            await self.request_exit()
         self._signal(signal.SIGKILL)
         code = await process.wait()
-        self._turn(Turn.EXITED, code)
-        await asyncio.sleep(back_s)
-        self._going = False
+        self._record_turn(Turn.EXITED, code)
+        await asyncio.sleep(restart_delay_s)
+        self._stopping = False
         await self.start()
 
-    async def dismiss(self) -> None:
-        """SIGTERM to the program itself, not to what it may have started, and some time to leave."""
-        self._going = True
+    async def request_exit(self) -> None:
+        """Send SIGTERM to the program, not to its children, and wait up to `_TERM_TIMEOUT_S` for its exit."""
+        self._stopping = True
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(signal.SIGTERM)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.process.wait(), _TERM_S)
+                await asyncio.wait_for(self.process.wait(), _TERM_TIMEOUT_S)
 
-    async def meet(self, fault: Fault) -> None:
-        """Play a fault that only a courier of the soak can meet."""
+    async def apply_fault(self, fault: Fault) -> None:
+        """Play a fault that only the soak's couriers support. Raises `NotImplementedError` for any other courier."""
         raise NotImplementedError(f"{fault.kind}: expected a fault of {', '.join(PROCESS_FAULTS)}")
 
     async def pause(self, for_s: float) -> None:
-        """SIGSTOP for a while."""
-        self._turn(Turn.PAUSED)
+        """Stop the process group with SIGSTOP for `for_s` seconds."""
+        self._record_turn(Turn.PAUSED)
         self._signal(signal.SIGSTOP)
         await asyncio.sleep(for_s)
         self._signal(signal.SIGCONT)
-        self._turn(Turn.RESUMED)
+        self._record_turn(Turn.RESUMED)
 
-    def end_worker(self, worker: int, number: int) -> None:
-        """A signal to one of the processes that it has started, by the order of their command lines."""
-        self._turn(Turn.PART_DOWN)
+    def signal_worker(self, worker: int, number: int) -> None:
+        """Send a signal to one of the process's children, counted in the order of their command lines."""
+        self._record_turn(Turn.PART_DOWN)
         if self.process is not None and self.process.returncode is None:
             parts = children(self.process.pid)
             if parts:
                 with contextlib.suppress(ProcessLookupError):
                     os.kill(parts[worker % len(parts)], number)
 
-    def whole_again(self) -> None:
-        """By now another process must have taken its place, or others what it owed."""
-        self._turn(Turn.PART_UP)
+    def record_worker_replaced(self) -> None:
+        """Record that by now a worker must have been replaced, or others have taken over its messages."""
+        self._record_turn(Turn.PART_UP)
 
     async def stop(self) -> None:
-        """Let it go for good; nothing of it stays behind."""
-        self._going = True
+        """Kill the process group for good and release the port."""
+        self._stopping = True
         self._signal(signal.SIGCONT)
         self._signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
         if self._tasks:
             done, pending = await asyncio.wait(self._tasks, timeout=1.0)
-            for task in pending:  # a log held open by somebody else
+            for task in pending:  # another process holds the log open
                 task.cancel()
         self.port.close()
 
-    def waited_us(self) -> int | None:
-        """How long its main thread has stood in line for a core so far; None where that is not told."""
-        return waited_us(self.process.pid) if self.process is not None else None
+    def run_queue_wait_us(self) -> int | None:
+        """Return how long the main thread has waited for a core so far, in microseconds; None if unknown."""
+        return run_queue_wait_us(self.process.pid) if self.process is not None else None
--- a/wheelstep/rehearsal/standins/wire.py
+++ b/wheelstep/rehearsal/standins/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on asyncio's protocols, parsed by httptools: which byte came when, and nothing behind one's back."""
+"""HTTP/1.1 on asyncio's protocols, parsed by httptools: exposes when bytes arrive, and neither retries nor pools."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 import httptools
 
-MOST_BODY = 1 << 20  # of a request or an answer that a stand-in reads
-_MOST_HEAD = 64 * 1024
+MAX_BODY_BYTES = 1 << 20  # of a request or an answer that a stand-in reads
+_MAX_HEAD_BYTES = 64 * 1024
 _REASONS = {200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found", 410: "Gone",
             413: "Too Large", 429: "Too Many Requests", 500: "Error", 503: "Unavailable", 504: "Timeout"}
 
 
 @dataclass(slots=True)
 class Request:
-    """One request whose last byte came. Times are the loop's, in seconds."""
+    """One complete request. Times are the event loop's, in seconds."""
 
     method: str
     target: str
     headers: dict[str, str]  # names in lower case
     body: bytes
-    first_at: float
-    last_at: float
+    first_byte_at: float
+    last_byte_at: float
 
 
-class _Reader:
-    """Gathers one message at a time for httptools; subclasses say what happens when it is whole."""
+class _MessageReader:
+    """Callbacks for httptools that collect one message at a time; subclasses add `on_message_complete`."""
 
     def __init__(self) -> None:
         self.headers: dict[str, str] = {}
@@ -41,77 +41,77 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head_bytes += len(name) + len(value)
-        if self._head_bytes > _MOST_HEAD:
+        if self._head_bytes > _MAX_HEAD_BYTES:
             raise ValueError("the head is too long")
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
         self.body += data
-        if len(self.body) > MOST_BODY:
+        if len(self.body) > MAX_BODY_BYTES:
             raise ValueError("the body is too long")
 
 
-class Server(asyncio.Protocol, _Reader):
-    """One connection that a stand-in serves. A subclass gives `requested` and may give `lost` and `began`."""
+class Server(asyncio.Protocol, _MessageReader):
+    """One served connection; subclasses implement `on_request`, and `on_connect` and `on_disconnect` if needed."""
 
     def __init__(self) -> None:
-        _Reader.__init__(self)
+        _MessageReader.__init__(self)
         self.transport: asyncio.Transport | None = None
-        self.first_at: float | None = None
+        self.first_byte_at: float | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = ""
         self.gone = False
 
-    # --- for subclasses ---
-
-    def requested(self, request: Request) -> None:
-        """A request came whole."""
+    def on_request(self, request: Request) -> None:
+        """Handle a complete request."""
         raise NotImplementedError
 
-    def lost(self) -> None:
-        """The connection has ended, whoever ended it."""
-
-    def connected(self) -> None:
-        """It is up."""
+    def on_disconnect(self) -> None:
+        """Handle the end of the connection, by either side."""
 
-    # --- asyncio and httptools ---
+    def on_connect(self) -> None:
+        """Handle the start of the connection."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport and call `on_connect`."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.connected()
+        self.on_connect()
 
     def data_received(self, data: bytes) -> None:
-        if self.first_at is None:
-            self.first_at = asyncio.get_running_loop().time()
+        """Parse received data; reset the connection if it is malformed."""
+        if self.first_byte_at is None:
+            self.first_byte_at = asyncio.get_running_loop().time()
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError):
             self.abort()
 
     def eof_received(self) -> bool:
-        return False  # a courier that ends its sending has given the call up
+        """Close the connection: a courier that stops sending has cancelled the call."""
+        return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Mark the connection as gone and call `on_disconnect`."""
         self.gone = True
-        self.lost()
+        self.on_disconnect()
 
     def on_url(self, url: bytes) -> None:
+        """Add a part of the request's target."""
         self._target += url.decode("latin-1")
 
     def on_message_complete(self) -> None:
+        """Pass the request to `on_request` unless the connection has ended."""
         now = asyncio.get_running_loop().time()
         request = Request(self._parser.get_method().decode(), self._target, self.headers, bytes(self.body),
-                          self.first_at or now, now)
-        self._target, self.first_at = "", None
+                          self.first_byte_at or now, now)
+        self._target, self.first_byte_at = "", None
         if not self.gone:
-            self.requested(request)
-
-    # --- what one may do with it ---
+            self.on_request(request)
 
     def answer(self, status: int, headers: Mapping[str, str] | None = None, body: bytes = b"",
                close: bool = False) -> None:
-        """Write a whole answer, if there is still anyone to read it."""
+        """Send an answer unless the connection is closing; with `close` close it afterwards."""
         if self.transport is None or self.gone or self.transport.is_closing():
             return
         self.transport.write(render(status, {**(headers or {}), **({"Connection": "close"} if close else {})}, body))
@@ -119,21 +119,21 @@
             self.transport.close()
 
     def write(self, data: bytes) -> None:
-        """Write any bytes."""
+        """Send raw bytes, which need not be valid HTTP."""
         if self.transport is not None and not self.gone:
             self.transport.write(data)
 
     def abort(self) -> None:
         """Reset the connection."""
         if self.transport is not None and not self.gone:
-            with contextlib.suppress(OSError):  # lingering for no time makes the kernel send a reset
+            with contextlib.suppress(OSError):  # SO_LINGER with timeout 0 makes the kernel send a reset
                 self.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             self.transport.abort()
 
 
 def render(status: int, headers: Mapping[str, str], body: bytes) -> bytes:
-    """A whole answer."""
+    """Return a complete answer as bytes."""
     lines = [f"HTTP/1.1 {status} {_REASONS.get(status, 'Status')}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if status != 204:
@@ -141,39 +141,43 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
 
 
-class Client(asyncio.Protocol, _Reader):
-    """One connection to a courier: one request at a time, and the answer's status and headers."""
+class Client(asyncio.Protocol, _MessageReader):
+    """One client connection to a courier, with one request at a time."""
 
     def __init__(self) -> None:
-        _Reader.__init__(self)
+        _MessageReader.__init__(self)
         self.transport: asyncio.Transport | None = None
         self.gone = False
-        self.used = 0  # requests that were answered
+        self.used = 0  # number of answered requests
         self._answer: asyncio.Future[tuple[int, dict[str, str], bytes] | None] | None = None
         self._parser = httptools.HttpResponseParser(self)
 
     @classmethod
     async def dial(cls, host: str, port: int) -> Client:
-        """A new connection; raises `OSError`."""
+        """Open a connection. Raises `OSError`."""
         _, made = await asyncio.get_running_loop().create_connection(cls, host, port)
         return made
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Parse received data; close the connection if it is malformed."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError):
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Mark the connection as gone; a pending `ask` returns None."""
         self.gone = True
         if self._answer is not None and not self._answer.done():
             self._answer.set_result(None)
 
     def on_message_complete(self) -> None:
+        """Pass the answer to the pending `ask`; informational answers are ignored."""
         status = self._parser.get_status_code()
         if status < 200:
             return
@@ -184,7 +188,7 @@
             self._answer.set_result((status, self.headers, bytes(self.body)))
 
     async def ask(self, data: bytes) -> tuple[int, dict[str, str], bytes] | None:
-        """Write a request and wait for its answer; None if the connection ends without one."""
+        """Send a request; return the answer's status, headers and body, None if the connection ends without one."""
         if self.gone or self.transport is None or self.transport.is_closing():
             return None
         self._answer = asyncio.get_running_loop().create_future()
@@ -192,24 +196,24 @@
         return await self._answer
 
     def close(self) -> None:
-        """At once."""
+        """Close the connection at once."""
         self.gone = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class Port:
-    """A listening port that is held also while nothing listens there: then a connection is refused."""
+    """A port that stays bound when it doesn't listen; `factory` makes the protocol of each connection."""
 
     def __init__(self, make: Callable[[], asyncio.Protocol], host: str = "127.0.0.1") -> None:
-        self.make, self._host = make, host
+        self.factory, self._host = make, host
         self._bound = self._bind(0)
         self.port: int = self._bound.getsockname()[1]
         self._server: asyncio.Server | None = None
 
     @property
     def address(self) -> str:
-        """host:port."""
+        """The address as host:port."""
         return f"{self._host}:{self.port}"
 
     def _bind(self, port: int) -> socket.socket:
@@ -220,13 +224,13 @@
         return bound
 
     async def listen(self) -> None:
-        """Take connections."""
+        """Accept connections."""
         if self._server is None:
             self._server = await asyncio.get_running_loop().create_server(
-                lambda: self.make(), sock=self._bound, backlog=512)
+                lambda: self.factory(), sock=self._bound, backlog=512)
 
     def refuse(self) -> None:
-        """Refuse connections from now on, and keep the port. Those that stand stay."""
+        """Refuse new connections and keep the port; open connections stay."""
         if self._server is not None:
             self._server.close()  # closes the socket
             self._server = None
@@ -234,12 +238,12 @@
             self._bound.close()
         self._bound = self._bind(self.port)
 
-    def hush(self) -> None:
-        """Listen with a queue of one that nobody empties: once it is full, what asks to connect is not answered."""
+    def drop_connections(self) -> None:
+        """Listen with the shortest accept queue and accept nothing: once it is full, Linux ignores new connections."""
         self._bound.listen(0)
 
     def close(self) -> None:
-        """Give the port back."""
+        """Release the port."""
         if self._server is not None:
             self._server.close()
             self._server = None
