--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from wheelstep.rehearsal import worth
-from wheelstep.rehearsal.evidence import _away
+from wheelstep.rehearsal.evidence import _unavailable_spans
 from wheelstep.rehearsal.history import (
     Answer,
     Call,
@@ -431,4 +431,4 @@
     lives = [Life(at, "c0", turn) for at, turn in (
         (1 * S, Turn.TERMINATED), (2 * S, Turn.PAUSED), (2 * S + 100 * MS, Turn.RESUMED), (4 * S, Turn.EXITED),
         (5 * S, Turn.READY), (7 * S, Turn.PAUSED), (8 * S, Turn.RESUMED), (9 * S, Turn.KILLED))]
-    assert _away(lives, 10 * S) == [(1 * S, 5 * S), (7 * S, 8 * S), (9 * S, 10 * S)]
+    assert _unavailable_spans(lives, 10 * S) == [(1 * S, 5 * S), (7 * S, 8 * S), (9 * S, 10 * S)]
--- a/wheelstep/rehearsal/evidence.py
+++ b/wheelstep/rehearsal/evidence.py
@@ -27,8 +27,8 @@
     Turn,
 )
 
-_NEAR_US = 1_000_000  # lateness counts for what happens so near to it
-_WHOLE_AGAIN = {Turn.KILLED: Turn.READY, Turn.TERMINATED: Turn.READY, Turn.CRASHED: Turn.READY,
+_LATENESS_WINDOW_US = 1_000_000  # lateness counts for what happens so near to it
+_RECOVERED_BY = {Turn.KILLED: Turn.READY, Turn.TERMINATED: Turn.READY, Turn.CRASHED: Turn.READY,
                 Turn.PAUSED: Turn.RESUMED, Turn.PART_DOWN: Turn.PART_UP}
 
 
@@ -36,13 +36,13 @@
 class Message:
     """All that was seen of one message id."""
 
-    handed: HandIn
+    submission: HandIn
     answer: Answer | None = None
     calls: list[Call] = field(default_factory=list)  # by their last byte
     notices: list[Notice] = field(default_factory=list)
 
     @property
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         return self.answer is not None and self.answer.status in (200, 202)
 
     def delivered_us(self) -> int | None:
@@ -50,9 +50,9 @@
         return min((call.ended_us for call in self.calls if self.fate(call) is Fate.DELIVERED), default=None)
 
     def fate(self, call: Call) -> Fate:
-        return call.fates[call.messages.index(self.handed.message)]
+        return call.fates[call.messages.index(self.submission.message)]
 
-    def ended_us(self) -> int | None:
+    def outcome_us(self) -> int | None:
         """When its one end stood: delivered, or its notice answered."""
         ends = [notice.at_us for notice in self.notices]
         if (delivered := self.delivered_us()) is not None:
@@ -69,11 +69,11 @@
 
     def __init__(self, facts: Iterable[Late]) -> None:
         self._rows = sorted((fact.at_us, fact.late_us, fact.who) for fact in facts)
-        self.most_us, self.who = max(((late, who) for _, late, who in self._rows), default=(0, ""))
+        self.max_us, self.who = max(((late, who) for _, late, who in self._rows), default=(0, ""))
 
-    def near(self, at_us: int) -> int:
-        begin = bisect.bisect_left(self._rows, (at_us - _NEAR_US,))
-        end = bisect.bisect_right(self._rows, (at_us + _NEAR_US,))
+    def around(self, at_us: int) -> int:
+        begin = bisect.bisect_left(self._rows, (at_us - _LATENESS_WINDOW_US,))
+        end = bisect.bisect_right(self._rows, (at_us + _LATENESS_WINDOW_US,))
         return max((late for _, late, _ in self._rows[begin:end]), default=0)
 
 
@@ -82,16 +82,16 @@
 
     def __init__(self, history: History) -> None:
         self.history, self.figures = history, history.figures
-        self.late = Lateness(fact for fact in history.facts if isinstance(fact, Late))
+        self.lateness = Lateness(fact for fact in history.facts if isinstance(fact, Late))
         self.messages: dict[str, Message] = {}
         self.calls: list[Call] = []
         self.probes: list[Probe] = []
         self.told: dict[tuple[str, str], list[Told]] = defaultdict(list)
         self.lives: dict[str, list[Life]] = defaultdict(list)
         self.outages: list[Outage] = []
-        self.strange: list[Strange] = []
+        self.violations: list[Strange] = []
         self._sort()
-        self.away = {courier: _away(lives, history.end_us) for courier, lives in self.lives.items()}
+        self.unavailable = {courier: _unavailable_spans(lives, history.end_us) for courier, lives in self.lives.items()}
 
     def _sort(self) -> None:
         notices: list[Notice] = []
@@ -115,7 +115,7 @@
                 case Outage():
                     self.outages.append(fact)
                 case Strange():
-                    self.strange.append(fact)
+                    self.violations.append(fact)
         self.calls.sort(key=lambda call: call.last_us)
         for told in self.told.values():
             told.sort(key=lambda row: row.at_us)
@@ -133,15 +133,15 @@
                 message.notices.append(notice)
 
 
-def _away(lives: list[Life], end_us: int) -> list[tuple[int, int]]:
+def _unavailable_spans(lives: list[Life], end_us: int) -> list[tuple[int, int]]:
     """When a courier was being restarted or stood still: from the signal until it was ready or went on."""
     spans: list[tuple[int, int]] = []
     since_us: int | None = None
     missing: set[Turn] = set()  # what has to come before it is whole again: a pause may lie within a restart
     for life in lives:
-        if life.turn in _WHOLE_AGAIN:
+        if life.turn in _RECOVERED_BY:
             since_us = life.at_us if since_us is None else since_us
-            missing.add(_WHOLE_AGAIN[life.turn])
+            missing.add(_RECOVERED_BY[life.turn])
         elif life.turn in missing:
             missing = set() if life.turn is Turn.READY else missing - {life.turn}
             if not missing and since_us is not None:
--- a/wheelstep/rehearsal/judge.py
+++ b/wheelstep/rehearsal/judge.py
@@ -29,9 +29,9 @@
     for rule in Rule:
         broken = any(finding.rule is rule for finding in findings)
         rulings[rule] = Ruling.BROKEN if broken else Ruling.KEPT
-    if evidence.late.most_us > MOST_LATE_US:
+    if evidence.lateness.max_us > MOST_LATE_US:
         rulings = dict.fromkeys(Rule, Ruling.INCONCLUSIVE)
-    return Verdict(rulings, tuple(findings), evidence.late.most_us, evidence.late.who)
+    return Verdict(rulings, tuple(findings), evidence.lateness.max_us, evidence.lateness.who)
 
 
 def _findings(evidence: Evidence) -> list[Finding]:
--- a/wheelstep/rehearsal/rules/__init__.py
+++ b/wheelstep/rehearsal/rules/__init__.py
@@ -1,4 +1,4 @@
-"""One file for each rule of the judge. Each has `findings`: the breaches that the evidence shows.
+"""The judge's rules, one file each. Each has `findings`, which yields the violations found in the evidence.
 
-They import `evidence`, `verdict` and `history`, and nothing of each other.
+They import `evidence`, `verdict`, `history` and `warmth`, but not each other.
 """
--- a/wheelstep/rehearsal/rules/drains.py
+++ b/wheelstep/rehearsal/rules/drains.py
@@ -1,4 +1,4 @@
-"""Rule 3: no call begins at an endpoint that a courier was told to leave."""
+"""Rule 3: no call starts at an endpoint after the courier was told that it is draining or deleted."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from wheelstep.rehearsal.verdict import Finding, Rule
 
 
-def findings(e: Evidence) -> Iterable[Finding]:
-    """Calls that began too long after a drain was told."""
-    for call in e.calls:
-        rows = e.told.get((call.courier, call.endpoint), [])
+def findings(evidence: Evidence) -> Iterable[Finding]:
+    """Yield calls that started later than the grace period after discovery announced a drain or removal."""
+    for call in evidence.calls:
+        rows = evidence.told.get((call.courier, call.endpoint), [])
         before = [row for row in rows if row.at_us <= call.first_us]
         since_us: int | None = None
         for row in before:
@@ -21,11 +21,12 @@
                 since_us = row.at_us
         if since_us is None:
             continue
-        for begin, end in e.away.get(call.courier, ()):  # a process that stands still hears nothing
+        for begin, end in evidence.unavailable.get(call.courier, ()):  # a stopped or restarting process gets no news
             if begin <= since_us <= end:
                 since_us = end
-        until_us = since_us + e.figures.drain_grace_us + e.figures.socket_slack_us + e.late.near(call.first_us)
+        until_us = since_us + evidence.figures.drain_grace_us + evidence.figures.socket_slack_us \
+            + evidence.lateness.around(call.first_us)
         if call.first_us > until_us:
             yield Finding(Rule.DRAINS, call.first_us, call.courier,
-                          f"a call began at {call.endpoint} {millis(call.first_us - since_us)} after it was told "
-                          f"to be {before[-1].state}", call.messages, (call,))
+                          f"call started at {call.endpoint} {millis(call.first_us - since_us)} after the courier "
+                          f"was told {before[-1].state}", call.messages, (call,))
--- a/wheelstep/rehearsal/rules/lost.py
+++ b/wheelstep/rehearsal/rules/lost.py
@@ -1,4 +1,4 @@
-"""Rule 1: every message that was taken on is delivered, or its one end is told in time."""
+"""Rule 1: every accepted message is delivered or gets one notification, in time."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from wheelstep.rehearsal.verdict import Finding, Rule
 
 
-def findings(e: Evidence) -> Iterable[Finding]:
-    """Messages with no end, a late end, or two."""
-    for name, message in e.messages.items():
-        courier = message.handed.courier
+def findings(evidence: Evidence) -> Iterable[Finding]:
+    """Yield messages with no terminal outcome, a late one or two different ones, and clients without an answer."""
+    for name, message in evidence.messages.items():
+        courier = message.submission.courier
         answer = message.answer
-        if answer is not None and answer.end is End.ENDED and not _died_near(e, courier, message):
+        if answer is not None and answer.end is End.ENDED and not _unavailable_around(evidence, courier, message):
             yield Finding(Rule.LOST, answer.at_us, courier,
-                          "its client's connection was ended with no answer", (name,))
-        if not message.taken:
+                          "the client's connection was closed without an answer", (name,))
+        if not message.accepted:
             continue
-        due_us = message.handed.deadline_us + e.figures.answer_slack_us + e.figures.socket_slack_us
-        for begin, end in e.away.get(courier, ()):
-            if begin <= due_us <= end + e.figures.restart_grace_us:
-                due_us = end + e.figures.restart_grace_us
-        due_us += e.late.near(due_us)
-        ended_us = message.ended_us()
-        if ended_us is None and due_us <= e.history.end_us:
+        due_us = message.submission.deadline_us + evidence.figures.answer_slack_us + evidence.figures.socket_slack_us
+        for begin, end in evidence.unavailable.get(courier, ()):
+            if begin <= due_us <= end + evidence.figures.restart_grace_us:
+                due_us = end + evidence.figures.restart_grace_us
+        due_us += evidence.lateness.around(due_us)
+        ended_us = message.outcome_us()
+        if ended_us is None and due_us <= evidence.history.end_us:
             yield Finding(Rule.LOST, due_us, courier,
-                          f"taken on at {seconds(message.handed.at_us)}, neither delivered nor ended by its time",
+                          f"accepted at {seconds(message.submission.at_us)}, no terminal outcome in time",
                           (name,), tuple(message.calls))
         elif ended_us is not None and ended_us > due_us:
-            yield Finding(Rule.LOST, ended_us, courier, f"ended {millis(ended_us - due_us)} after it was due",
+            yield Finding(Rule.LOST, ended_us, courier, f"terminal outcome {millis(ended_us - due_us)} late",
                           (name,), tuple(message.calls))
         outcomes = {notice.outcome for notice in message.notices}
         if len(outcomes) > 1:
             yield Finding(Rule.LOST, message.notices[-1].at_us, courier,
-                          f"two ends were told: {', '.join(sorted(outcomes))}", (name,))
+                          f"two different terminal outcomes: {', '.join(sorted(outcomes))}", (name,))
 
 
-def _died_near(e: Evidence, courier: str, message: Message) -> bool:
+def _unavailable_around(evidence: Evidence, courier: str, message: Message) -> bool:
     assert message.answer is not None
     return any(begin - 100_000 <= message.answer.at_us <= end + 100_000
-               for begin, end in e.away.get(courier, ()))
+               for begin, end in evidence.unavailable.get(courier, ()))
