--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from wheelstep.rehearsal.broken import BUILDS
+from wheelstep.rehearsal.broken import BROKEN_COURIERS
 
 ROOT = Path(__file__).parent.parent
 STUB = Path(__file__).parent / "stub_courier.py"
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("scenario,build", CAUGHT)
 def test_a_broken_courier_is_caught_and_its_breach_named(scenario: str, build: str) -> None:
     code, report = rehearse("run", scenario, "--broken", build)
-    rule = BUILDS[build].rule.name.lower()
+    rule = BROKEN_COURIERS[build].rule.name.lower()
     assert code == 1 and report["verdict"]["rules"][rule] == "broken"
     found = [finding for finding in report["findings"] if finding["rule"] == rule]
     assert found and found[0]["what"]
--- a/wheelstep/cli/commands.py
+++ b/wheelstep/cli/commands.py
@@ -14,7 +14,7 @@
 from wheelstep.operator import OperatorError
 from wheelstep.recording.format import RecordError
 from wheelstep.rehearsal import rig, scenario
-from wheelstep.rehearsal.broken import BUILDS
+from wheelstep.rehearsal.broken import BROKEN_COURIERS
 from wheelstep.rehearsal.historyfile import HistoryError
 from wheelstep.rehearsal.plan import draw
 from wheelstep.rehearsal.replay import replay
@@ -66,7 +66,8 @@
     for name, text in scenario.shipped().items():
         found = scenario.parse(text, f"{name}.toml")
         rows.append(("scenario", name, found.rule, f"{found.title} ({found.length / 1e6:.0f} s)"))
-    rows += [("broken courier", name, build.rule.name.lower(), build.what) for name, build in BUILDS.items()]
+    rows += [("broken courier", name, courier.rule.name.lower(), courier.description)
+             for name, courier in BROKEN_COURIERS.items()]
     Screen(args.json).rows(("what", "name", "rule", "about"), rows)
     return OK
 
--- a/wheelstep/cli/matrix_commands.py
+++ b/wheelstep/cli/matrix_commands.py
@@ -11,7 +11,7 @@
 
 from wheelstep.cli.exits import OK, InputError
 from wheelstep.rehearsal import rig, scenario
-from wheelstep.rehearsal.broken import BUILDS
+from wheelstep.rehearsal.broken import BROKEN_COURIERS
 from wheelstep.rehearsal.judge import Ruling
 from wheelstep.rehearsal.report import EXITS, Screen
 
@@ -26,13 +26,13 @@
     for name in names:
         rule = scenario.find(name)[1].rule
         pairs.append((name, ""))
-        pairs += [(name, build) for build, about in BUILDS.items()
-                  if not args.own or about.rule.name.lower() == rule]
+        pairs += [(name, broken) for broken, courier in BROKEN_COURIERS.items()
+                  if not args.own or courier.rule.name.lower() == rule]
     found = asyncio.run(_play_all(pairs, args.repeat, args.jobs, args.seed))
     screen = Screen(args.json)
     screen.rows(("scenario", "courier", "kept", "broken", "inconclusive", "rules broken"),
-                [(name, build or "ours", *(str(counts.get(code, 0)) for code in (0, 1, 3)), ", ".join(rules))
-                 for (name, build), (counts, rules) in found.items()])
+                [(name, broken or "ours", *(str(counts.get(code, 0)) for code in (0, 1, 3)), ", ".join(rules))
+                 for (name, broken), (counts, rules) in found.items()])
     wrong = [pair for pair, (counts, _) in found.items() if not pair[1] and counts.get(1)]
     return EXITS[Ruling.BROKEN] if wrong else OK
 
--- a/wheelstep/cli/playing.py
+++ b/wheelstep/cli/playing.py
@@ -14,7 +14,7 @@
 from wheelstep.recording.format import Record, RecordError
 from wheelstep.recording.format import read as load_record
 from wheelstep.rehearsal import rig
-from wheelstep.rehearsal.broken import BUILDS
+from wheelstep.rehearsal.broken import BROKEN_COURIERS
 from wheelstep.rehearsal.historyfile import dump
 from wheelstep.rehearsal.judge import Ruling, judge
 from wheelstep.rehearsal.plan import Plan
@@ -26,8 +26,9 @@
 def courier_command(args: argparse.Namespace) -> tuple[str, str]:
     """Return the courier's command and its name in reports. Raises `InputError` for an invalid choice."""
     if args.broken is not None:
-        if args.broken not in BUILDS:
-            raise InputError(f"--broken: no broken courier {args.broken!r}; expected one of {', '.join(BUILDS)}")
+        if args.broken not in BROKEN_COURIERS:
+            raise InputError(f"--broken: no broken courier {args.broken!r}; expected one of "
+                             f"{', '.join(BROKEN_COURIERS)}")
         return rig.module_command("wheelstep.rehearsal.broken", args.broken), f"broken: {args.broken}"
     if args.front == "standalone":
         return rig.module_command("wheelstep.rehearsal.fronts.standalone"), "ours, standalone"
--- a/wheelstep/rehearsal/broken/__init__.py
+++ b/wheelstep/rehearsal/broken/__init__.py
@@ -1,7 +1,7 @@
-"""Couriers made to break one rule each: ours with one behaviour replaced, to show that the kit catches them.
+"""Couriers that break one rule each: our courier with one behaviour replaced. They show that the judge detects it.
 
-`python -m wheelstep.rehearsal.broken NAME` runs one. This package alone of the kit imports the daemon, and only
-in the courier's own process. One module a rule.
+`python -m wheelstep.rehearsal.broken NAME` runs one. The modules of this package import the daemon and patch it in
+the courier's own process, one module per rule; the package itself and the rest of the kit don't import the daemon.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """One broken courier: the rule it breaks, and what it does wrong."""
+class BrokenCourier:
+    """A broken courier: the rule that it breaks and its wrong behaviour."""
 
     rule: Rule
-    what: str
-
-
-BUILDS: dict[str, Broken] = {
-    "answers-only": Broken(Rule.LOST, "answers 202 and does nothing more"),
-    "drops-on-kill": Broken(Rule.LOST, "writes nothing down: what it held is gone after SIGKILL"),
-    "drops-on-term": Broken(Rule.LOST, "leaves nothing for the next process after SIGTERM"),
-    "two-ends": Broken(Rule.LOST, "tells each end twice, differently"),
-    "pays-after-reset": Broken(Rule.TWICE, "takes a broken connection for proof that nothing ran"),
-    "pays-after-restart": Broken(Rule.TWICE, "forgets over a restart that calls were out"),
-    "forgets-key-life": Broken(Rule.TWICE, "repeats a keyed message after its key was forgotten"),
-    "hands-back-what-ran": Broken(Rule.TWICE, "hands back, safe to come again, what may have run"),
-    "ignores-drains": Broken(Rule.DRAINS, "takes a draining endpoint for one that serves"),
-    "late-lists": Broken(Rule.DRAINS, "heeds changes of the list 1.5 s late"),
-    "keeps-the-gone": Broken(Rule.DRAINS, "goes on calling endpoints that are gone"),
-    "rushes-back": Broken(Rule.RETURNS, "goes back to full rate with the first success"),
-    "warms-too-fast": Broken(Rule.RETURNS, "takes a cold endpoint for a warm one"),
-    "never-backs-off": Broken(Rule.RETURNS, "goes on calling through an outage at full rate"),
-    "no-rest": Broken(Rule.ORDER, "lets no key rest after a break or time-out"),
-    "no-order-over-restart": Broken(Rule.ORDER, "forgets the order of keys over a restart"),
-    "ignores-keys": Broken(Rule.ORDER, "sends messages of one key side by side"),
-    "heeds-for-one": Broken(Rule.WAITS, "heeds a wait for the message that was refused only"),
-    "halves-waits": Broken(Rule.WAITS, "heeds half of each wait"),
-    "waits-at-one-endpoint": Broken(Rule.WAITS, "heeds a wait at the one endpoint that told it"),
+    description: str
+
+
+BROKEN_COURIERS: dict[str, BrokenCourier] = {
+    "answers-only": BrokenCourier(Rule.LOST, "answers 202 and drops the message"),
+    "drops-on-kill": BrokenCourier(Rule.LOST, "writes no journal: accepted messages are lost at SIGKILL"),
+    "drops-on-term": BrokenCourier(Rule.LOST, "empties its journal at SIGTERM"),
+    "two-ends": BrokenCourier(Rule.LOST, "sends each notification twice, with different outcomes"),
+    "pays-after-reset": BrokenCourier(Rule.TWICE, "treats a reset connection as proof that the call did not run"),
+    "pays-after-restart": BrokenCourier(Rule.TWICE, "forgets at a restart that calls were in progress"),
+    "forgets-key-life": BrokenCourier(Rule.TWICE, "repeats a keyed message after the partner forgot its key"),
+    "hands-back-what-ran": BrokenCourier(Rule.TWICE, "hands messages back as safe to repeat that may have run"),
+    "ignores-drains": BrokenCourier(Rule.DRAINS, "treats a draining endpoint as serving"),
+    "late-lists": BrokenCourier(Rule.DRAINS, "applies changes of the endpoint list 1.5 s late"),
+    "keeps-the-gone": BrokenCourier(Rule.DRAINS, "keeps calling removed endpoints"),
+    "rushes-back": BrokenCourier(Rule.RETURNS, "returns to full rate at the first success"),
+    "warms-too-fast": BrokenCourier(Rule.RETURNS, "treats a cold endpoint as warm"),
+    "never-backs-off": BrokenCourier(Rule.RETURNS, "keeps calling at full rate during an outage"),
+    "no-rest": BrokenCourier(Rule.ORDER, "sends a key's next message right after a reset or timeout"),
+    "no-order-over-restart": BrokenCourier(Rule.ORDER, "forgets the order of keys at a restart"),
+    "ignores-keys": BrokenCourier(Rule.ORDER, "sends messages of one key concurrently"),
+    "heeds-for-one": BrokenCourier(Rule.WAITS, "applies a wait only to the rejected message"),
+    "halves-waits": BrokenCourier(Rule.WAITS, "waits half the announced time"),
+    "waits-at-one-endpoint": BrokenCourier(Rule.WAITS, "applies a wait only to the endpoint that announced it"),
 }
--- a/wheelstep/rehearsal/broken/__main__.py
+++ b/wheelstep/rehearsal/broken/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one broken courier: the first argument is its name."""
+"""Run the broken courier named by the first argument."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from wheelstep.courier import __main__ as courier
-from wheelstep.rehearsal.broken import BUILDS, drains, lost, order, returns, twice, waits
+from wheelstep.rehearsal.broken import BROKEN_COURIERS, drains, lost, order, returns, twice, waits
 
-_BREAKERS: dict[str, Callable[[], None]] = {
+_PATCHES: dict[str, Callable[[], None]] = {
     "answers-only": lost.answers_only, "drops-on-kill": lost.drops_on_kill, "drops-on-term": lost.drops_on_term,
     "two-ends": lost.two_ends,
     "pays-after-reset": twice.pays_after_reset, "pays-after-restart": twice.pays_after_restart,
@@ -25,12 +25,12 @@
 
 
 def main() -> int:
-    """Break the courier as named, and run it."""
+    """Patch the courier as named and run it; return its exit code, or 2 for an unknown name."""
     name = sys.argv[1] if len(sys.argv) == 2 else ""
-    if name not in BUILDS:
-        print(f"no broken courier {name!r}; expected one of {', '.join(BUILDS)}", file=sys.stderr)
+    if name not in BROKEN_COURIERS:
+        print(f"no broken courier {name!r}; expected one of {', '.join(BROKEN_COURIERS)}", file=sys.stderr)
         return 2
-    _BREAKERS[name]()
+    _PATCHES[name]()
     return courier.main()
 
 
--- a/wheelstep/rehearsal/broken/drains.py
+++ b/wheelstep/rehearsal/broken/drains.py
@@ -1,4 +1,4 @@
-"""Couriers that don't keep drains."""
+"""Couriers that call draining or removed endpoints."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from wheelstep.courier.config import Address
 from wheelstep.courier.core import Core
 
-_LATE_S = 1.5
+_DELAY_S = 1.5
 
 
 def ignores_drains() -> None:
-    """DRAINING reads as SERVING."""
+    """Read DRAINING as SERVING."""
     config._STATES["DRAINING"] = api.EndpointState.UP
 
 
 def keeps_the_gone() -> None:
-    """DELETED reads as SERVING."""
+    """Read DELETED as SERVING."""
     config._STATES["DELETED"] = api.EndpointState.UP
 
 
 def late_lists() -> None:
-    """Changes of the list take effect late."""
+    """Apply changes of the endpoint list late."""
     listed = Core.listed
 
-    def late(self: Core, kind: api.ListKind, rows: list[tuple[api.EndpointInfo, Address]]) -> None:
+    def delayed(self: Core, kind: api.ListKind, rows: list[tuple[api.EndpointInfo, Address]]) -> None:
         if kind is api.ListKind.CHANGES:
-            asyncio.get_running_loop().call_later(_LATE_S, listed, self, kind, rows)
+            asyncio.get_running_loop().call_later(_DELAY_S, listed, self, kind, rows)
         else:
             listed(self, kind, rows)
 
-    Core.listed = late  # type: ignore[method-assign]
+    Core.listed = delayed  # type: ignore[method-assign]
--- a/wheelstep/rehearsal/broken/lost.py
+++ b/wheelstep/rehearsal/broken/lost.py
@@ -11,12 +11,12 @@
 
 
 def answers_only() -> None:
-    """202, and nothing more."""
+    """Answer 202 and never start a message."""
     Core.begin = lambda self, name: None  # type: ignore[method-assign]
 
 
 def drops_on_kill() -> None:
-    """Only memory holds what was taken on."""
+    """Keep accepted messages in memory only."""
 
     def append(self: Log, data: bytes) -> Segment:
         if not self.segments:
@@ -27,7 +27,7 @@
 
 
 def drops_on_term() -> None:
-    """The journal is emptied on an orderly way out."""
+    """Empty the journal at an orderly shutdown."""
     close = Journal.close
 
     def empty(self: Journal) -> None:
@@ -39,7 +39,7 @@
 
 
 def two_ends() -> None:
-    """Each notice goes out twice, the second time with the other end."""
+    """Send each notification twice, the second time with the other outcome."""
     post = Notifier._post
 
     async def twice(self: Notifier, body: bytes) -> bool:
--- a/wheelstep/rehearsal/broken/order.py
+++ b/wheelstep/rehearsal/broken/order.py
@@ -1,4 +1,4 @@
-"""Couriers that don't keep the order of keys."""
+"""Couriers that break the order of keys."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def no_rest() -> None:
-    """A key goes on at once after a time-out, a reset or a cancel."""
+    """Continue a key at once after a timeout, a reset or a cancellation."""
     change_settings(lambda settings: dataclasses.replace(settings, order_settle_us=0))
 
 
@@ -25,30 +25,30 @@
     restoring = []
     restore = Core.restore
 
-    def note(self: Core, marks: Mapping[str, Any], messages: Iterable[StoredMessage],
-             calls: Sequence[OpenCall] = (), settling: Mapping[str, int] | None = None,
-             owned_since_s: float | None = None) -> None:
+    def restore_noted(self: Core, marks: Mapping[str, Any], messages: Iterable[StoredMessage],
+                      calls: Sequence[OpenCall] = (), settling: Mapping[str, int] | None = None,
+                      owned_since_s: float | None = None) -> None:
         restoring.append(self)
         restore(self, marks, messages, calls, settling, owned_since_s)
         restoring.clear()
 
-    def unguarded(self: SendGuard, message: StoredMessage, item: Item, now_s: float) -> bool:
+    def always_may_send(self: SendGuard, message: StoredMessage, item: Item, now_s: float) -> bool:
         return True
 
-    def keyless(self: Core, message: StoredMessage, resubmitted: bool) -> api.MessageAccepted:
+    def accepted_without_key(self: Core, message: StoredMessage, resubmitted: bool) -> api.MessageAccepted:
         event = accepted(self, message, resubmitted)
         return dataclasses.replace(event, key=None) if restoring or not only_restored else event
 
-    SendGuard.may_send = unguarded  # type: ignore[method-assign]
-    Core.restore = note  # type: ignore[method-assign]
-    Core._accepted = keyless  # type: ignore[method-assign]
+    SendGuard.may_send = always_may_send  # type: ignore[method-assign]
+    Core.restore = restore_noted  # type: ignore[method-assign]
+    Core._accepted = accepted_without_key  # type: ignore[method-assign]
 
 
 def no_order_over_restart() -> None:
-    """Messages that are restored have no key."""
+    """Restore messages without their keys."""
     _forget_keys(only_restored=True)
 
 
 def ignores_keys() -> None:
-    """No message has a key."""
+    """Accept and restore messages without their keys."""
     _forget_keys(only_restored=False)
--- a/wheelstep/rehearsal/broken/patch.py
+++ b/wheelstep/rehearsal/broken/patch.py
@@ -1,4 +1,4 @@
-"""How a behaviour of the courier is replaced before it starts."""
+"""Replaces the courier's settings before it starts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def change_settings(change: Callable[[api.Settings], api.Settings]) -> None:
-    """The courier reads its settings changed so."""
+    """Make the courier apply `change` to its settings whenever it loads its configuration."""
     courier = importlib.import_module("wheelstep.courier.__main__")
     load = courier.load
 
--- a/wheelstep/rehearsal/broken/twice.py
+++ b/wheelstep/rehearsal/broken/twice.py
@@ -1,4 +1,4 @@
-"""Couriers that let effects happen twice."""
+"""Couriers that cause an effect twice."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def pays_after_reset() -> None:
-    """A connection that broke after the last byte counts as one that never came up."""
+    """Treat a connection reset after the request's last byte as one that was never opened."""
     ended_by = Progress.ended_by
 
     def never_ran(self: Progress, outcome: Outcome) -> Outcome:
@@ -22,7 +22,7 @@
 
 
 def pays_after_restart() -> None:
-    """What was out when the process ended counts as never sent."""
+    """Treat calls in progress at the end of the process as never sent."""
     def never_ran(self: StoredMessage, except_attempt: int | None = None) -> None:
         return None
 
@@ -30,13 +30,13 @@
 
 
 def forgets_key_life() -> None:
-    """Keys are taken to be known for good."""
+    """Assume that partners remember keys for an hour."""
     change_settings(lambda settings: dataclasses.replace(settings, classes=tuple(
         dataclasses.replace(cls, key_ttl_us=3_600_000_000) for cls in settings.classes)))
 
 
 def hands_back_what_ran() -> None:
-    """Every end is told as a refusal that is safe to repeat."""
+    """Send every notification as `handed_back`, which is safe to repeat."""
     end = Dispatcher._end
 
     def handed_back(self: Dispatcher, message: StoredMessage, outcome: str, retry_ms: int,
--- a/wheelstep/rehearsal/broken/waits.py
+++ b/wheelstep/rehearsal/broken/waits.py
@@ -1,4 +1,4 @@
-"""Couriers that don't heed waits."""
+"""Couriers that ignore announced waits."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 
 
 def heeds_for_one() -> None:
-    """Only the message that was refused waits."""
+    """Apply a wait only to the rejected message."""
     judge = Sender._judge
 
-    def deaf(self: Sender, call: Call, destination: Destination, event: api.AttemptEnded, retried: bool) -> None:
+    def without_wait(self: Sender, call: Call, destination: Destination, event: api.AttemptEnded,
+                     retried: bool) -> None:
         judge(self, call, destination, dataclasses.replace(event, wait_us=0), retried)
 
-    Sender._judge = deaf  # type: ignore[method-assign,assignment]
+    Sender._judge = without_wait  # type: ignore[method-assign,assignment]
     Core.apply_wait = lambda self, endpoint, wait_us: None  # type: ignore[method-assign]
 
 
 def halves_waits() -> None:
-    """A wait ends at its half."""
+    """Halve each wait."""
     wait_us = form.wait_us
     form.wait_us = lambda text: wait_us(text) // 2
 
 
 def waits_at_one_endpoint() -> None:
-    """Endpoints that share a wait count as separate routes."""
+    """Treat all endpoints as separate routes, which share no wait."""
     change_settings(lambda settings: dataclasses.replace(settings, kinds=tuple(
         dataclasses.replace(kind, routes_apart=True) for kind in settings.kinds)))
--- a/wheelstep/rehearsal/fronts/__init__.py
+++ b/wheelstep/rehearsal/fronts/__init__.py
@@ -1,4 +1,4 @@
-"""Our daemon behind its other fronts, made to keep to the RELAY_* environment so that the rig can play it.
+"""Other fronts of our daemon, adapted to the RELAY_* environment so that the rig can play them.
 
-Only imported in a courier's own process: these modules import the daemon.
+These modules import the daemon, so they are imported only in a courier's own process.
 """
--- a/wheelstep/rehearsal/fronts/standalone.py
+++ b/wheelstep/rehearsal/fronts/standalone.py
@@ -1,7 +1,8 @@
 """A standalone courier for the rig: `python -m wheelstep.rehearsal.fronts.standalone`.
 
-What the rig's configuration says becomes an operator's file; each change of discovery's list is another file, replaced
-by rename, and a reload. The rig's clients name no token and are the open tenant; ends are told in the platform's form.
+The rig's configuration is translated into an operator's file; each change of discovery's list rewrites the file by
+rename and reloads it. The rig's clients send no token and belong to the open tenant; notifications have the platform's
+format.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 _EFFECTS = {"repeatable": "safe", "by_key": "keyed", "once": "unsafe"}
 
 
-def file_of(config: Config, rows: Mapping[str, Row]) -> str:
-    """The operator's file that says the same."""
-    info: Mapping[str, Any] = config.raw_settings
-    caps, rules, specifics = info.get("caps", {}), info.get("rules", {}), info["specifics"]
+def operator_file(config: Config, rows: Mapping[str, Row]) -> str:
+    """Return the operator's file that is equivalent to the rig's configuration and the list's rows."""
+    settings: Mapping[str, Any] = config.raw_settings
+    caps, rules, specifics = settings.get("caps", {}), settings.get("rules", {}), settings["specifics"]
     lines = [f"listen = {_text(f'{config.listen.host}:{config.listen.port}')}",
              f"notify = {_text(f'{config.discovery.host}:{config.discovery.port}')}",
              f"state = {_text(str(config.state))}",
@@ -39,18 +40,18 @@
              f"cold_from = {float(rules['cold_from'])}", f"fall_multiple = {float(rules['fall_multiple'])}",
              f"fall_for = {_time(rules['overload_for_us'])}", f"drain_grace = {_time(rules['drain_grace_us'])}",
              f"probes = {json.dumps(bool(caps.get('may_probe')))}"]
-    for row in info["services"]:
+    for row in settings["services"]:
         lines += [f"[class.{row['name']}]", f"effect = {_text(_EFFECTS[row['effect']])}",
                   f"aim = {_time(row['promise_us'])}", f"deadline = {_time(row['deadline_us'])}",
                   f"worth = {float(row['worth'])}", f"late_worth = {float(row['late_value'])}",
                   f"key_life = {_time(row['key_ttl_us'])}", f"ordered = {json.dumps(bool(row['by_arrival']))}"]
-    # Destinations that the list once named stay: what is held for them waits for endpoints.
+    # A destination stays when its last endpoint is removed: its accepted messages wait for another.
     destinations: dict[int, list[Row]] = {}
-    for row_ in rows.values():
-        destinations.setdefault(row_[0].destination, []).append(row_)
-    for number, mine in sorted(destinations.items()):
-        kind = mine[0][0].kind
-        listed = [row for row in mine if row[0].state is not api.EndpointState.REMOVED]
+    for entry in rows.values():
+        destinations.setdefault(entry[0].destination, []).append(entry)
+    for number, group in sorted(destinations.items()):
+        kind = group[0][0].kind
+        listed = [row for row in group if row[0].state is not api.EndpointState.REMOVED]
         draining = [row for row in listed if row[0].state is api.EndpointState.DRAINING]
         lines += [f"[destination.d{number}]", f"endpoints = {_addresses(listed)}", f"drain = {_addresses(draining)}",
                   f"batch = {specifics['per_call'][kind]}",
@@ -66,8 +67,8 @@
     return json.dumps(value)
 
 
-def _time(span_us: int) -> str:
-    return _text(f"{span_us}us")
+def _time(duration_us: int) -> str:
+    return _text(f"{duration_us}us")
 
 
 def _addresses(rows: list[Row]) -> str:
@@ -75,43 +76,43 @@
 
 
 class Front:
-    """One courier, and the list that its file follows."""
+    """A standalone courier whose file follows discovery's list."""
 
     def __init__(self, config: Config) -> None:
         self._config = config
         self._path = config.state.parent / "standalone.toml"
         self._rows: dict[str, Row] = {info.endpoint: (info, address)
                                       for info, address in entries(config.known, config.names)}
-        self._renewed = asyncio.Event()
+        self._reload = asyncio.Event()
         self._write()
 
     def _write(self) -> None:
-        fresh = self._path.with_suffix(".new")
-        fresh.write_text(file_of(self._config, self._rows), encoding="utf-8")
-        fresh.replace(self._path)
+        temporary = self._path.with_suffix(".new")
+        temporary.write_text(operator_file(self._config, self._rows), encoding="utf-8")
+        temporary.replace(self._path)
 
-    def _listed(self, kind: api.ListKind, rows: list[tuple[api.EndpointInfo, Address]]) -> None:
+    def _apply_list(self, kind: api.ListKind, rows: list[tuple[api.EndpointInfo, Address]]) -> None:
         if kind is not api.ListKind.CHANGES:
-            named = {info.endpoint for info, _ in rows}
-            self._rows = {name: row if name in named else (api.EndpointInfo(
+            present = {info.endpoint for info, _ in rows}
+            self._rows = {name: row if name in present else (api.EndpointInfo(
                 name, row[0].destination, row[0].kind, state=api.EndpointState.REMOVED), row[1])
                 for name, row in self._rows.items()}
         self._rows.update((info.endpoint, (info, address)) for info, address in rows)
         self._write()
-        self._renewed.set()
+        self._reload.set()
 
     async def run(self) -> None:
-        """Until SIGTERM."""
+        """Serve until SIGTERM."""
         courier = serve.Courier(self._path, model.load(self._path))
         async with asyncio.TaskGroup() as group:
-            watch = Watch(self._config.discovery, self._config.names, 0, self._listed)
-            following = group.create_task(watch.run())
-            await courier.serve(self._renewed)
-            following.cancel()
+            watch = Watch(self._config.discovery, self._config.names, 0, self._apply_list)
+            watching = group.create_task(watch.run())
+            await courier.serve(self._reload)
+            watching.cancel()
 
 
 def main() -> int:
-    """Run it as the environment says."""
+    """Run the courier that the RELAY_* environment describes."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO,
                         format="%(asctime)s %(levelname)s %(name)s %(message)s")
 
