--- a/benchmarks/wide_day.py
+++ b/benchmarks/wide_day.py
@@ -16,7 +16,7 @@
 from wheelstep.rehearsal import rig
 from wheelstep.rehearsal.judge import judge
 from wheelstep.rehearsal.plan import draw
-from wheelstep.rehearsal.report import share
+from wheelstep.rehearsal.report import worth_share
 from wheelstep.rehearsal.scenario import parse
 from wheelstep.rehearsal.worth import tally
 
@@ -90,7 +90,7 @@
         verdict = judge(played.history)
         rows = tally(played.history)
         print(f"seed {seed}: {len(plan.arrivals)} messages, {verdict.ruling.value}, the machine "
-              f"{verdict.late_us / 1000:.0f} ms late at most; {share(rows.values()):.1%} of the worth, delivered "
+              f"{verdict.late_us / 1000:.0f} ms late at most; {worth_share(rows.values()):.1%} of the worth, delivered "
               + ", ".join(f"{row.delivered} of {row.messages} {name}" for name, row in rows.items()), flush=True)
         for finding in verdict.findings[:5]:
             print(f"  {finding.rule.name.lower()} {finding.at_us / 1e6:.3f} s {finding.courier}: {finding.text}")
--- a/tests/test_journal_crashes.py
+++ b/tests/test_journal_crashes.py
@@ -17,7 +17,7 @@
 from wheelstep.journal.segments import segment_file_name
 from wheelstep.rehearsal.faulty_disk import FaultyDisk, Inode
 from wheelstep.rehearsal.journal_model import (
-    LIMIT,
+    JOURNAL_BYTES,
     MismatchError,
     View,
     crash_between_syncs,
@@ -118,7 +118,7 @@
         journal.end(name, "given_up", 0)
     for name in names:
         journal.over(name)
-    assert disk.used() <= LIMIT and not journal.messages
+    assert disk.used() <= JOURNAL_BYTES and not journal.messages
     journal.close()
     assert not open_journal(disk.after_crash(power=False), SyncPolicy.NONE).messages
 
@@ -129,7 +129,7 @@
     for number in range(1_000):
         journal.attempt("m", number, 5 + number, "e0")
         journal.outcome("m", number, number == 500)
-    assert disk.used() <= LIMIT
+    assert disk.used() <= JOURNAL_BYTES
     again = open_journal(disk.after_crash(power=False), SyncPolicy.NONE)
     assert (again.messages["m"].attempts, again.messages["m"].ran_ms) == (1_000, 505)
 
@@ -400,7 +400,7 @@
         assert 1 <= syncs <= 3
         lost = disk.after_crash(power=True)
         assert len(open_journal(lost, SyncPolicy.GROUP).messages) == 51
-        slow = Journal(FaultyDisk(), LIMIT, SyncPolicy.GROUP, wait_s=0.0)
+        slow = Journal(FaultyDisk(), JOURNAL_BYTES, SyncPolicy.GROUP, wait_s=0.0)
         slow.take(message("m"))
         with pytest.raises(NoRoomError, match="no sync within"):
             await slow.durable()
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge against synthetic histories: a clean one is never faulted, one with a planted breach always is."""
+"""The judge on synthetic histories: a clean one has no findings, one with a planted violation always has."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     Turn,
 )
 from wheelstep.rehearsal.historyfile import HistoryError, dump, load
-from wheelstep.rehearsal.judge import MOST_LATE_US, Rule, Ruling, judge
+from wheelstep.rehearsal.judge import MAX_LATENESS_US, Rule, Ruling, judge
 
 MS, S = 1_000, 1_000_000
 FIGURES = Figures(
@@ -72,32 +72,32 @@
         return {finding.rule for finding in judge(self.history).findings}
 
 
-def test_a_plain_delivery_is_fine() -> None:
+def test_a_plain_delivery_has_no_findings() -> None:
     assert Scene().hand_in("m", 0).call("m", 10 * MS).broken() == set()
 
 
 # --- lost ---
 
-def test_a_message_with_no_end_is_lost() -> None:
+def test_a_message_without_an_outcome_is_lost() -> None:
     scene = Scene().hand_in("m", 0)
     assert scene.broken() == {Rule.LOST}
     assert judge(scene.history).findings[0].messages == ("m",)
 
 
-def test_an_end_that_comes_too_late_counts_as_lost() -> None:
+def test_a_late_outcome_counts_as_lost() -> None:
     assert Scene().hand_in("m", 0).notice("m", 6 * S + 349 * MS).broken() == set()
     assert Scene().hand_in("m", 0).notice("m", 6 * S + 351 * MS).broken() == {Rule.LOST}
 
 
-def test_what_is_not_due_at_the_end_is_not_lost() -> None:
+def test_a_message_not_due_by_the_end_is_not_lost() -> None:
     assert Scene(end_us=3 * S).hand_in("m", 0).broken() == set()
 
 
-def test_what_was_refused_at_the_door_is_owed_nothing() -> None:
+def test_a_rejected_message_needs_no_outcome() -> None:
     assert Scene().hand_in("m", 0, status=503).broken() == set()
 
 
-def test_a_restart_gives_time() -> None:
+def test_a_restart_extends_the_time_for_an_outcome() -> None:
     scene = Scene().hand_in("m", 0).notice("m", 9 * S)
     scene.add(Life(0, "c0", Turn.READY), Life(6 * S, "c0", Turn.KILLED), Life(8 * S, "c0", Turn.READY))
     assert scene.broken() == set()
@@ -106,12 +106,12 @@
     assert late.broken() == {Rule.LOST}
 
 
-def test_two_different_ends_break_it_and_the_same_twice_does_not() -> None:
+def test_two_different_outcomes_break_the_rule_but_not_the_same_one_twice() -> None:
     assert Scene().hand_in("m", 0).notice("m", S).notice("m", 2 * S).broken() == set()
     assert Scene().hand_in("m", 0).notice("m", S).notice("m", 2 * S, "handed_back").broken() == {Rule.LOST}
 
 
-def test_a_client_left_without_an_answer_is_lost_unless_the_courier_died() -> None:
+def test_a_client_without_an_answer_counts_as_lost_unless_the_courier_died() -> None:
     facts = (HandIn(S, "c0", "m", 0, "pay", 1, None, 7 * S), Answer(S + MS, "c0", "m", End.ENDED))
     assert Scene().add(*facts).broken() == {Rule.LOST}
     died = Scene().add(*facts, Life(0, "c0", Turn.READY), Life(S, "c0", Turn.KILLED), Life(2 * S, "c0", Turn.READY))
@@ -123,66 +123,66 @@
 @pytest.mark.parametrize("fate,how", [(Fate.FAILED, How.ANSWERED), (Fate.UNTOLD, How.RESET),
                                       (Fate.UNTOLD, How.CLOSED), (Fate.DELIVERED, How.ANSWERED),
                                       (Fate.UNTOLD, How.SPOILT), (Fate.UNTOLD, How.OPEN)])
-def test_an_unsafe_message_is_not_sent_again_after_what_may_have_run(fate: Fate, how: How) -> None:
+def test_an_unsafe_message_sent_again_after_a_call_that_may_have_run_breaks_the_rule(fate: Fate, how: How) -> None:
     scene = Scene().hand_in("m", 0).call("m", 10 * MS, fate, how=how).call("m", 200 * MS)
     assert Rule.TWICE in scene.broken()
     assert len(judge(scene.history).findings[0].calls) == 2
 
 
 @pytest.mark.parametrize("fate", [Fate.REFUSED, Fate.OVER, Fate.SPENT])
-def test_an_unsafe_message_goes_again_after_proof_that_it_never_ran(fate: Fate) -> None:
+def test_an_unsafe_message_may_be_sent_again_after_proof_that_it_never_ran(fate: Fate) -> None:
     assert Scene().hand_in("m", 0).call("m", 10 * MS, fate).call("m", 200 * MS).broken() == set()
 
 
-def test_a_copy_while_the_first_is_out_is_a_second_effect() -> None:
+def test_a_second_call_while_the_first_is_in_progress_breaks_the_rule() -> None:
     scene = Scene().hand_in("m", 0).call("m", 10 * MS, Fate.REFUSED, took_us=S).call("m", 200 * MS)
     assert scene.broken() == {Rule.TWICE}
 
 
-def test_a_refusal_of_what_may_have_run_breaks_it() -> None:
+def test_handing_back_a_message_that_may_have_run_breaks_the_rule() -> None:
     scene = Scene().hand_in("m", 0).call("m", 10 * MS, Fate.FAILED).notice("m", S, "handed_back")
     assert scene.broken() == {Rule.TWICE}
     assert Scene().hand_in("m", 0).call("m", 10 * MS, Fate.REFUSED).notice("m", S, "handed_back").broken() == set()
     assert Scene().hand_in("m", 0).call("m", 10 * MS, Fate.FAILED).notice("m", S).broken() == set()
 
 
-def test_what_was_turned_away_or_handed_back_is_not_sent() -> None:
+def test_sending_a_rejected_or_handed_back_message_breaks_the_rule() -> None:
     assert Scene().hand_in("m", 0, status=503).call("m", 10 * MS).broken() == {Rule.TWICE}
     assert Scene().hand_in("m", 0).notice("m", S, "handed_back").call("m", 2 * S).broken() == {Rule.TWICE}
 
 
-def test_a_keyed_message_goes_again_while_its_key_is_known() -> None:
+def test_a_keyed_message_may_be_repeated_within_its_keys_life_only() -> None:
     scene = Scene().hand_in("m", 0, "update").call("m", 10 * MS, Fate.FAILED)
     assert scene.call("m", 1900 * MS).broken() == set()
     scene = Scene().hand_in("m", 0, "update").call("m", 10 * MS, Fate.FAILED)
     assert scene.call("m", 2100 * MS).broken() == {Rule.TWICE}
 
 
-def test_a_refused_call_starts_no_keys_life() -> None:
+def test_a_rejected_call_does_not_start_a_keys_life() -> None:
     scene = Scene().hand_in("m", 0, "update").call("m", 10 * MS, Fate.REFUSED)
     assert scene.call("m", 5 * S).broken() == set()
 
 
 # --- drains ---
 
-def test_a_call_after_a_drain_breaks_it_once_the_grace_is_over() -> None:
+def test_a_call_to_a_draining_endpoint_breaks_the_rule_after_the_grace_period() -> None:
     told = Told(S, "c0", "e0", "DRAINING")
     assert Scene().add(told).hand_in("m", 0).call("m", S + 290 * MS).broken() == set()
     assert Scene().add(told).hand_in("m", 0).call("m", S + 310 * MS).broken() == {Rule.DRAINS}
 
 
-def test_a_drain_told_to_another_courier_or_taken_back_binds_nobody() -> None:
+def test_a_drain_told_to_another_courier_or_revoked_does_not_apply() -> None:
     assert Scene().add(Told(S, "c1", "e0", "DRAINING")).hand_in("m", 0).call("m", 3 * S).broken() == set()
     back = Scene().add(Told(S, "c0", "e0", "DRAINING"), Told(2 * S, "c0", "e0", "SERVING"))
     assert back.hand_in("m", 0).call("m", 3 * S).broken() == set()
 
 
-def test_the_grace_does_not_begin_anew_when_a_drained_endpoint_goes() -> None:
+def test_the_grace_period_does_not_restart_when_a_draining_endpoint_is_deleted() -> None:
     scene = Scene().add(Told(S, "c0", "e0", "DRAINING"), Told(2 * S, "c0", "e0", "DELETED"))
     assert scene.hand_in("m", 0).call("m", 2 * S + 100 * MS).broken() == {Rule.DRAINS}
 
 
-def test_a_process_that_stood_still_hears_of_a_drain_when_it_goes_on() -> None:
+def test_a_drain_told_during_a_pause_counts_from_its_end() -> None:
     scene = Scene().add(Life(0, "c0", Turn.READY), Life(S, "c0", Turn.PAUSED), Told(2 * S, "c0", "e0", "DRAINING"),
                         Life(3 * S, "c0", Turn.RESUMED))
     assert scene.hand_in("m", 0).call("m", 3 * S + 200 * MS).broken() == set()
@@ -191,7 +191,7 @@
 # --- returns ---
 
 def rush(count: int, from_us: int, courier: str = "c0", failed: bool = True) -> Scene:
-    """An outage until 10 s of an endpoint that does 20 a second warm, and then so many calls within a second."""
+    """An outage until 10 s of an endpoint with a capacity of 20 calls a second, then `count` calls within a second."""
     scene = Scene().add(Outage("e0", 1, 5 * S, 10 * S, 20.0))
     if failed:
         scene.hand_in("f", 0, "hint").call("f", 6 * S, Fate.FAILED).notice("f", 6100 * MS)
@@ -202,21 +202,21 @@
     return scene
 
 
-def test_a_rush_at_a_cold_endpoint_breaks_it() -> None:
+def test_a_burst_at_a_cold_endpoint_breaks_the_rule() -> None:
     assert rush(40, 10 * S + 100 * MS).broken() == {Rule.RETURNS}
 
 
-def test_a_slow_return_and_a_late_rush_are_fine() -> None:
+def test_few_calls_or_a_late_burst_keep_the_rule() -> None:
     assert rush(10, 10 * S + 100 * MS).broken() == set()
     assert rush(40, 18 * S + 100 * MS).broken() == set()
 
 
-def test_a_rush_of_couriers_that_saw_no_failure_is_not_theirs() -> None:
+def test_a_burst_of_couriers_that_saw_no_failure_keeps_the_rule() -> None:
     assert rush(40, 10 * S + 100 * MS, courier="c1").broken() == set()
     assert rush(40, 10 * S + 100 * MS, failed=False).broken() == set()
 
 
-def test_a_failed_probe_is_knowledge_too() -> None:
+def test_a_failed_probe_counts_as_a_seen_failure() -> None:
     scene = rush(40, 10 * S + 100 * MS, failed=False).add(Probe("c0", "e0", 1, 7 * S, False))
     assert scene.broken() == {Rule.RETURNS}
 
@@ -229,32 +229,32 @@
     return scene.call("a", S, first_fate, 100 * MS, first_how).call("b", second_us)
 
 
-def test_a_key_goes_one_at_a_time() -> None:
+def test_concurrent_calls_of_a_key_break_the_rule() -> None:
     assert pair(Fate.DELIVERED, How.ANSWERED, 1200 * MS).broken() == set()
     assert pair(Fate.DELIVERED, How.ANSWERED, 1050 * MS).broken() == {Rule.ORDER}
 
 
-def test_a_key_rests_after_a_break_even_if_the_first_was_delivered_since() -> None:
+def test_a_key_pauses_after_a_reset_even_if_the_message_was_delivered_since() -> None:
     scene = pair(Fate.UNTOLD, How.RESET, 1300 * MS).call("a", 1150 * MS, took_us=50 * MS)
     assert scene.broken() == {Rule.ORDER}
     rested = pair(Fate.UNTOLD, How.RESET, 1500 * MS).call("a", 1150 * MS, took_us=50 * MS)
     assert rested.broken() == set()
 
 
-def test_an_earlier_message_that_is_not_over_holds_its_key() -> None:
+def test_overtaking_a_message_without_an_outcome_breaks_the_rule() -> None:
     scene = pair(Fate.FAILED, How.ANSWERED, 2 * S).notice("a", 3 * S)
     assert scene.broken() == {Rule.ORDER}
     assert pair(Fate.FAILED, How.ANSWERED, 3 * S).notice("a", 2 * S).broken() == set()
 
 
-def test_other_keys_and_couriers_are_free() -> None:
+def test_messages_of_different_keys_may_be_concurrent() -> None:
     scene = Scene().hand_in("a", 0, "update", "k").hand_in("b", 0, "update", "other")
     assert scene.call("a", S, took_us=S).call("b", S).broken() == set()
 
 
 # --- waits ---
 
-def test_a_call_or_probe_inside_a_told_wait_breaks_it() -> None:
+def test_a_call_or_probe_during_an_announced_wait_breaks_the_rule() -> None:
     scene = Scene().hand_in("a", 0, "hint").call("a", S, Fate.REFUSED, 0, wait_us=2 * S).notice("a", S)
     late = Scene().hand_in("b", 0, "hint")
     late.history.facts += scene.history.facts
@@ -263,12 +263,12 @@
 
 
 @pytest.mark.parametrize("at_us", [S + 90 * MS, 3 * S + 10 * MS])
-def test_a_call_that_crosses_the_answer_or_comes_after_the_wait_is_fine(at_us: int) -> None:
+def test_a_call_right_after_the_answer_or_after_the_wait_keeps_the_rule(at_us: int) -> None:
     scene = Scene().hand_in("a", 0, "hint").call("a", S, Fate.REFUSED, 0, wait_us=2 * S).notice("a", S)
     assert scene.hand_in("b", 0, "hint").call("b", at_us).broken() == set()
 
 
-def test_a_restart_and_a_separate_route_end_a_wait() -> None:
+def test_a_wait_ends_at_a_restart_and_does_not_apply_to_a_separate_route() -> None:
     scene = Scene().hand_in("a", 0, "hint").call("a", S, Fate.REFUSED, 0, wait_us=2 * S).notice("a", S)
     scene.hand_in("b", 0, "hint").call("b", 2 * S, endpoint="e1")
     again = Scene().add(*scene.history.facts, Life(0, "c0", Turn.READY), Life(1500 * MS, "c0", Turn.KILLED),
@@ -280,26 +280,26 @@
 
 # --- form, lateness, files ---
 
-def test_what_no_courier_may_do_is_named() -> None:
+def test_violations_crashes_and_failed_starts_break_the_form() -> None:
     assert Scene().add(Strange(S, "c0", "e0", "a changed body")).broken() == {Rule.FORM}
     assert Scene().add(Life(S, "c0", Turn.CRASHED, 1)).broken() == {Rule.FORM}
     assert Scene().add(Life(S, "c0", Turn.NEVER_READY)).broken() == {Rule.FORM}
     assert Scene().add(Life(S, "c0", Turn.EXITED, -9)).broken() == set()
 
 
-def test_lateness_widens_limits_and_too_much_of_it_says_nothing() -> None:
+def test_lateness_extends_limits_and_too_much_makes_all_inconclusive() -> None:
     told = Told(S, "c0", "e0", "DRAINING")
     scene = Scene().add(told, Late(S, "the rig", 40 * MS)).hand_in("m", 0).call("m", S + 330 * MS)
     assert scene.broken() == set()
     lost = Scene().hand_in("m", 0)
     assert judge(lost.history).ruling is Ruling.BROKEN
-    lost.add(Late(20 * S, "c0", MOST_LATE_US + 1))
+    lost.add(Late(20 * S, "c0", MAX_LATENESS_US + 1))
     verdict = judge(lost.history)
     assert verdict.ruling is Ruling.INCONCLUSIVE and set(verdict.rulings.values()) == {Ruling.INCONCLUSIVE}
-    assert (verdict.late_us, verdict.late_who) == (MOST_LATE_US + 1, "c0")
+    assert (verdict.late_us, verdict.late_who) == (MAX_LATENESS_US + 1, "c0")
 
 
-def test_a_history_survives_its_file() -> None:
+def test_a_dumped_history_loads_unchanged() -> None:
     scene = rush(5, 10 * S).add(Told(S, "c0", "e0", "DRAINING"), Life(S, "c0", Turn.EXITED, -9),
                                 Strange(S, "c0", "e0", "x"), Late(S, "rig", 1), Probe("c0", "e0", 1, S, True))
     again = load(dump(scene.history))
@@ -308,30 +308,30 @@
 
 
 @pytest.mark.parametrize("lines,where", [([], "line 1"), (["{}"], "line 1"), (["nonsense"], "line 1")])
-def test_a_file_that_holds_no_history_is_refused_with_its_line(lines: list[str], where: str) -> None:
+def test_a_file_without_a_history_is_rejected_with_the_line(lines: list[str], where: str) -> None:
     with pytest.raises(HistoryError, match=where):
         load(lines)
 
 
-def test_a_bad_fact_is_refused_with_its_line() -> None:
+def test_an_invalid_fact_is_rejected_with_its_line() -> None:
     good = list(dump(Scene().hand_in("m", 0).history))
     with pytest.raises(HistoryError, match="line 3"):
         load([*good[:2], '["Nonsense", {}]'])
 
 
-def test_worth_falls_with_time_and_counts_retries_as_the_first_try() -> None:
+def test_worth_falls_with_time_from_the_first_submission() -> None:
     scene = Scene()
     scene.add(HandIn(0, "c0", "a", 1, "pay", 1, None, 6 * S), HandIn(S, "c0", "b", 1, "pay", 1, None, 6 * S))
     scene.call("b", 4 * S, took_us=0)
     row = worth.tally(scene.history)["pay"]
-    assert (row.messages, row.delivered, row.asked) == (1, 1, 3.0)
-    assert row.earned == pytest.approx(3.0 * (1 - 0.7 * 0.5))
+    assert (row.messages, row.delivered, row.offered) == (1, 1, 3.0)
+    assert row.earned_worth == pytest.approx(3.0 * (1 - 0.7 * 0.5))
 
 
-# --- properties: a clean day, and one planted breach in it ---
+# --- properties: a clean day, and one planted violation in it ---
 
 def clean_day(rng: random.Random) -> Scene:
-    """A day as a good courier plays it: keys in turn, refusals retried, waits and drains heeded."""
+    """The history of a correct courier: keys in order, rejections retried, waits and drains observed."""
     scene = Scene(end_us=100 * S)
     scene.add(Life(0, "c0", Turn.READY))
     free_us: dict[str, int] = {}
@@ -339,7 +339,7 @@
         name = f"m{number}"
         cls = rng.choice(["pay", "update", "hint"])
         key = rng.choice("pqr") if cls == "update" else None
-        # A key's messages are handed in in the order of their calls.
+        # A key's messages are submitted in the order of their calls.
         at_us = max(free_us.get(key or "", 0), rng.randrange(20 * S))
         destination = rng.choice([1, 2])
         scene.hand_in(name, at_us, cls, key, destination=destination)
@@ -359,13 +359,13 @@
             scene.notice(name, clock_us)
         if key is not None:
             free_us[key] = clock_us + 400 * MS
-    rng.shuffle(scene.history.facts)  # the judge may not hang on their order
+    rng.shuffle(scene.history.facts)  # the order of facts must not matter
     return scene
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(min_value=0, max_value=2**32))
-def test_a_clean_day_is_never_faulted(seed: int) -> None:
+def test_a_clean_day_has_no_findings(seed: int) -> None:
     verdict = judge(clean_day(random.Random(seed)).history)
     assert verdict.findings == () and verdict.ruling is Ruling.KEPT
 
@@ -415,7 +415,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(min_value=0, max_value=2**32), st.sampled_from(list(PLANTS)))
-def test_a_planted_breach_is_always_found_and_named(seed: int, plant: object) -> None:
+def test_a_planted_violation_is_always_found_and_named(seed: int, plant: object) -> None:
     scene = clean_day(random.Random(seed))
     assert callable(plant)
     plant(scene)
@@ -427,7 +427,7 @@
 
 
 def test_a_pause_within_a_restart_does_not_end_it() -> None:
-    """Seed 28 of the soak: no notice is overdue until the courier is ready again, paused meanwhile or not."""
+    """Guards against notifications that count as overdue before a courier that was paused in a restart is ready."""
     lives = [Life(at, "c0", turn) for at, turn in (
         (1 * S, Turn.TERMINATED), (2 * S, Turn.PAUSED), (2 * S + 100 * MS, Turn.RESUMED), (4 * S, Turn.EXITED),
         (5 * S, Turn.READY), (7 * S, Turn.PAUSED), (8 * S, Turn.RESUMED), (9 * S, Turn.KILLED))]
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -129,6 +129,6 @@
     assert fast.partners[0].endpoints == ("e0",) and fast.partners[0].destination == 7
 
 
-def test_a_stage_that_lacks_a_recorded_destination_is_refused() -> None:
+def test_a_scenario_without_a_recorded_destination_is_rejected() -> None:
     with pytest.raises(ScenarioError, match="destination 7 has no partner"):
-        replay(read(lines(2)), 1, stage=find("lost-kill")[1])
+        replay(read(lines(2)), 1, scenario=find("lost-kill")[1])
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,7 +1,6 @@
-"""Whole rehearsals on loopback: each rule kept by ours and broken by a courier made for that, and odd couriers.
+"""Complete rehearsals on loopback: our courier keeps each rule, broken and other couriers are detected.
 
-These play for seconds; they run side by side under pytest-xdist. One that was inconclusive, since the machine ran
-late, is played again.
+Each takes seconds. A rehearsal that is inconclusive because the machine ran late is played again.
 """
 
 from __future__ import annotations
@@ -48,7 +47,7 @@
 
 
 def rehearse(*words: str) -> tuple[int, dict[str, Any]]:
-    """Exit code and report; played again where the machine was too busy to tell."""
+    """Return exit code and report; an inconclusive rehearsal is repeated up to three times."""
     for _ in range(4):
         done = call("rehearse", *words, "--json")
         assert done.returncode in (0, 1, 3), done.stderr
@@ -68,7 +67,7 @@
 
 
 @pytest.mark.parametrize("rule", list(SCENARIOS))
-def test_ours_keeps_every_rule(rule: str) -> None:
+def test_our_courier_keeps_every_rule(rule: str) -> None:
     code, report = rehearse("run", SCENARIOS[rule])
     assert (code, report["findings"]) == (0, [])
     assert report["verdict"]["verdict"] == "kept"
@@ -76,7 +75,7 @@
 
 
 @pytest.mark.parametrize("scenario,build", CAUGHT)
-def test_a_broken_courier_is_caught_and_its_breach_named(scenario: str, build: str) -> None:
+def test_a_broken_courier_is_detected_with_a_finding(scenario: str, build: str) -> None:
     code, report = rehearse("run", scenario, "--broken", build)
     rule = BROKEN_COURIERS[build].rule.name.lower()
     assert code == 1 and report["verdict"]["rules"][rule] == "broken"
@@ -84,25 +83,25 @@
     assert found and found[0]["what"]
 
 
-def test_a_payment_made_twice_shows_in_the_effects() -> None:
+def test_a_payment_made_twice_is_counted_in_the_effects() -> None:
     _, report = rehearse("run", "twice-reset", "--broken", "pays-after-reset")
     assert report["beside"]["most_effects_of_a_message"] >= 2
 
 
 @pytest.mark.parametrize("what,rule", [("nothing", "lost"), ("crowd", "form"), ("spender", "form")])
-def test_couriers_that_are_none_of_ours_are_caught(tmp_path: Path, what: str, rule: str) -> None:
+def test_wrong_couriers_of_another_program_are_detected(tmp_path: Path, what: str, rule: str) -> None:
     (tmp_path / "short.toml").write_text(SHORT)
     code, report = rehearse("run", str(tmp_path / "short.toml"), "--courier", f"{sys.executable} {STUB} {what}")
     assert code == 1 and report["verdict"]["rules"][rule] == "broken"
 
 
-def test_a_simple_courier_of_another_make_can_keep_the_rules(tmp_path: Path) -> None:
+def test_a_simple_courier_of_another_program_keeps_the_rules(tmp_path: Path) -> None:
     (tmp_path / "short.toml").write_text(SHORT)
     code, report = rehearse("run", str(tmp_path / "short.toml"), "--courier", f"{sys.executable} {STUB} plain")
     assert (code, report["findings"]) == (0, [])
 
 
-def test_a_courier_that_dies_at_once_breaks_the_form(tmp_path: Path) -> None:
+def test_a_courier_that_exits_at_once_breaks_the_form(tmp_path: Path) -> None:
     (tmp_path / "short.toml").write_text(SHORT)
     code, report = rehearse("run", str(tmp_path / "short.toml"), "--courier", "sh -c 'exit 3'")
     assert code == 1 and "exit code 3" in report["findings"][0]["what"]
@@ -115,7 +114,7 @@
     assert rehearse("run", str(tmp_path / "short.toml"), "--seed", "6")[1]["verdict"]["plan"] != verdicts[0]["plan"]
 
 
-def test_a_kept_history_is_judged_again_alike(tmp_path: Path) -> None:
+def test_a_saved_history_gets_the_same_verdict_again(tmp_path: Path) -> None:
     (tmp_path / "short.toml").write_text(SHORT)
     saved = tmp_path / "short.history"
     code, report = rehearse("run", str(tmp_path / "short.toml"), "--save", str(saved),
@@ -125,7 +124,7 @@
     assert json.loads(again.stdout)["rules"] == report["verdict"]["rules"]
 
 
-def test_what_a_courier_recorded_is_replayed_at_speed_with_the_same_verdict(tmp_path: Path) -> None:
+def test_a_record_is_replayed_at_any_speed_with_the_same_verdict(tmp_path: Path) -> None:
     (tmp_path / "short.toml").write_text(SHORT.replace('deadline = "1s"', 'deadline = "8s"'))
     record = tmp_path / "short.record"
     code, report = rehearse("record", str(tmp_path / "short.toml"), str(record))
@@ -137,7 +136,7 @@
         code, report = rehearse("replay", str(record), "--speed", speed)
         assert (code, report["verdict"]["verdict"]) == (0, "kept")
         assert sum(row["messages"] for row in report["beside"]["worth"].values()) == handed > 0
-    record.write_bytes(record.read_bytes()[:-200])  # as a power loss leaves it
+    record.write_bytes(record.read_bytes()[:-200])  # truncated as after a power loss
     refused = call("rehearse", "replay", str(record))
     assert refused.returncode == 2 and "no whole line" in refused.stderr and refused.stderr.count("\n") == 1
     assert call("rehearse", "verify", str(record)).returncode == 2
@@ -166,7 +165,7 @@
     assert expected in done.stderr and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
 
 
-def test_wrong_use_is_exit_code_2() -> None:
+def test_wrong_usage_is_exit_code_2() -> None:
     for words in (["rehearse"], ["nonsense"], ["rehearse", "run"], ["demo", "--seed", "x"]):
         assert call(*words).returncode == 2
 
@@ -188,7 +187,7 @@
     (SHORT, 0, "scenario"),
     (SHORT + "[[fault]]\nkind = 'drain'\npartner = 'x'\nat = '1s'\n", 2, "fault[0].partner"),
 ])
-def test_config_check_tells_file_key_and_expectation(tmp_path: Path, text: str, code: int, expected: str) -> None:
+def test_config_check_reports_file_key_and_expectation(tmp_path: Path, text: str, code: int, expected: str) -> None:
     path = tmp_path / "some.toml"
     path.write_text(text)
     done = call("config", "check", str(path))
@@ -196,13 +195,13 @@
     assert (done.stdout + done.stderr).startswith(f"{path}: " if code == 0 else f"umberchute: {path}: ")
 
 
-def test_the_operators_file_that_ships_is_fine_and_switches_nothing_on() -> None:
+def test_the_shipped_operators_file_is_valid_and_switches_nothing_on() -> None:
     from wheelstep.operator import load
     assert call("config", "check", "deploy/operator.toml").returncode == 0
     assert not load(str(ROOT / "deploy" / "operator.toml")).recording.on
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_optional_parts_that_are_off_are_not_imported() -> None:
     code = ("import sys, wheelstep.courier.__main__; "
             "print([name for name in sys.modules if name.split('.')[0] in ('pydantic', 'rich') "
             "or name.startswith(tuple(f'wheelstep.{part}' for part in "
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -60,7 +60,7 @@
     ('[[kind]]\nname = "firm"', "", "kind", "missing"),
     ("[traffic]", "[traffic", "", "TOML"),
 ])
-def test_what_makes_no_sense_is_one_line_with_file_key_and_expectation(
+def test_an_invalid_scenario_is_reported_on_one_line_with_file_key_and_expectation(
         old: str, new: str, where: str, expected: str) -> None:
     assert old in GOOD
     with pytest.raises(ScenarioError) as error:
@@ -69,7 +69,7 @@
     assert text.startswith(f"my.toml: {where}") and expected in text and "\n" not in text
 
 
-def test_a_fault_on_a_courier_that_is_not_there_is_refused() -> None:
+def test_a_fault_on_a_missing_courier_is_rejected() -> None:
     with pytest.raises(ScenarioError, match=r"fault\[1\].courier: 3 .* expected 0 to 0"):
         parse(GOOD + '[[fault]]\nkind = "kill"\ncourier = 3\nat = "1s"\nfor = "1s"\n', "my.toml")
 
@@ -83,7 +83,7 @@
     assert monday.couriers in (2, 3) and monday.traffic.rate_per_s == 85
 
 
-def test_a_name_that_is_nothing_lists_what_there_is() -> None:
+def test_an_unknown_name_lists_the_shipped_scenarios() -> None:
     with pytest.raises(ScenarioError, match="expected one of .*lost-kill"):
         scenario.find("no-such")
 
@@ -95,7 +95,7 @@
     assert draw("g", one, 8).digest() != draw("g", one, 7).digest()
 
 
-def test_a_plan_at_speed_is_the_same_story_in_less_time() -> None:
+def test_a_plan_at_a_higher_speed_has_the_same_events_in_less_time() -> None:
     one = parse(GOOD, "g")
     slow, fast = draw("g", one, 7), draw("g", one, 7, speed=10)
     assert len(slow.arrivals) == len(fast.arrivals) > 50
@@ -106,7 +106,7 @@
     assert fast.faults[0].at_us == pytest.approx(slow.faults[0].at_us / 10, abs=1)
     assert fast.figures.order_settle_us == slow.figures.order_settle_us // 10
     assert fast.settings["services"][0]["deadline_us"] == slow.settings["services"][0]["deadline_us"] // 10
-    # What belongs to the machine and its sockets does not shrink.
+    # Times of the machine and its sockets are not scaled.
     assert fast.figures.socket_slack_us == slow.figures.socket_slack_us
     assert fast.settings["tick_us"] == slow.settings["tick_us"]
 
@@ -124,9 +124,9 @@
 
 
 def test_monday_with_one_courier_keeps_its_faults_and_room() -> None:
-    """Once, a record of several couriers' faults named couriers that a replay did not have."""
+    """Guards against faults of couriers that the scenario with one courier doesn't have."""
     monday = scenario.find("monday")[1]
-    one = scenario.alone(monday)
+    one = scenario.single_courier(monday)
     assert (one.couriers, one.slots) == (1, monday.slots * monday.couriers)
     plan = draw("monday", one, 1)
     assert {index for fault in plan.faults for index in fault.couriers} == {0}
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -128,7 +128,7 @@
 
 
 def test_the_budget_after_an_outage_grows_with_time() -> None:
-    assert warmth.share(-1, 0.25, 8 * S) == 0.25 and warmth.share(8 * S, 0.25, 8 * S) == 1.0
+    assert warmth.capacity_share(-1, 0.25, 8 * S) == 0.25 and warmth.capacity_share(8 * S, 0.25, 8 * S) == 1.0
     budgets = [warmth.budget(age, S, 20.0, 1.5, 0.25, 8 * S) for age in (0, 4 * S, 8 * S)]
     assert budgets == sorted(budgets)
     even = [(10 * S + n * 100 * MS, 1.0) for n in range(80)]
--- a/wheelstep/cli/check_commands.py
+++ b/wheelstep/cli/check_commands.py
@@ -13,7 +13,7 @@
 from wheelstep.rehearsal import scenario
 from wheelstep.rehearsal.historyfile import load
 from wheelstep.rehearsal.judge import judge
-from wheelstep.rehearsal.report import EXITS, Screen
+from wheelstep.rehearsal.report import EXIT_CODES, Screen
 from wheelstep.standalone.model import load as load_standalone
 
 
@@ -83,7 +83,7 @@
                 print(f"{ruling.value:12} {rule.value}")
             for finding in verdict.findings:
                 print(f"{finding.rule.name.lower()} {finding.at_us / 1e6:.3f} s {finding.courier}: {finding.text}")
-        return EXITS[verdict.ruling]
+        return EXIT_CODES[verdict.ruling]
     record = playing.read_record(str(path), up_to_damage=True)
     about = {"file": str(path), "messages": len(record.rows), "ended": record.ended or "cut off",
              "damage": record.damage}
--- a/wheelstep/cli/commands.py
+++ b/wheelstep/cli/commands.py
@@ -18,7 +18,7 @@
 from wheelstep.rehearsal.historyfile import HistoryError
 from wheelstep.rehearsal.plan import draw
 from wheelstep.rehearsal.replay import replay
-from wheelstep.rehearsal.report import EXITS, Screen
+from wheelstep.rehearsal.report import EXIT_CODES, Screen
 from wheelstep.rehearsal.scenario import ScenarioError
 from wheelstep.rehearsal.standins.process import NoStartError
 from wheelstep.standalone.model import FileError
@@ -58,7 +58,7 @@
               f"{found.length / 1e6:.0f} s", flush=True)
     result = playing.play(draw(name, found, args.seed), rig.OURS, "ours", screen)
     screen.result(result)
-    return EXITS[result.verdict.ruling]
+    return EXIT_CODES[result.verdict.ruling]
 
 
 def _list(args: argparse.Namespace) -> int:
@@ -86,7 +86,7 @@
         for _ in range(args.repeat):
             result = playing.play(draw(label, one, args.seed, speed), command, name, screen)
             screen.result(result)
-            codes.append(EXITS[result.verdict.ruling])
+            codes.append(EXIT_CODES[result.verdict.ruling])
             playing.save_history(args.save, result)
     return playing.worst_exit_code(codes)
 
@@ -97,18 +97,18 @@
     if record.damage:
         print(f"umberchute: {args.record}: {record.damage}; {len(record.rows)} messages are played",
               file=sys.stderr)
-    stage = scenario.alone(scenario.find(args.scenario)[1]) if args.scenario else None
+    stage = scenario.single_courier(scenario.find(args.scenario)[1]) if args.scenario else None
     screen = Screen(args.json)
     plan = replay(record, args.seed, playing.checked_speed(args), Path(args.record).name, stage)
     result = playing.play(plan, command, name, screen)
     screen.result(result)
     playing.save_history(args.save, result)
-    return EXITS[result.verdict.ruling]
+    return EXIT_CODES[result.verdict.ruling]
 
 
 def _record(args: argparse.Namespace) -> int:
     label, found = scenario.find(args.scenario)
-    found = scenario.alone(found)  # a record covers one process of one courier: each start begins a new one
+    found = scenario.single_courier(found)  # a record covers one process of one courier: each start begins a new one
     found = found.model_copy(update={
         "faults": tuple(fault for fault in found.faults if fault.kind not in ("kill", "term"))})
     target = Path(args.record).resolve()
@@ -122,7 +122,7 @@
         screen = Screen(args.json)
         result = playing.play(draw(label, found, args.seed), command, "ours, recording", screen, orderly=True)
     screen.result(result)
-    return EXITS[result.verdict.ruling]
+    return EXIT_CODES[result.verdict.ruling]
 
 
 def _partners(args: argparse.Namespace) -> int:
--- a/wheelstep/cli/matrix_commands.py
+++ b/wheelstep/cli/matrix_commands.py
@@ -13,7 +13,7 @@
 from wheelstep.rehearsal import rig, scenario
 from wheelstep.rehearsal.broken import BROKEN_COURIERS
 from wheelstep.rehearsal.judge import Ruling
-from wheelstep.rehearsal.report import EXITS, Screen
+from wheelstep.rehearsal.report import EXIT_CODES, Screen
 
 
 def matrix(args: argparse.Namespace) -> int:
@@ -34,7 +34,7 @@
                 [(name, broken or "ours", *(str(counts.get(code, 0)) for code in (0, 1, 3)), ", ".join(rules))
                  for (name, broken), (counts, rules) in found.items()])
     wrong = [pair for pair, (counts, _) in found.items() if not pair[1] and counts.get(1)]
-    return EXITS[Ruling.BROKEN] if wrong else OK
+    return EXIT_CODES[Ruling.BROKEN] if wrong else OK
 
 
 async def _play_all(pairs: Sequence[tuple[str, str]], repeat: int, jobs: int,
@@ -56,11 +56,11 @@
                     process.terminate()
                     await process.wait()
         code = process.returncode or 0
-        if code not in EXITS.values():
+        if code not in EXIT_CODES.values():
             raise InputError(f"{pair[0]} against {pair[1] or 'ours'}: {err.decode()[-300:]}")
         counts, rules = found[pair]
         counts[code] = counts.get(code, 0) + 1
-        if code == EXITS[Ruling.BROKEN]:
+        if code == EXIT_CODES[Ruling.BROKEN]:
             for rule, ruling in json.loads(out)["verdict"]["rules"].items():
                 if ruling == Ruling.BROKEN.value and rule not in rules:
                     rules.append(rule)
--- a/wheelstep/cli/playing.py
+++ b/wheelstep/cli/playing.py
@@ -18,7 +18,7 @@
 from wheelstep.rehearsal.historyfile import dump
 from wheelstep.rehearsal.judge import Ruling, judge
 from wheelstep.rehearsal.plan import Plan
-from wheelstep.rehearsal.report import EXITS, Result, Screen
+from wheelstep.rehearsal.report import EXIT_CODES, Result, Screen
 
 _OPEN_FILES = 16_384  # wanted limit of open files, for the rig's sockets
 
@@ -65,9 +65,9 @@
         task = asyncio.current_task()
         assert task is not None
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-        return await rig.play(plan, command, tell=tell, orderly=orderly)
+        return await rig.play(plan, command, on_progress=on_progress, orderly=orderly)
 
-    with screen.progress(plan.scenario) as tell:
+    with screen.progress(plan.scenario) as on_progress:
         try:
             played = asyncio.run(rehearse())
         except asyncio.CancelledError:
@@ -77,7 +77,7 @@
 
 def worst_exit_code(codes: Sequence[int]) -> int:
     """Return one exit code for several: that of a broken rule, else of an inconclusive run, else `OK`."""
-    for code in (EXITS[Ruling.BROKEN], EXITS[Ruling.INCONCLUSIVE]):
+    for code in (EXIT_CODES[Ruling.BROKEN], EXIT_CODES[Ruling.INCONCLUSIVE]):
         if code in codes:
             return code
     return OK
--- a/wheelstep/rehearsal/evidence.py
+++ b/wheelstep/rehearsal/evidence.py
@@ -1,6 +1,6 @@
-"""The facts of a history, sorted for the judge: each message with its calls and notices, lives, and lateness.
+"""The facts of a history, indexed for the judge: messages with their calls and notifications, processes, lateness.
 
-No I/O, and no rule: those are in `rules`, which read this.
+No I/O. The rules, which read this, are in `rules`.
 """
 
 from __future__ import annotations
@@ -27,58 +27,64 @@
     Turn,
 )
 
-_LATENESS_WINDOW_US = 1_000_000  # lateness counts for what happens so near to it
+_LATENESS_WINDOW_US = 1_000_000  # lateness applies to events within this distance
 _RECOVERED_BY = {Turn.KILLED: Turn.READY, Turn.TERMINATED: Turn.READY, Turn.CRASHED: Turn.READY,
-                Turn.PAUSED: Turn.RESUMED, Turn.PART_DOWN: Turn.PART_UP}
+                 Turn.PAUSED: Turn.RESUMED, Turn.WORKER_DOWN: Turn.WORKER_REPLACED}
 
 
 @dataclass(slots=True)
 class Message:
-    """All that was seen of one message id."""
+    """All facts about one message id."""
 
     submission: HandIn
     answer: Answer | None = None
-    calls: list[Call] = field(default_factory=list)  # by their last byte
+    calls: list[Call] = field(default_factory=list)  # ordered by the time of their last byte
     notices: list[Notice] = field(default_factory=list)
 
     @property
     def accepted(self) -> bool:
+        """Whether the client got a status that accepts the message."""
         return self.answer is not None and self.answer.status in (200, 202)
 
     def delivered_us(self) -> int | None:
-        """When a first line with 200 was written for it."""
+        """Return when an endpoint first answered that it was delivered; None if never."""
         return min((call.ended_us for call in self.calls if self.fate(call) is Fate.DELIVERED), default=None)
 
     def fate(self, call: Call) -> Fate:
+        """Return what the endpoint answered about this message in a call."""
         return call.fates[call.messages.index(self.submission.message)]
 
     def outcome_us(self) -> int | None:
-        """When its one end stood: delivered, or its notice answered."""
+        """Return the time of its terminal outcome, a delivery or an answered notification; None if there is none."""
         ends = [notice.at_us for notice in self.notices]
         if (delivered := self.delivered_us()) is not None:
             ends.append(delivered)
         return min(ends, default=None)
 
     def never_ran(self, call: Call, by_us: int) -> bool:
-        """Did the courier know by then that this call had not run?"""
+        """Return whether the courier knew by `by_us` that this call had not run."""
         return self.fate(call) in NEVER_RAN and call.ended_us <= by_us
 
 
 class Lateness:
-    """How late the machine ran around a time."""
+    """How late the machine ran: the maximum, whose it was, and the maximum around a time."""
 
     def __init__(self, facts: Iterable[Late]) -> None:
         self._rows = sorted((fact.at_us, fact.late_us, fact.who) for fact in facts)
         self.max_us, self.who = max(((late, who) for _, late, who in self._rows), default=(0, ""))
 
     def around(self, at_us: int) -> int:
+        """Return the greatest lateness within a second of a time, in microseconds; 0 if none was recorded."""
         begin = bisect.bisect_left(self._rows, (at_us - _LATENESS_WINDOW_US,))
         end = bisect.bisect_right(self._rows, (at_us + _LATENESS_WINDOW_US,))
         return max((late for _, late, _ in self._rows[begin:end]), default=0)
 
 
 class Evidence:
-    """All facts of one history, each kind by itself and in order of time."""
+    """All facts of one history by kind, in order of time.
+
+    `unavailable` has the spans in which a courier was restarting, stopped, or without a worker.
+    """
 
     def __init__(self, history: History) -> None:
         self.history, self.figures = history, history.figures
@@ -90,10 +96,10 @@
         self.lives: dict[str, list[Life]] = defaultdict(list)
         self.outages: list[Outage] = []
         self.violations: list[Strange] = []
-        self._sort()
+        self._index_facts()
         self.unavailable = {courier: _unavailable_spans(lives, history.end_us) for courier, lives in self.lives.items()}
 
-    def _sort(self) -> None:
+    def _index_facts(self) -> None:
         notices: list[Notice] = []
         answers: list[Answer] = []
         for fact in self.history.facts:
@@ -134,10 +140,10 @@
 
 
 def _unavailable_spans(lives: list[Life], end_us: int) -> list[tuple[int, int]]:
-    """When a courier was being restarted or stood still: from the signal until it was ready or went on."""
+    """Return the spans from an interruption of a courier until it was ready or continued."""
     spans: list[tuple[int, int]] = []
     since_us: int | None = None
-    missing: set[Turn] = set()  # what has to come before it is whole again: a pause may lie within a restart
+    missing: set[Turn] = set()  # what has to follow: a pause may lie within a restart
     for life in lives:
         if life.turn in _RECOVERED_BY:
             since_us = life.at_us if since_us is None else since_us
@@ -153,10 +159,10 @@
 
 
 def seconds(at_us: int) -> str:
-    """A time, as findings tell it."""
+    """Return a time as it stands in findings."""
     return f"{at_us / 1e6:.3f} s"
 
 
 def millis(span_us: int) -> str:
-    """A span, as findings tell it."""
+    """Return a duration as it stands in findings."""
     return f"{span_us / 1e3:.0f} ms"
--- a/wheelstep/rehearsal/fleet/figures.py
+++ b/wheelstep/rehearsal/fleet/figures.py
@@ -32,7 +32,7 @@
 def cost(history: FleetHistory, verdict: FleetVerdict) -> Cost:
     """The figures of a history that was judged."""
     tallied = worth.tally(history.plain()).values()
-    asked, earned = sum(row.asked for row in tallied), sum(row.earned for row in tallied)
+    asked, earned = sum(row.offered for row in tallied), sum(row.earned_worth for row in tallied)
     begun: dict[str, int] = {}
     channels: dict[str, list[Touch]] = defaultdict(list)
     for fact in history.seen:
--- a/wheelstep/rehearsal/fleet/rig.py
+++ b/wheelstep/rehearsal/fleet/rig.py
@@ -22,7 +22,7 @@
 from wheelstep.rehearsal.fleet.plan import CLASS, Scene
 from wheelstep.rehearsal.fleet.relays import Relays
 from wheelstep.rehearsal.history import Call, Fact, Fate, HandIn, History, Notice, Outage
-from wheelstep.rehearsal.rig import _few_collections
+from wheelstep.rehearsal.rig import _reduced_gc
 from wheelstep.rehearsal.standins.partner import PartnerPool
 from wheelstep.rehearsal.standins.platform import Agent, row
 
@@ -50,7 +50,7 @@
 
 async def play(scene: Scene, broken: str = "", program: str = OURS) -> Played:
     """Play a scene with our couriers, broken ones or another program. Raises `NeverServedError` and `NoStartError`."""
-    with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _few_collections():
+    with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _reduced_gc():
         rig = _Rig(scene, Path(folder), broken, program)
         try:
             return await rig.run()
--- a/wheelstep/rehearsal/history.py
+++ b/wheelstep/rehearsal/history.py
@@ -1,7 +1,7 @@
-"""What the stand-ins saw, as plain facts: the one thing that the judge reads.
+"""The facts that the stand-ins record, which are the judge's only input.
 
-Times are whole microseconds since the rehearsal's start, all by the rig's one clock. No I/O; `historyfile`
-turns a history into lines of JSON and back.
+Times are whole microseconds since the rehearsal's start by the rig's clock. No I/O; `historyfile` converts a history to
+lines of JSON and back, so the names of the fact classes, of their fields and the values of the enums are its format.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(StrEnum):
-    """What a repeat of a message does at its destination."""
+    """The effect of a repeated message at its destination."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,27 +19,27 @@
 
 
 class End(StrEnum):
-    """How a hand-in ended for its client."""
+    """How a submission ended for its client."""
 
     ANSWERED = "answered"
-    TIMED_OUT = "timed_out"  # the client waited its time and closed the connection
-    ENDED = "ended"  # the connection ended with no answer, after the request's last byte
-    CROSSED = "crossed"  # the same on a connection that had stood idle: sent once more on a new one
-    UNREACHED = "unreached"  # no connection came up, or it broke before the last byte
+    TIMED_OUT = "timed_out"  # the client's timeout passed and it closed the connection
+    ENDED = "ended"  # the connection ended without an answer after the request's last byte
+    CROSSED = "crossed"  # as ENDED, on a reused idle connection; the request was sent again on a new one
+    UNREACHED = "unreached"  # no connection, or it broke before the request's last byte
 
 
 class How(StrEnum):
     """How a call ended at its endpoint."""
 
     ANSWERED = "answered"  # an answer was written
-    SPOILT = "spoilt"  # something was written that is no whole answer
-    RESET = "reset"  # the endpoint broke the connection
-    CLOSED = "closed"  # the courier closed it, or died
-    OPEN = "open"  # neither, until the rehearsal's end
+    SPOILT = "spoilt"  # a malformed answer was written
+    RESET = "reset"  # the endpoint reset the connection
+    CLOSED = "closed"  # the courier closed the connection or exited
+    OPEN = "open"  # still in progress at the rehearsal's end
 
 
 class Fate(StrEnum):
-    """What an endpoint told of one message in a call."""
+    """What an endpoint answered about one message of a call."""
 
     DELIVERED = "delivered"
     FAILED = "failed"  # it may have run
@@ -54,8 +54,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HandIn:
-    """A client's request, its last byte written at `at_us`. `deadline_us` is when the message's time is up.
-    `origin` is the number of the planned message, the same for all its tries."""
+    """A client's submission, sent at `at_us`. `origin` is the number of the planned message, the same for all its
+    submissions.
+    """
 
     at_us: int
     courier: str
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What its client heard; `status` is 0 where it heard nothing."""
+    """How a submission ended for the client; `status` is 0 without an answer."""
 
     at_us: int
     courier: str
@@ -80,7 +81,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call whose last byte came. `fates` has one entry a message; `ran` says which took effect by then."""
+    """A call that an endpoint received completely. `fates` and `ran` have one entry per message; `ran` says which
+    messages the endpoint has processed.
+    """
 
     courier: str
     endpoint: str
@@ -89,15 +92,15 @@
     last_us: int
     messages: tuple[str, ...]
     how: How
-    ended_us: int  # the answer's first byte, or the connection's end
+    ended_us: int  # when the answer was sent or the connection ended
     fates: tuple[Fate, ...]
     ran: tuple[bool, ...] = ()
-    wait_us: int = 0  # the wait that the answer told
+    wait_us: int = 0  # the wait that the answer announced
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A health check; `fine` if it was answered 200."""
+    """A health check; `fine` if its answer was 200."""
 
     courier: str
     endpoint: str
@@ -108,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """Discovery wrote an endpoint's state to a courier, or counts as having done so."""
+    """Discovery told a courier an endpoint's state, or counts as having told it."""
 
     at_us: int
     courier: str
@@ -118,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The courier told the platform of a message's end; `at_us` is when the notice was answered."""
+    """A courier's notification of a message's outcome; `at_us` is when the platform answered it."""
 
     at_us: int
     courier: str
@@ -128,23 +131,23 @@
 
 
 class Turn(StrEnum):
-    """What happened to a courier's process."""
+    """An event in the life of a courier's process."""
 
     READY = "ready"
     KILLED = "killed"
     TERMINATED = "terminated"
     PAUSED = "paused"
     RESUMED = "resumed"
-    EXITED = "exited"  # after TERM or KILL
-    CRASHED = "crashed"  # by itself
+    EXITED = "exited"  # after SIGTERM or SIGKILL
+    CRASHED = "crashed"  # exited by itself
     NEVER_READY = "never_ready"
-    PART_DOWN = "a worker was ended"
-    PART_UP = "a worker must have been replaced"
+    WORKER_DOWN = "a worker was ended"
+    WORKER_REPLACED = "a worker must have been replaced"
 
 
 @dataclass(frozen=True, slots=True)
 class Life:
-    """A turn in a courier's life; `code` is an exit's, negative for a signal's."""
+    """An event of a courier's process; `code` is its exit code, negative for a signal."""
 
     at_us: int
     courier: str
@@ -154,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """An endpoint was out; from `end_us` on it is cold. `per_s` is what it does warm, in calls a second."""
+    """An outage of an endpoint, which is cold from `end_us` on. `per_s` is its full capacity in calls per second."""
 
     endpoint: str
     destination: int
@@ -165,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Strange:
-    """Something that no courier may do: an unknown message, a changed body, a wrong destination."""
+    """A protocol violation by a courier, such as an unknown message, a changed body or a wrong destination."""
 
     at_us: int
     courier: str
@@ -175,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Late:
-    """The machine ran late: the rig's own turn, or the time that a courier's process stood in line for a core."""
+    """The machine ran late: the rig's event loop was delayed, or a courier's process waited for a core."""
 
     at_us: int
     who: str
@@ -187,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassFigures:
-    """What the judge must know of a class of messages."""
+    """A message class as the judge needs it."""
 
     effect: Effect
     ordered: bool
@@ -200,7 +203,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """The figures of the rules, from the scenario; nothing here comes from the courier."""
+    """The parameters of the rules. They come from the scenario, never from the courier."""
 
     classes: dict[str, ClassFigures]
     drain_grace_us: int = 250_000
@@ -212,13 +215,13 @@
     routes_apart: frozenset[int] = frozenset()  # destinations whose endpoints are separate routes
     answer_slack_us: int = 300_000
     wait_grace_us: int = 100_000
-    socket_slack_us: int = 50_000  # each time limit is so much longer on sockets
-    restart_grace_us: int = 1_500_000  # no notice is overdue until so long after a courier is back
+    socket_slack_us: int = 50_000  # added to each time limit, for the sockets' delays
+    restart_grace_us: int = 1_500_000  # no notification is overdue until this long after a restart
 
 
 @dataclass(slots=True)
 class History:
-    """All facts of one rehearsal, in any order, and when it ended."""
+    """All facts of one rehearsal, in any order, and its end."""
 
     figures: Figures
     facts: list[Fact] = field(default_factory=list)
--- a/wheelstep/rehearsal/historyfile.py
+++ b/wheelstep/rehearsal/historyfile.py
@@ -1,4 +1,4 @@
-"""A history as lines of JSON, a head first, and back."""
+"""Histories as files: lines of JSON, of which the first is a header."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 FORMAT = "umberchute-history"
 VERSION = 1
 
-_KINDS: dict[str, type[Any]] = {kind.__name__: kind for kind in (
+_FACT_TYPES: dict[str, type[Any]] = {kind.__name__: kind for kind in (
     HandIn, Answer, Call, Probe, Told, Notice, Life, Outage, Strange, Late)}
-_ENUMS: dict[str, Any] = {"end": End, "how": How, "turn": Turn}
+_ENUM_FIELDS: dict[str, Any] = {"end": End, "how": How, "turn": Turn}
 
 
 class HistoryError(Exception):
-    """A file that holds no history; its text names the line."""
+    """A file isn't a valid history; the message names the line."""
 
 
 def dump(history: History) -> Iterator[str]:
-    """The history as lines of JSON, a head first."""
+    """Yield the history as lines of JSON without line ends, the header first."""
     figures = dataclasses.asdict(history.figures)
     figures["routes_apart"] = sorted(history.figures.routes_apart)
     yield json.dumps({"format": FORMAT, "version": VERSION, "end_us": history.end_us, "figures": figures})
@@ -50,7 +50,7 @@
 
 
 def load(lines: Iterable[str]) -> History:
-    """Read what `dump` wrote, or raise `HistoryError`."""
+    """Return the history that `dump` wrote. Raises `HistoryError`."""
     rows = iter(lines)
     try:
         head = json.loads(next(rows))
@@ -65,16 +65,16 @@
         raise HistoryError(f"line 1: no {FORMAT}: {error}") from error
     for number, row in enumerate(rows, 2):
         try:
-            name, given = json.loads(row)
-            history.add(_KINDS[name](**{key: _value(key, value) for key, value in given.items()}))
+            name, fields = json.loads(row)
+            history.add(_FACT_TYPES[name](**{key: _value(key, value) for key, value in fields.items()}))
         except (KeyError, TypeError, ValueError) as error:
             raise HistoryError(f"line {number}: no fact: {error}") from error
     return history
 
 
 def _value(key: str, value: Any) -> Any:
-    if key in _ENUMS:
-        return _ENUMS[key](value)
+    if key in _ENUM_FIELDS:
+        return _ENUM_FIELDS[key](value)
     if key == "fates":
         return tuple(Fate(item) for item in value)
     return tuple(value) if isinstance(value, list) else value
--- a/wheelstep/rehearsal/journal_model.py
+++ b/wheelstep/rehearsal/journal_model.py
@@ -1,4 +1,4 @@
-"""A model of the journal, and crashes at every boundary of a random history: reload, and compare with the model.
+"""Crash tests of the journal: crash at every operation of a random history, reload, and compare with the states before.
 
 Used by the tests, and by `benchmarks/journal_crashes.py` for long runs.
 """
@@ -15,37 +15,40 @@
 from wheelstep.journal.durability import SyncPolicy
 from wheelstep.rehearsal.faulty_disk import CrashError, FaultyDisk
 
-LIMIT, SEGMENT = 24_000, 1_000
-Step = tuple[str, int, int]  # what, which message, a number for what it needs
+JOURNAL_BYTES, SEGMENT_BYTES = 24_000, 1_000
+Step = tuple[str, int, int]  # kind, number of the message, random argument
 
 
 class MismatchError(Exception):
-    """The journal does not hold what the model says; the text has seed and crash point."""
+    """The recovered journal differs from the expected states; the message has seed and crash point."""
 
 
 def draw_history(rng: random.Random, steps: int) -> list[Step]:
-    """A random history: many short lives, a few long ones, copies forward in between."""
+    """Draw a random history with many short-lived messages, a few long-lived ones and compactions in between."""
     kinds = ["take"] * 5 + ["attempt"] * 5 + ["outcome"] * 4 + ["end"] * 2 + ["over"] * 4 + ["mark"] + ["compact"] * 4
     return [(rng.choice(kinds), rng.randrange(8), rng.randrange(1 << 16)) for _ in range(steps)]
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """What must be the same: messages in order, each with what counts for its rules."""
+    """The comparable state of a journal: its messages in order and its marks.
+
+    A message has id, attempts, body, whether it may have run, and its pending outcome or an empty string.
+    """
 
     messages: tuple[tuple[str, int, bytes, bool, str], ...]
     marks: tuple[tuple[str, object], ...]
 
     @classmethod
     def of(cls, journal: Journal) -> View:
-        """Of a journal as it stands."""
+        """Return the state of a journal."""
         return cls(tuple((m.id, m.attempts, m.body, m.may_have_run() is not None, m.notice[0] if m.notice else "")
                          for m in journal.messages.values()),
                    tuple(sorted(copy.deepcopy(journal.marks).items())))
 
 
 def play(journal: Journal, step: Step) -> None:
-    """One step."""
+    """Apply a step; one that isn't possible in the present state does nothing."""
     what, which, number = step
     name = f"m{which}"
     if what == "take":
@@ -74,14 +77,16 @@
 
 
 def open_journal(disk: FaultyDisk, sync: SyncPolicy) -> Journal:
-    """A small one."""
-    return Journal(disk, LIMIT, sync, segment_bytes=SEGMENT)
+    """Return a journal with a small limit and small segments."""
+    return Journal(disk, JOURNAL_BYTES, sync, segment_bytes=SEGMENT_BYTES)
+
 
+def crash_everywhere(history: Sequence[Step], sync: SyncPolicy, seed: int, crash_recovery: bool = True) -> int:
+    """Crash at each operation of a history, recover and compare; return the number of crash points.
 
-def crash_everywhere(history: Sequence[Step], sync: SyncPolicy, seed: int, again: bool = True) -> int:
-    """Play the history once whole, then crash at each of its operations and compare. Under `SyncPolicy.EACH` the power
-    goes, under `SyncPolicy.NONE` the process ends. With `again`, recovery is crashed as well. Returns how many crash
-    points there were; raises `MismatchError`."""
+    Under `SyncPolicy.EACH` the power fails, under `SyncPolicy.NONE` the process ends. With `crash_recovery` the
+    recovery crashes once too. Raises `MismatchError`.
+    """
     views: list[View] = []
     disk = FaultyDisk(seed)
     journal = open_journal(disk, sync)
@@ -105,11 +110,11 @@
         except CrashError:
             pass
         left = disk.after_crash(power=sync is SyncPolicy.EACH)
-        if again:
+        if crash_recovery:
             left = _crash_recovery(left, sync, random.Random(seed * 1_000_003 + point))
         allowed = views[max(done, 0):max(done, 0) + 2]
         found = View.of(open_journal(left, sync))
-        if not any(_fits(found, view, sync) for view in allowed):
+        if not any(_matches(found, view, sync) for view in allowed):
             raise MismatchError(f"seed {seed}, {sync.value}, crash before operation {point} of {total}, in step "
                                 f"{done} {history[done] if 0 <= done < len(history) else ''}:\n found {found}\n"
                                 f" allowed {allowed}")
@@ -117,16 +122,19 @@
 
 
 def _crash_recovery(disk: FaultyDisk, sync: SyncPolicy, rng: random.Random) -> FaultyDisk:
-    """Crash once more while the folder is being read and mended."""
+    """Crash once more while the journal recovers."""
     disk.crash_at = rng.randint(1, 4)
     with contextlib.suppress(CrashError):
         open_journal(disk, sync)
     return disk.after_crash(power=sync is SyncPolicy.EACH)
 
 
-def _fits(found: View, view: View, sync: SyncPolicy) -> bool:
-    """The same after a process's end. After a power loss a message may count as one that may have run though it did
-    not, never the other way round."""
+def _matches(found: View, view: View, sync: SyncPolicy) -> bool:
+    """Return whether a recovered state is allowed.
+
+    It must be the same after the end of a process. After a power loss a message that never ran may also be marked as
+    possibly run, but not the reverse.
+    """
     if sync is SyncPolicy.NONE:
         return found == view
     if len(found.messages) != len(view.messages) or found.marks != view.marks:
@@ -136,9 +144,11 @@
 
 
 def crash_between_syncs(history: Sequence[Step], seed: int, every: int = 5) -> int:
-    """Under `SyncPolicy.GROUP` with a sync after every few steps: the power goes at each operation. What was synced
-    must be there; of what came after it any part may be. Returns how many crash points there were; raises
-    `MismatchError`."""
+    """Fail the power at each operation under `SyncPolicy.GROUP`; return the number of crash points.
+
+    A sync follows every `every` steps. Synced steps must be recovered, and any part of the later ones may be. Raises
+    `MismatchError`.
+    """
     disk = FaultyDisk(seed)
     views = [View.of(journal := open_journal(disk, SyncPolicy.GROUP))]
     for number, step in enumerate(history):
@@ -160,31 +170,34 @@
                     journal.sync_now()
                     safe = done
         left = _crash_recovery(disk.after_crash(power=True), SyncPolicy.EACH, random.Random(seed * 7 + point))
-        trouble = _unfit(View.of(open_journal(left, SyncPolicy.GROUP)), views[safe:done + 2])
+        trouble = _mismatch(View.of(open_journal(left, SyncPolicy.GROUP)), views[safe:done + 2])
         if trouble:
             raise MismatchError(f"seed {seed}, power lost before operation {point} of {total}, after step {done}, "
                                 f"synced at {safe}: {trouble}")
     return total
 
 
-def _unfit(found: View, since: Sequence[View]) -> str:
-    """What is wrong with a state found after a power loss; `since` begins with the one that was synced last."""
+def _mismatch(found: View, since: Sequence[View]) -> str:
+    """Return what is wrong with a state recovered after a power loss, empty if nothing.
+
+    `since` has the states from the last sync on.
+    """
     rows = {row[0]: row for row in found.messages}
     held = [{row[0]: row for row in view.messages} for view in since]
     for name in held[0]:
         if not all(name in view for view in held):
-            continue  # its end was on its way
+            continue  # its removal may or may not have been written
         if name not in rows:
-            return f"{name} was synced and is gone"
+            return f"{name} was synced and is missing"
         if all(view[name][3] for view in held) and not rows[name][3]:
-            return f"{name} may have run and looks as if it had not"
+            return f"{name} may have run and is not marked so"
         if rows[name][2] not in [view[name][2] for view in held]:
             return f"{name} has another body"
     for name in rows:
         if not any(name in view for view in held):
-            return f"{name} was over, and is back"
+            return f"{name} was removed and is back"
     common = [name for name in held[0] if name in rows and all(name in view for view in held)]
-    orders = [[name for name in view if name in common] for view in held]  # one may have ended and come again
+    orders = [[name for name in view if name in common] for view in held]  # ids may return
     if [name for name in rows if name in common] not in orders:
-        return "the order of taking has changed"
+        return "the order of the messages has changed"
     return ""
--- a/wheelstep/rehearsal/partners.py
+++ b/wheelstep/rehearsal/partners.py
@@ -1,7 +1,7 @@
-"""Stand-in partners alone, in the foreground: what a new courier of one's own is tried against.
+"""Stand-in partners in the foreground, for trying out a standalone courier.
 
-Each destination of a courier's file gets one endpoint, at a port that the system gives; the folder of endpoints that
-the file names is told where. They answer 200 to all and print a line for each message.
+Each destination of the courier's file gets one endpoint at a free port, whose address is written to the folder
+`endpoints_from` of the file. The endpoints answer 200 to everything and print a line per message.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
         self._name = name
 
     def on_request(self, request: Request) -> None:
-        """Take it."""
+        """Print the message and answer 200."""
         if request.target.startswith("/inbox"):
             print(f"{self._name}: {request.headers.get('x-request-id', 'a bulk call')}, {len(request.body)} bytes",
                   flush=True)
@@ -29,11 +29,11 @@
 
 
 async def serve(file: Path) -> None:
-    """Until SIGTERM or Ctrl-C. Raises `FileError`."""
+    """Serve until SIGTERM or Ctrl-C. Raises `FileError` for an invalid file or a folder that can't be written."""
     found = load(file)
     folder = found.endpoints_from
     if folder is None:
-        raise FileError(f"{file}: endpoints_from: missing; expected a folder where the partners' ports are told")
+        raise FileError(f"{file}: endpoints_from: missing; expected a folder for the partners' addresses")
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
--- a/wheelstep/rehearsal/plan.py
+++ b/wheelstep/rehearsal/plan.py
@@ -1,6 +1,6 @@
-"""The plan of a rehearsal, drawn whole from the seed before anything starts. No I/O, no clock.
+"""Draws the plan of a rehearsal from a scenario and a seed, completely before the start. No I/O, no clock.
 
-Every duration is divided by `speed`, every rate multiplied by it; only the judge's slack for sockets stays.
+Durations are divided by `speed` and rates multiplied by it, except for the judge's slack for sockets.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from wheelstep.rehearsal.planned import PROCESS_FAULTS, Arrival, Fault, Limit, Partner, Plan
 from wheelstep.rehearsal.scenario import ClassPart, FaultPart, LimitPart, PartnerPart, Scenario
 
-__all__ = ["EFFECTS", "LUCK", "Arrival", "Fault", "Limit", "Partner", "Plan", "Scale", "draw", "lognormal",
-           "fault_of", "partner_of"]
+__all__ = ["EFFECT_SETTINGS", "RANDOM_NUMBERS", "Arrival", "Fault", "Limit", "Partner", "Plan", "Scale", "draw",
+           "lognormal", "fault_of", "partner_of"]
 
-LUCK = 4096  # drawn numbers for what happens by share; used in turn by each endpoint
-EFFECTS = {Effect.SAFE: "repeatable", Effect.KEYED: "by_key", Effect.UNSAFE: "once"}  # as couriers' settings name them
+RANDOM_NUMBERS = 4096  # count of numbers for events with a probability, used in turn by each endpoint
+EFFECT_SETTINGS = {Effect.SAFE: "repeatable", Effect.KEYED: "by_key", Effect.UNSAFE: "once"}  # in couriers' settings
 
 
 def draw(name: str, scenario: Scenario, seed: int, speed: float = 1.0) -> Plan:
-    """The plan of a scenario."""
+    """Return the plan of a scenario; the same arguments give the same plan."""
     scale = Scale(speed)
     rng = random.Random(f"{name}/{seed}")
     partners = tuple(partner_of(scenario, number, part, scale) for number, part in enumerate(scenario.partners))
@@ -40,30 +40,30 @@
         ready_within_us=scenario.ready_within, figures=figures, settings=_settings(scenario, figures, scale),
         partners=partners, arrivals=arrivals, faults=faults, retries=scenario.traffic.retries,
         honour=scenario.traffic.honour, backoff_us=scale.span(scenario.traffic.backoff),
-        crowd=scenario.traffic.crowd, luck=tuple(rng.random() for _ in range(LUCK)))
+        crowd=scenario.traffic.crowd, luck=tuple(rng.random() for _ in range(RANDOM_NUMBERS)))
 
 
 @dataclass(frozen=True, slots=True)
 class Scale:
-    """How times and rates of a scenario change with the speed that is asked for."""
+    """Scales a scenario's times and rates to a speed."""
 
     speed: float
 
     def time(self, span_us: int) -> int:
-        """A duration, so much shorter."""
+        """Return a duration at this speed."""
         return round(span_us / self.speed)
 
     def span(self, span_us: tuple[int, int]) -> tuple[int, int]:
-        """Both ends of a range."""
+        """Return a range of durations at this speed."""
         return self.time(span_us[0]), self.time(span_us[1])
 
     def drawn(self, span_us: tuple[int, int], rng: random.Random) -> int:
-        """A duration out of a range."""
+        """Draw a duration from a range."""
         return self.time(round(rng.uniform(*span_us)))
 
 
 def partner_of(scenario: Scenario, number: int, part: PartnerPart, scale: Scale) -> Partner:
-    """A scenario's partner, its destination one above its number."""
+    """Return a scenario's partner; its destination is `number` + 1."""
     kinds = [kind.name for kind in scenario.kinds]
     return Partner(
         name=part.name, destination=number + 1, kind=kinds.index(part.kind),
@@ -80,7 +80,7 @@
 
 
 def lognormal(rng: random.Random, spread: float) -> float:
-    """A factor with mean 1 and this deviation."""
+    """Draw a log-normal factor with mean 1 and the standard deviation `spread`."""
     sigma = math.sqrt(math.log(1 + spread * spread))
     return rng.lognormvariate(-sigma * sigma / 2, sigma)
 
@@ -107,7 +107,7 @@
 def _arrival(scenario: Scenario, cls: ClassPart, partner: Partner, part: PartnerPart, at_us: int, number: int,
              rng: random.Random) -> Arrival:
     key = f"{partner.name}.{rng.randrange(scenario.traffic.keys)}" if cls.ordered else None
-    # Messages of one key come to one courier.
+    # Messages of one key are submitted to one courier.
     courier = rng.randrange(scenario.couriers)
     if key is not None:
         courier = int.from_bytes(hashlib.blake2b(key.encode(), digest_size=4).digest()) % scenario.couriers
@@ -120,7 +120,7 @@
 
 def fault_of(scenario: Scenario, part: FaultPart, partners: Sequence[Partner], rng: random.Random,
              scale: Scale) -> Fault:
-    """A scenario's fault, its times drawn."""
+    """Return a scenario's fault with its times drawn."""
     at_us = scale.drawn(part.at, rng)
     until_us = at_us + scale.drawn(part.lasts or (0, 0), rng)
     endpoints: tuple[str, ...] = ()
@@ -160,7 +160,7 @@
     return {
         "services": [{
             "name": name, "promise_us": cls.promise_us, "deadline_us": cls.deadline_us,
-            "effect": EFFECTS[cls.effect], "group": "all", "key_ttl_us": cls.key_life_us or 5_000_000,
+            "effect": EFFECT_SETTINGS[cls.effect], "group": "all", "key_ttl_us": cls.key_life_us or 5_000_000,
             "by_arrival": cls.ordered, "worth": cls.worth, "late_value": cls.late_worth}
             for name, cls in figures.classes.items()],
         "kinds": [kind.name for kind in scenario.kinds], "areas": ["a"], "locality": 0,
--- a/wheelstep/rehearsal/planned.py
+++ b/wheelstep/rehearsal/planned.py
@@ -1,4 +1,6 @@
-"""What a plan is made of: partners and their limits, arrivals, faults. No I/O, no clock; `plan` draws one."""
+"""The parts of a plan: partners and their limits, arrivals, faults. `plan` draws them. No I/O, no clock.
+
+Field names are part of a plan's digest, which identifies it in verdicts."""
 
 from __future__ import annotations
 
@@ -14,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a partner takes from all couriers together: a rate, or a count in each `window_us`."""
+    """What a partner accepts from all couriers together: a rate, or a count in each `window_us`."""
 
     per_s: float
     window_us: int = 0
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Partner:
-    """One destination. `endpoints` are their names."""
+    """One destination; `endpoints` are names. An endpoint serves `lanes` calls at once, in `pace_us` on average."""
 
     name: str
     destination: int
@@ -35,20 +37,20 @@
     queue: int
     pace_us: int
     limit: Limit | None = None
-    connections: int = 0  # 0: no bound
+    connections: int = 0  # per endpoint; 0: no limit
     run_on: bool = False
     key_memory: bool = True
 
     @property
     def per_s(self) -> float:
-        """What one endpoint does, warm, in calls a second."""
+        """The full capacity of one endpoint in calls per second."""
         served = self.lanes * 1e6 / self.pace_us
         return min(served, self.limit.per_s) if self.limit is not None else served
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message that a client hands in; `work` is its share of the partner's pace."""
+    """A message that a client submits; `work` is its processing time relative to the partner's average."""
 
     at_us: int
     number: int
@@ -59,9 +61,9 @@
     token: str | None
     size: int
     work: float
-    luck: float  # for what a client decides by share
-    fresh: bool = False  # on a connection of its own
-    deadline_us: int = 0  # the time it has from `at_us`; 0: its class's
+    luck: float  # random number for the client's decisions
+    fresh: bool = False  # submitted on a new connection
+    deadline_us: int = 0  # relative to `at_us`; 0: as its class
 
 
 PROCESS_FAULTS = ("kill", "term", "pause", "worker-kill", "worker-hang")
@@ -81,20 +83,20 @@
     wait_us: int = 0
     worker: int = 0
     every_us: int = 0
-    stops_us: tuple[tuple[int, int], ...] = ()  # stall: from when until when
-    told_us: tuple[int, ...] = ()  # until each courier is told
+    stops_us: tuple[tuple[int, int], ...] = ()  # stall: begin and end of each stop
+    told_us: tuple[int, ...] = ()  # discovery's delay to each courier
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All that a rehearsal does by itself."""
+    """All events that a rehearsal plays by itself."""
 
     scenario: str
     seed: int
     speed: float
     couriers: int
     length_us: int
-    end_us: int  # by then every message's time is up
+    end_us: int  # every message's deadline has passed by then
     ready_within_us: int
     figures: Figures
     settings: dict[str, Any]  # for the couriers, in the form of their configuration
@@ -108,16 +110,16 @@
     luck: tuple[float, ...]
 
     def digest(self) -> str:
-        """The same for the same plan."""
+        """Return a short hash of the plan."""
         data = dataclasses.asdict(self)
         data["figures"]["routes_apart"] = sorted(self.figures.routes_apart)
         text = json.dumps(data, sort_keys=True, separators=(",", ":"))
         return hashlib.sha256(text.encode()).hexdigest()[:16]
 
     def message_id(self, number: int, tries: int) -> str:
-        """New for each time that a message is handed in."""
+        """Return a message's id, a different one for each submission."""
         return hashlib.blake2b(f"{self.seed}/{number}/{tries}".encode(), digest_size=8).hexdigest()
 
     def body(self, arrival: Arrival) -> bytes:
-        """The message's bytes: any, and the same each time that it is handed in."""
+        """Return a message's body: random bytes, the same for each submission."""
         return random.Random(f"{self.seed}/{arrival.number}").randbytes(arrival.size)
--- a/wheelstep/rehearsal/replay.py
+++ b/wheelstep/rehearsal/replay.py
@@ -1,4 +1,4 @@
-"""A plan that hands in what was recorded, at partners of a scenario or at partners made to fit. No I/O, no clock."""
+"""Makes a plan from a record, with a scenario's partners or partners made to fit. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 
 from wheelstep.recording.format import Record, Row
 from wheelstep.rehearsal.history import ClassFigures, Figures
-from wheelstep.rehearsal.plan import EFFECTS, LUCK, Scale, fault_of, lognormal, partner_of
+from wheelstep.rehearsal.plan import EFFECT_SETTINGS, RANDOM_NUMBERS, Scale, fault_of, lognormal, partner_of
 from wheelstep.rehearsal.planned import Arrival, Partner, Plan
 from wheelstep.rehearsal.scenario import Scenario, ScenarioError
 
 
 def replay(record: Record, seed: int, speed: float = 1.0, source: str = "record",
-           stage: Scenario | None = None) -> Plan:
-    """A plan that hands in what was recorded. Partners and faults come from `stage`, matched by number of the
-    destination; without one, partners are made from the recorded list, with twice the room that the record needs.
-    Raises `ScenarioError` where the record and the stage don't fit."""
+           scenario: Scenario | None = None) -> Plan:
+    """Return a plan that submits the messages of a record.
+
+    Partners and faults come from `scenario`, matched by the number of the destination. Without a scenario, partners
+    are made from the recorded endpoint list, with twice the capacity that the record needs. Raises `ScenarioError` if
+    a recorded destination has no partner.
+    """
     scale = Scale(speed)
     rng = random.Random(f"{source}/{seed}")
     settings = json.loads(json.dumps(record.head.settings))
@@ -28,9 +31,10 @@
     classes = _recorded_classes(settings)
     rows = [row for row in record.rows if row.message_class in classes]
     length = max((row.at_us for row in rows), default=0)
-    if stage is not None:
-        partners = tuple(partner_of(stage, number, part, scale) for number, part in enumerate(stage.partners))
-        faults = tuple(fault_of(stage, part, partners, random.Random(rng.random()), scale) for part in stage.faults)
+    if scenario is not None:
+        partners = tuple(partner_of(scenario, number, part, scale) for number, part in enumerate(scenario.partners))
+        faults = tuple(fault_of(scenario, part, partners, random.Random(rng.random()), scale)
+                       for part in scenario.faults)
     else:
         partners, faults = _recorded_partners(record, rows, length, speed), ()
     known = {partner.destination for partner in partners}
@@ -58,11 +62,11 @@
         end_us=last_us + longest_us + figures.answer_slack_us + figures.restart_grace_us + 500_000,
         ready_within_us=30_000_000, figures=figures, settings=settings, partners=partners, arrivals=tuple(arrivals),
         faults=faults, retries=0, honour=1.0, backoff_us=scale.span((200_000, 600_000)), crowd=0,
-        luck=tuple(rng.random() for _ in range(LUCK)))
+        luck=tuple(rng.random() for _ in range(RANDOM_NUMBERS)))
 
 
 def _scale_settings(value: Any, speed: float) -> None:
-    """Divide every time in the settings, wherever it stands; the module's tick stays the machine's."""
+    """Divide every time in the settings, at any depth, by `speed`, except for the interval of the core's tick."""
     if isinstance(value, dict):
         for name, item in value.items():
             if name.endswith("_us") and name != "tick_us" and isinstance(item, int | float):
@@ -75,7 +79,7 @@
 
 
 def _recorded_classes(settings: dict[str, Any]) -> dict[str, ClassFigures]:
-    effects = {word: effect for effect, word in EFFECTS.items()}
+    effects = {word: effect for effect, word in EFFECT_SETTINGS.items()}
     return {row["name"]: ClassFigures(
         effect=effects[row.get("effect", "once")], ordered=bool(row.get("by_arrival")),
         deadline_us=row["deadline_us"], key_life_us=row.get("key_ttl_us", 0), promise_us=row["promise_us"],
@@ -83,7 +87,7 @@
 
 
 def _recorded_partners(record: Record, rows: Sequence[Row], length_us: int, speed: float) -> tuple[Partner, ...]:
-    """One for each destination of the recorded list, with the names and kinds that it gives."""
+    """Return a partner for each destination of the recorded list, with its names and kinds."""
     kinds = record.head.settings.get("kinds") or [""]
     hosts: dict[int, list[dict[str, Any]]] = {}
     for host in record.head.hosts:
--- a/wheelstep/rehearsal/rig.py
+++ b/wheelstep/rehearsal/rig.py
@@ -1,4 +1,4 @@
-"""Plays a plan: couriers as processes, everything else on loopback sockets in this one. Returns what was seen."""
+"""Plays a plan: couriers in processes of their own, all else on loopback sockets in this one."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     Told,
 )
 from wheelstep.rehearsal.plan import Plan
-from wheelstep.rehearsal.progress import Ends, Progress
+from wheelstep.rehearsal.progress import OutcomeTracker, Progress
 from wheelstep.rehearsal.standins.clients import Clients
 from wheelstep.rehearsal.standins.partner import PartnerPool
 from wheelstep.rehearsal.standins.platform import Agent, row
@@ -36,33 +36,39 @@
 
 
 def module_command(*words: str) -> str:
-    """The command that runs a module of ours, wherever it is called from."""
+    """Return the command that runs one of our modules, independent of the working directory."""
     return shlex.join(["/usr/bin/env", f"PYTHONPATH={_ROOT}", sys.executable, "-m", *words])
 
 
 OURS = module_command("wheelstep.courier")
-_CHECK_S = 0.1  # how often it is looked whether all is over
+_POLL_S = 0.1  # between checks whether all messages have outcomes
 
 
 @dataclass(slots=True)
 class Played:
-    """What a rehearsal leaves: the history, and figures that hang on the machine."""
+    """The result of a rehearsal: the history, and figures that depend on the machine.
+
+    `logs` and `log_bytes` are by courier.
+    """
 
     history: History
     logs: dict[str, str] = field(default_factory=dict)
     log_bytes: dict[str, int] = field(default_factory=dict)
-    effects: dict[int, int] = field(default_factory=dict)  # how often each planned message took effect
+    effects: dict[int, int] = field(default_factory=dict)  # by planned message: how often it took effect
     wall_s: float = 0.0
-    suspect: list[str] = field(default_factory=list)  # lines of logs that tell of a fault of the program, in a soak
+    suspect: list[str] = field(default_factory=list)  # in a soak: log lines that point to a fault of the program
 
 
 async def play(plan: Plan, command: str = OURS, limits: dict[str, Any] | None = None,
-               tell: Callable[[Progress], None] | None = None, orderly: bool = False,
-               made: type[Courier] = Courier) -> Played:
-    """Play a plan against a courier command; with `orderly` the couriers may leave by SIGTERM in the end. `made` is
-    what each courier is made as. Raises `NoStartError` where the command can't be started."""
-    with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _few_collections():
-        rig = _Rig(plan, command, Path(folder), limits or {}, tell, made)
+               on_progress: Callable[[Progress], None] | None = None, orderly: bool = False,
+               courier_type: type[Courier] = Courier) -> Played:
+    """Play a plan against a courier's command and return the result.
+
+    With `orderly` the couriers get SIGTERM at the end and time to exit, else SIGKILL. `limits` overrides the couriers'
+    default limits. Raises `NoStartError` if the command can't be started.
+    """
+    with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _reduced_gc():
+        rig = _Rig(plan, command, Path(folder), limits or {}, on_progress, courier_type)
         try:
             played = await rig.run()
             if orderly:
@@ -73,9 +79,12 @@
 
 
 @contextlib.contextmanager
-def _few_collections() -> Iterator[None]:
-    """Guards the verdict against the collector: a history only grows, and walking it whole stopped the loop for 240 ms
-    at 1,000 messages a second, which made rehearsals inconclusive. Short-lived cycles are still collected."""
+def _reduced_gc() -> Iterator[None]:
+    """Collect garbage of the oldest generation hardly ever; short-lived cycles are still collected.
+
+    A history only grows. Full collections of it stopped the event loop for 240 ms at 1,000 messages a second, which
+    made rehearsals inconclusive.
+    """
     before = gc.get_threshold()
     gc.freeze()
     gc.set_threshold(10_000, 20, 1_000_000)
@@ -88,25 +97,25 @@
 
 class _Rig:
     def __init__(self, plan: Plan, command: str, folder: Path, limits: dict[str, Any],
-                 tell: Callable[[Progress], None] | None, made: type[Courier]) -> None:
-        self._plan, self._tell, self._limits = plan, tell, limits
+                 on_progress: Callable[[Progress], None] | None, courier_type: type[Courier]) -> None:
+        self._plan, self._on_progress, self._limits = plan, on_progress, limits
         self._history = History(plan.figures)
         self._loop = asyncio.get_running_loop()
         self._epoch = self._loop.time()
         self._pool = PartnerPool(plan, self._history, self._now_us)
         self._pool.epoch = self._epoch
         names = [f"c{index}" for index in range(plan.couriers)]
-        self._agents = [Agent(name, self._history, self._now_us, self._heard) for name in names]
+        self._agents = [Agent(name, self._history, self._now_us, self._on_notice) for name in names]
         self._clients = [Clients(plan, index, self._pool.ledger, self._history, self._now_us)
                          for index in range(plan.couriers)]
         self._couriers = [
-            made(name, command, folder / name, self._history, self._now_us,
-                    lambda listen, index=index: self._config(index, listen),  # type: ignore[misc]
-                    plan.ready_within_us / 1e6)
+            courier_type(name, command, folder / name, self._history, self._now_us,
+                         lambda listen, index=index: self._config(index, listen),  # type: ignore[misc]
+                         plan.ready_within_us / 1e6)
             for index, name in enumerate(names)]
         self._tasks: list[asyncio.Task[None]] = []
-        self._progress = Progress(of_us=plan.end_us)
-        self._ends = Ends(self._history, self._progress)
+        self._progress = Progress(total_us=plan.end_us)
+        self._outcomes = OutcomeTracker(self._history, self._progress)
 
     def _now_us(self) -> int:
         return round((self._loop.time() - self._epoch) * 1e6)
@@ -120,11 +129,11 @@
                 "settings": settings}
 
     def _row(self, endpoint: str, index: int, health: str = "SERVING") -> dict[str, Any]:
-        at = self._pool.endpoint(endpoint)
-        return row(endpoint, at.ports[index].address, at.partner.destination,
-                   self._plan.settings["kinds"][at.partner.kind], health)
+        found = self._pool.endpoint(endpoint)
+        return row(endpoint, found.ports[index].address, found.partner.destination,
+                   self._plan.settings["kinds"][found.partner.kind], health)
 
-    def _heard(self, courier: str, notice: dict[str, Any]) -> None:
+    def _on_notice(self, courier: str, notice: dict[str, Any]) -> None:
         if notice["outcome"] == "handed_back":
             index = int(courier[1:])
             self._clients[index].on_handed_back(str(notice["message"]), int(notice.get("retry_in_ms", 0)) * 1000)
@@ -132,7 +141,7 @@
     # --- the run ---
 
     async def run(self) -> Played:
-        """Start all, play, wait for every end, and stop all."""
+        """Start all parts, play the plan and wait for every outcome; return the result. `close` stops the parts."""
         began = self._loop.time()
         await self._pool.open()
         for index, agent in enumerate(self._agents):
@@ -141,30 +150,30 @@
         ready = await asyncio.gather(*(courier.start() for courier in self._couriers))
         if all(ready):
             gc.collect()
-            gc.freeze()  # a collection of everything would make the rig late
-            self._rebase()
+            gc.freeze()  # a full collection would delay the event loop
+            self._reset_clock()
             for index, clients in enumerate(self._clients):
                 clients.address = self._couriers[index].address
                 if self._plan.crowd:
                     await clients.open_idle_connections(self._plan.crowd)
-            self._task(lateness.watch(self._couriers, self._history, self._now_us))
-            faults = Faults(self._pool, self._agents, self._couriers, self._row, self._until, self._task)
+            self._start_task(lateness.record_lateness(self._couriers, self._history, self._now_us))
+            faults = Faults(self._pool, self._agents, self._couriers, self._row, self._sleep_until, self._start_task)
             for fault in self._plan.faults:
-                self._task(faults.play(fault))
-            await self._hand_in()
-            await self._until_over()
+                self._start_task(faults.play(fault))
+            await self._submit_all()
+            await self._wait_for_outcomes()
         self._pool.close()
         self._history.end_us = self._now_us()
         self._progress.phase = "judging"
-        self._say()
+        self._report_progress()
         return Played(
             self._history, {courier.name: courier.log_text() for courier in self._couriers},
             {courier.name: courier.log_total for courier in self._couriers},
             dict(self._pool.ledger.effects), self._loop.time() - began,
             [line for courier in self._couriers for line in courier.suspect])
 
-    def _rebase(self) -> None:
-        """Time counts from when all are ready; what was seen before lies before it."""
+    def _reset_clock(self) -> None:
+        """Restart the rehearsal's time at 0 now that all couriers are ready; earlier facts get negative times."""
         shift_us = self._now_us()
         self._epoch = self._pool.epoch = self._loop.time()
 
@@ -174,60 +183,60 @@
                 facts.append(dataclasses.replace(fact, at_us=fact.at_us - shift_us))
         self._history.facts[:] = facts
 
-    def _task(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
 
-    async def _hand_in(self) -> None:
-        self._progress.phase = "handing in"
+    async def _submit_all(self) -> None:
+        self._progress.phase = "submitting"
         for arrival in self._plan.arrivals:
             while (left_s := arrival.at_us / 1e6 - (self._loop.time() - self._epoch)) > 0:
-                await asyncio.sleep(min(left_s, _CHECK_S))
-                self._say()
+                await asyncio.sleep(min(left_s, _POLL_S))
+                self._report_progress()
             self._clients[arrival.courier].submit(arrival)
-            self._raise_dead()
+            self._raise_task_errors()
 
-    def _raise_dead(self) -> None:
-        """Guards against a rehearsal that goes on though a part of the rig has died."""
+    def _raise_task_errors(self) -> None:
+        """Raise the exception of a failed task, so that the rehearsal doesn't continue without a part of the rig."""
         for task in self._tasks:
             if task.done() and not task.cancelled() and task.exception() is not None:
                 task.result()
         self._tasks = [task for task in self._tasks if not task.done()]
 
-    async def _until_over(self) -> None:
-        """Until all faults are over, and every message that was taken on has its end or its time is up."""
-        self._progress.phase = "waiting for the last ends"
+    async def _wait_for_outcomes(self) -> None:
+        """Wait until all faults are over and every accepted message has its outcome, or the plan's end has come."""
+        self._progress.phase = "waiting for the last outcomes"
         last_us = max([self._plan.length_us, *(fault.until_us for fault in self._plan.faults)])
-        settle_us = 700_000  # a second end, or a call too many, would show by then
+        settle_us = 700_000  # a second outcome or an excess call would be seen by then
         quiet_us: int | None = None
         while (now_us := self._now_us()) < self._plan.end_us:
-            if now_us >= last_us and not self._ends.owed() and all(c.ready.is_set() for c in self._couriers):
+            if now_us >= last_us and not self._outcomes.has_pending() and all(c.ready.is_set() for c in self._couriers):
                 quiet_us = quiet_us or now_us
                 if now_us - quiet_us >= settle_us:
                     return
             else:
                 quiet_us = None
-            await asyncio.sleep(_CHECK_S)
-            self._raise_dead()
-            self._say()
+            await asyncio.sleep(_POLL_S)
+            self._raise_task_errors()
+            self._report_progress()
 
-    def _say(self) -> None:
-        if self._tell is None:
+    def _report_progress(self) -> None:
+        if self._on_progress is None:
             return
         progress = self._progress
         progress.at_us = min(self._now_us(), self._plan.end_us)
-        progress.handed_in = sum(clients.submitted for clients in self._clients)
-        self._ends.owed()
-        self._tell(progress)
+        progress.submitted = sum(clients.submitted for clients in self._clients)
+        self._outcomes.has_pending()
+        self._on_progress(progress)
 
-    async def _until(self, at_us: int) -> None:
+    async def _sleep_until(self, at_us: int) -> None:
         await asyncio.sleep(max(0.0, self._epoch + at_us / 1e6 - self._loop.time()))
 
     async def request_exit(self) -> None:
-        """SIGTERM to all couriers, and wait until they have left."""
+        """Send SIGTERM to all couriers and give them time to exit."""
         await asyncio.gather(*(courier.request_exit() for courier in self._couriers))
 
     async def close(self) -> None:
-        """Nothing stays: tasks, processes, ports."""
+        """Stop all tasks and processes and release all ports."""
         for task in self._tasks:
             task.cancel()
         for clients in self._clients:
--- a/wheelstep/rehearsal/scenario.py
+++ b/wheelstep/rehearsal/scenario.py
@@ -1,5 +1,5 @@
-"""The scenario format: TOML files with checked fields. What makes no sense is one line with file, key and what was
-expected. Times are strings with a unit ("250ms", "2s", "1.5min") and become whole microseconds.
+"""The scenario format: TOML files with validated fields. An error is one line with file, key and expectation.
+Times are strings with a unit ("250ms", "2s", "1.5min") and become whole microseconds.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class ScenarioError(Exception):
-    """A scenario that can't be used: `file: key: what was found; expected what`."""
+    """An invalid scenario; the message reads `file: key: found; expected`."""
 
 
 class RulesPart(Table):
-    """Figures of the rules."""
+    """Parameters of the rules."""
 
     drain_grace: Duration = 250_000
     fall_multiple: Annotated[float, Field(gt=0)] = 1.5
@@ -43,17 +43,17 @@
     ordered: bool = False
     worth: Annotated[float, Field(ge=0)] = 1.0
     late_worth: Share = 0.3
-    kinds: tuple[str, ...] = ()  # of partners that it goes to; none: all
+    kinds: tuple[str, ...] = ()  # of partners that get it; empty: all
     size: tuple[Annotated[int, Field(ge=0, le=65536)], Annotated[int, Field(ge=0, le=65536)]] = (100, 400)
 
     @model_validator(mode="after")
-    def _fits(self) -> ClassPart:
+    def _check_fields(self) -> ClassPart:
         if self.promise > self.deadline:
             raise ValueError("promise is longer than deadline; expected promise <= deadline")
         if self.effect is Effect.KEYED and not self.key_life:
             raise ValueError('key_life is missing; expected a time where effect = "keyed"')
         if self.size[0] > self.size[1]:
-            raise ValueError("size runs backwards; expected [least, most]")
+            raise ValueError("size runs backwards; expected [minimum, maximum]")
         return self
 
 
@@ -61,17 +61,17 @@
     """A kind of partner."""
 
     name: Annotated[str, Field(min_length=1)]
-    batch: Count = 1  # messages in a call at most
+    batch: Count = 1  # maximum of messages per call
     routes_apart: bool = False
 
 
 class LimitPart(Table):
-    """What a partner takes from all couriers together."""
+    """A partner's rate limit for all couriers together."""
 
     rate_per_s: Annotated[float, Field(gt=0)]
-    window: Duration | None = None  # a count in each such span instead of a plain rate
+    window: Duration | None = None  # a count per window instead of a plain rate
     refused_count: bool = False
-    tells_wait: Duration | None = None  # its refusals tell this wait
+    tells_wait: Duration | None = None  # announced by its rejections
     report: bool = True  # answers carry X-Load
 
 
@@ -84,26 +84,26 @@
     share: Annotated[float, Field(gt=0)] = 1.0  # of the traffic
     lanes: Count = 4  # calls that an endpoint serves at once
     queue: Annotated[int, Field(ge=0, le=100_000)] = 16
-    pace: Duration = 80_000  # to serve a call, on average
-    spread: Annotated[float, Field(ge=0, le=3)] = 0.3  # its deviation, as a share of the pace
+    pace: Duration = 80_000  # average processing time of a call
+    spread: Annotated[float, Field(ge=0, le=3)] = 0.3  # standard deviation, relative to the pace
     limit: LimitPart | None = None
-    connections: Count | None = None  # an endpoint takes so many
-    run_on: bool = False  # a call runs on after it was cancelled
-    key_memory: bool = True  # it drops repeats of a keyed message
+    connections: Count | None = None  # limit of an endpoint
+    run_on: bool = False  # cancelled calls run on
+    key_memory: bool = True  # repeats of a keyed message are dropped
 
 
 class TrafficPart(Table):
-    """What clients hand in."""
+    """The messages that clients submit."""
 
     rate_per_s: Annotated[float, Field(gt=0, le=20_000)] = 20.0
-    clumps: Share = 0.0  # share of the messages that come in clumps for one partner
+    clumps: Share = 0.0  # share of messages that come in bursts to one partner
     clump_size: Annotated[int, Field(ge=2, le=1000)] = 10
-    keys: Count = 8  # of each partner, in classes that keep an order
+    keys: Count = 8  # per partner, in ordered classes
     retries: Annotated[int, Field(ge=0, le=10)] = 2
-    honour: Share = 1.0  # share of the retries that wait as Retry-After says
+    honour: Share = 1.0  # share of retries that wait as Retry-After says
     backoff: DurationRange = (200_000, 600_000)
     fresh: Share = 0.0  # share of the keys that use a new connection for each request
-    crowd: Annotated[int, Field(ge=0, le=2000)] = 0  # further connections that stand idle
+    crowd: Annotated[int, Field(ge=0, le=2000)] = 0  # extra idle connections per courier
 
 
 _PARTNER_FAULTS = ("stall", "silent", "hang", "refuse", "shut", "fail", "reset", "spoil", "drain", "leave", "replace")
@@ -111,25 +111,25 @@
 
 
 class FaultPart(Table):
-    """Something that goes wrong, and when. `for` is how long; which keys go with which kind is checked."""
+    """A fault and its time; `for` is its duration. The allowed keys depend on the kind."""
 
     kind: Literal["stall", "silent", "hang", "refuse", "shut", "fail", "reset", "spoil", "drain", "leave", "replace",
                   "kill", "term", "pause", "discovery", "worker-kill", "worker-hang"]
     at: DurationRange
     lasts: Annotated[DurationRange | None, Field(alias="for")] = None
     partner: str | None = None
-    endpoint: Annotated[int, Field(ge=0)] | None = None  # one of the partner's; none: all
-    courier: Annotated[int, Field(ge=0)] | None = None  # none: all
-    worker: Annotated[int, Field(ge=0)] | None = None  # of a courier with workers; none: the first
+    endpoint: Annotated[int, Field(ge=0)] | None = None  # index at the partner; None: all
+    courier: Annotated[int, Field(ge=0)] | None = None  # None: all
+    worker: Annotated[int, Field(ge=0)] | None = None  # of a courier with workers; None: the first
     every: Duration | None = None  # stall
     pause: DurationRange | None = None  # stall
     share: Share | None = None  # fail, reset, spoil
     when: Literal["before", "after"] | None = None  # reset: before or after the call's last byte
-    wait: Duration | None = None  # shut: told with each refusal
-    told_after: DurationRange | None = None  # drain, leave, replace: until couriers are told
+    wait: Duration | None = None  # shut: announced by each rejection
+    told_after: DurationRange | None = None  # drain, leave, replace: discovery's delay
 
     @model_validator(mode="after")
-    def _fits(self) -> FaultPart:
+    def _check_fields(self) -> FaultPart:
         allowed = {"at", "kind"}
         if self.kind in _PARTNER_FAULTS:
             allowed |= {"partner", "endpoint"}
@@ -152,16 +152,16 @@
 
 
 class Scenario(Table):
-    """A whole scenario."""
+    """A complete scenario."""
 
     title: str
     rule: Literal["lost", "twice", "drains", "returns", "order", "waits", "all"]
-    length: Duration  # clients hand in for so long
+    length: Duration  # duration of the submissions
     couriers: Annotated[int, Field(ge=1, le=64)] = 1
     slots: Count = 16
     hold: Count = 500
     max_attempts: Count = 12
-    idle: Duration = 10_000_000  # endpoints close connections that are idle for so long
+    idle: Duration = 10_000_000  # endpoints close idle connections after this
     dial: Duration = 1_000_000
     ready_within: Duration = 30_000_000
     probes: bool = True
@@ -175,7 +175,7 @@
 
 
 def parse(text: str, source: str) -> Scenario:
-    """Read a scenario; `source` names it in a `ScenarioError`."""
+    """Return a scenario. Raises `ScenarioError`, which names it by `source`."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -184,13 +184,13 @@
         scenario = Scenario.model_validate(data)
     except ValidationError as error:
         raise ScenarioError(f"{source}: {describe_error(error, 'docs/operations/rehearsal.md')}") from error
-    for key, text in _crossings(scenario):
+    for key, text in _cross_check(scenario):
         raise ScenarioError(f"{source}: {key}: {text}")
     return scenario
 
 
-def _crossings(scenario: Scenario) -> Iterable[tuple[str, str]]:
-    """What only shows when parts are held against each other."""
+def _cross_check(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    """Yield key and message of each inconsistency between parts."""
     for what, names in (("class", [part.name for part in scenario.classes]),
                         ("kind", [part.name for part in scenario.kinds]),
                         ("partner", [part.name for part in scenario.partners])):
@@ -226,14 +226,14 @@
 
 
 def shipped() -> Mapping[str, str]:
-    """The scenarios that come with the kit: name and text, in order of their names."""
+    """Return the shipped scenarios' texts by name, in order of the names."""
     folder = resources.files("wheelstep.rehearsal") / "scenarios"
     return {item.name.removesuffix(".toml"): item.read_text(encoding="utf-8")
             for item in sorted(folder.iterdir(), key=lambda item: item.name) if item.name.endswith(".toml")}
 
 
 def find(name: str) -> tuple[str, Scenario]:
-    """A shipped scenario by its name, or one in a file; raises `ScenarioError`."""
+    """Return name and scenario of a shipped scenario or a file. Raises `ScenarioError`."""
     texts = shipped()
     if name in texts:
         return name, parse(texts[name], f"{name}.toml")
@@ -246,8 +246,8 @@
         raise ScenarioError(f"{name}: can't be read: {error}; expected TOML in UTF-8") from error
 
 
-def alone(scenario: Scenario) -> Scenario:
-    """The same with one courier in place of several: it has their slots and room, and meets all their faults."""
+def single_courier(scenario: Scenario) -> Scenario:
+    """Return the scenario with one courier instead of several, with all their slots, capacity and faults."""
     faults = tuple(fault if fault.courier is None else fault.model_copy(update={"courier": 0})
                    for fault in scenario.faults)
     return scenario.model_copy(update={
--- a/wheelstep/rehearsal/soak/run.py
+++ b/wheelstep/rehearsal/soak/run.py
@@ -33,7 +33,7 @@
 
 async def run(plan: Plan, command: str = COMMAND) -> tuple[SoakResult, Played]:
     """Play and judge. Raises `NoStartError` where the command can't be started."""
-    played = await play(plan, command, made=SoakCourier)
+    played = await play(plan, command, courier_type=SoakCourier)
     verdict = judge(played.history)
     counts: Counter[str] = Counter(f"fault {fault.kind}" for fault in plan.faults)
     for fact in played.history.facts:
--- a/wheelstep/rehearsal/standins/answering.py
+++ b/wheelstep/rehearsal/standins/answering.py
@@ -77,7 +77,7 @@
         super().data_received(data)
 
     def on_disconnect(self) -> None:
-        """Cancel the call in progress and record that the courier closed it."""
+        """Cancel the call in progress, if any, and record it as closed."""
         self._endpoint.connections.discard(self)
         self._pool.connections[self._courier] -= 1
         if self._idle_timer is not None:
@@ -146,7 +146,7 @@
             try:
                 rows = _parse_bulk(request.body)
             except ValueError as error:
-                self._report_violation(f"a bulk call that can't be read: {error}")
+                self._report_violation(f"a malformed bulk call: {error}")
                 return None
             most = self._pool.plan.settings["specifics"]["per_call"][self._endpoint.partner.kind]
             if not rows or len(rows) > most:
@@ -158,7 +158,7 @@
         for name, token, body in rows:
             known = self._pool.ledger.submissions.get(name)
             if known is None:
-                self._report_violation(f"message {name!r}, which no client handed in")
+                self._report_violation(f"message {name!r}, which no client submitted")
                 return None
             if known.arrival.destination != self._endpoint.partner.destination:
                 self._report_violation(f"message {name} for destination {known.arrival.destination}")
--- a/wheelstep/rehearsal/standins/model.py
+++ b/wheelstep/rehearsal/standins/model.py
@@ -118,7 +118,7 @@
     def _capacity_share(self) -> float:
         if self._recovered_us is None:
             return 1.0
-        return warmth.share(self._now() - self._recovered_us, self._figures.cold_from, self._figures.cold_us)
+        return warmth.capacity_share(self._now() - self._recovered_us, self._figures.cold_from, self._figures.cold_us)
 
     def add_load(self, work: float) -> None:
         """Count a call or a probe of the weight `work`; a cold endpoint that gets too many collapses for good."""
--- a/wheelstep/rehearsal/standins/platform.py
+++ b/wheelstep/rehearsal/standins/platform.py
@@ -32,7 +32,7 @@
     def __init__(self, courier: str, history: History, now_us: Callable[[], int],
                  on_notice: Callable[[str, dict[str, Any]], None] | None = None) -> None:
         self.courier, self._history, self._now_us, self._on_notice = courier, history, now_us, on_notice
-        self.hosts: dict[str, Row] = {}  # the list with all changes that were told
+        self.hosts: dict[str, Row] = {}  # the present list, without unsent changes
         self.seq = 1
         self.down = False
         self.accepts_notices = True
@@ -137,7 +137,7 @@
             if any(outcome not in OUTCOMES for _, outcome, _ in taken):
                 raise ValueError("no such outcome")
         except (ValueError, KeyError, TypeError) as error:
-            self._history.add(Strange(self._now_us(), self.courier, "the platform", f"a bad notice: {error}"))
+            self._history.add(Strange(self._now_us(), self.courier, "the platform", f"a malformed notification: {error}"))
             return 400
         now_us = self._now_us()
         for (message, outcome, retry_ms), line in zip(taken, lines, strict=True):
--- a/wheelstep/rehearsal/standins/process.py
+++ b/wheelstep/rehearsal/standins/process.py
@@ -194,7 +194,7 @@
 
     def signal_worker(self, worker: int, number: int) -> None:
         """Send a signal to one of the process's children, counted in the order of their command lines."""
-        self._record_turn(Turn.PART_DOWN)
+        self._record_turn(Turn.WORKER_DOWN)
         if self.process is not None and self.process.returncode is None:
             parts = children(self.process.pid)
             if parts:
@@ -203,7 +203,7 @@
 
     def record_worker_replaced(self) -> None:
         """Record that by now a worker must have been replaced, or others have taken over its messages."""
-        self._record_turn(Turn.PART_UP)
+        self._record_turn(Turn.WORKER_REPLACED)
 
     async def stop(self) -> None:
         """Kill the process group for good and release the port."""
--- a/wheelstep/rehearsal/verdict.py
+++ b/wheelstep/rehearsal/verdict.py
@@ -1,4 +1,4 @@
-"""What the judge says: the rules, the ruling on each, and the findings that prove it. No I/O."""
+"""The judge's result: the rules, the ruling on each and the findings that prove it. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Rule(StrEnum):
-    """The six rules, and the form that every courier keeps to."""
+    """The six rules, and the rule of form. The values are the texts of reports."""
 
     LOST = "no message is lost"
     TWICE = "no effect happens twice"
@@ -22,7 +22,7 @@
 
 
 class Ruling(StrEnum):
-    """What was found of a rule."""
+    """The result for a rule."""
 
     KEPT = "kept"
     BROKEN = "broken"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One breach: where in time, what, and the messages and calls that prove it."""
+    """A violation of a rule: its time, a description, and the messages and calls that prove it."""
 
     rule: Rule
     at_us: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the judge says. `late_us` is the most that the machine ran late, and who."""
+    """The result of all rules. `late_us` is the machine's greatest lateness, `late_who` whose it was."""
 
     rulings: dict[Rule, Ruling]
     findings: tuple[Finding, ...]
@@ -52,14 +52,14 @@
 
     @property
     def ruling(self) -> Ruling:
-        """Of all rules together."""
+        """The ruling on all rules together: inconclusive, else broken if any rule is, else kept."""
         for ruling in (Ruling.INCONCLUSIVE, Ruling.BROKEN):
             if ruling in self.rulings.values():
                 return ruling
         return Ruling.KEPT
 
     def canonical(self, **about: str | int) -> str:
-        """The verdict alone as canonical JSON: no figure in it hangs on the machine."""
+        """Return the verdict as canonical JSON with the entries `about`, without figures that depend on the machine."""
         rules = {rule.name.lower(): ruling.value for rule, ruling in self.rulings.items()}
         return json.dumps({**about, "verdict": self.ruling.value, "rules": rules}, sort_keys=True,
                           separators=(",", ":"))
--- a/wheelstep/rehearsal/worth.py
+++ b/wheelstep/rehearsal/worth.py
@@ -1,4 +1,4 @@
-"""What was delivered, in worth: full within the promise, then evenly less down to the deadline. No I/O."""
+"""The worth of delivered messages: full within the promise, then linearly less until the deadline. No I/O."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Worth:
-    """Of one class: how many were asked for and delivered, and their worth."""
+    """The messages of one class: their number and worth, submitted and delivered."""
 
     messages: int
     delivered: int
-    asked: float
-    earned: float
+    offered: float
+    earned_worth: float
 
     @property
     def share(self) -> float:
-        """Worth delivered over worth asked for; 1 where none was asked for."""
-        return self.earned / self.asked if self.asked else 1.0
+        """The delivered share of the offered worth; 1 if none was offered."""
+        return self.earned_worth / self.offered if self.offered else 1.0
 
 
-def earned(figures: ClassFigures, spent_us: int) -> float:
-    """The worth of a message delivered so long after it was first handed in."""
+def earned_worth(figures: ClassFigures, spent_us: int) -> float:
+    """Return the worth of a message delivered `spent_us` after its first submission."""
     if spent_us <= figures.promise_us:
         return figures.worth
     if spent_us > figures.deadline_us or figures.deadline_us <= figures.promise_us:
@@ -34,7 +34,7 @@
 
 
 def tally(history: History) -> dict[str, Worth]:
-    """By class. A client's retries count as its first try."""
+    """Return the worth by class. All submissions of a planned message count as its first one."""
     first: dict[int, HandIn] = {}
     origins: dict[str, int] = {}
     done: dict[int, int] = {}
@@ -57,5 +57,5 @@
         row[2] += figures.worth
         if origin in done:
             row[1] += 1
-            row[3] += earned(figures, done[origin] - hand_in.at_us)
+            row[3] += earned_worth(figures, done[origin] - hand_in.at_us)
     return {name: Worth(int(row[0]), int(row[1]), row[2], row[3]) for name, row in sorted(rows.items())}
