--- a/wheelstep/rehearsal/fleet/partner.py
+++ b/wheelstep/rehearsal/fleet/partner.py
@@ -39,7 +39,7 @@
         if len(active.messages) > 1 or number is None or epoch is None \
                 or channel.partition("/")[0] not in self._seen.contracts:
             self._report_violation(f"message {message} in a call with channel {channel!r}, number "
-                          f"{headers.get('x-channel-number')!r}, epoch {headers.get('x-channel-epoch')!r}")
+                                   f"{headers.get('x-channel-number')!r}, epoch {headers.get('x-channel-epoch')!r}")
             return
         self._seen.add(Touch(
             self._courier, self._endpoint.name, channel, number, epoch, message,
--- a/wheelstep/rehearsal/soak/courier.py
+++ b/wheelstep/rehearsal/soak/courier.py
@@ -116,7 +116,7 @@
                 self._record_turn(Turn.CRASHED, before.returncode)
             if not ready:
                 self._record_turn(Turn.CRASHED if process.returncode is not None else Turn.NEVER_READY,
-                           process.returncode or 0)
+                                  process.returncode or 0)
                 return
             self._create_task(self._watch(process))
             self._serving = process
--- a/wheelstep/rehearsal/standins/answering.py
+++ b/wheelstep/rehearsal/standins/answering.py
@@ -25,7 +25,7 @@
     request: Request
     messages: tuple[str, ...]
     ran: tuple[bool, ...]
-    job: QueuedCall | None = None
+    queued: QueuedCall | None = None
 
 
 class Connection(Server):
@@ -41,12 +41,12 @@
 
     def on_connect(self) -> None:
         """Register the connection, or reset it if there are too many or a fault says so."""
-        most = self._endpoint.partner.connections
+        limit = self._endpoint.partner.connections
         self._endpoint.connections.add(self)
         self._pool.connections[self._courier] += 1
         if not self._pool.allows_connection(self._courier, self._endpoint.name):
             self.abort()
-        elif most and len(self._endpoint.connections) > most:
+        elif limit and len(self._endpoint.connections) > limit:
             self.abort()  # the endpoint's connection limit
         elif self._reset_early():
             self.abort()
@@ -83,8 +83,8 @@
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         if self._active_call is not None:
-            if self._active_call.job is not None:
-                self._model.cancel(self._active_call.job)
+            if self._active_call.queued is not None:
+                self._model.cancel(self._active_call.queued)
             self._record_call(How.CLOSED)
 
     def _start_idle_timer(self) -> None:
@@ -122,7 +122,7 @@
             self._reply(status, headers, b"", Fate.REFUSED, wait_us)
             return
         work = max(self._submission(name).arrival.work for name in messages)
-        active.job = self._model.serve(work, len(messages), lambda: self._finish_call(active))
+        active.queued = self._model.serve(work, len(messages), lambda: self._finish_call(active))
 
     def _answer_probe(self, request: Request) -> None:
         faults = self._model.active_faults
@@ -131,7 +131,7 @@
         if "fail" in faults.shares and self._model.occurs(faults.shares["fail"]):
             fine = False
         self._pool.history.add(Probe(self._courier, self._endpoint.name, self._endpoint.partner.destination,
-                                      self._pool.to_us(request.last_byte_at), fine))
+                                     self._pool.to_us(request.last_byte_at), fine))
         if {"hang", "silent"} & set(faults.shares):
             return  # a probe is never answered then
         load_report = self._model.load_report()
@@ -148,23 +148,23 @@
             except ValueError as error:
                 self._report_violation(f"a malformed bulk call: {error}")
                 return None
-            most = self._pool.plan.settings["specifics"]["per_call"][self._endpoint.partner.kind]
-            if not rows or len(rows) > most:
-                self._report_violation(f"a bulk call of {len(rows)} messages, {most} at most")
+            limit = self._pool.plan.settings["specifics"]["per_call"][self._endpoint.partner.kind]
+            if not rows or len(rows) > limit:
+                self._report_violation(f"a bulk call of {len(rows)} messages, {limit} at most")
                 return None
         else:
             self._report_violation(f"a call to {request.target}")
             return None
         for name, token, body in rows:
-            known = self._pool.ledger.submissions.get(name)
-            if known is None:
+            submission = self._pool.ledger.submissions.get(name)
+            if submission is None:
                 self._report_violation(f"message {name!r}, which no client submitted")
                 return None
-            if known.arrival.destination != self._endpoint.partner.destination:
-                self._report_violation(f"message {name} for destination {known.arrival.destination}")
-            if body != known.body:
+            if submission.arrival.destination != self._endpoint.partner.destination:
+                self._report_violation(f"message {name} for destination {submission.arrival.destination}")
+            if body != submission.body:
                 self._report_violation(f"message {name} with a changed body")
-            if token != known.arrival.token:
+            if token != submission.arrival.token:
                 self._report_violation(f"message {name} with a changed idempotency key")
         names = tuple(name for name, _, _ in rows)
         if len(set(names)) < len(names):
@@ -235,9 +235,9 @@
     """Return id, token and body of each message of a bulk call. Raises `ValueError` for a malformed body."""
     rows = []
     while body:
-        line, mark, body = body.partition(b"\r\n")
+        line, separator, body = body.partition(b"\r\n")
         parts = line.decode("latin-1").split(" ")
-        if not mark or len(parts) != 3 or not parts[2].isdigit():
+        if not separator or len(parts) != 3 or not parts[2].isdigit():
             raise ValueError(f"no line with id, key and length: {line[:60]!r}")
         size = int(parts[2])
         if body[size:size + 2] != b"\r\n":
--- a/wheelstep/rehearsal/standins/clients.py
+++ b/wheelstep/rehearsal/standins/clients.py
@@ -73,16 +73,16 @@
     def _report_failure(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            asyncio.get_running_loop().call_exception_handler({"message": "a client died", "exception": error})
+            asyncio.get_running_loop().call_exception_handler({"message": "a client task failed", "exception": error})
 
     async def _submit_in_order(self, arrival: Arrival, retry_header: str) -> None:
         try:
             await self._submit_once(arrival, retry_header)
         finally:
             if arrival.key is not None:
-                line = self._queues[arrival.key]
-                if line:
-                    self._start(*line.popleft())
+                queue = self._queues[arrival.key]
+                if queue:
+                    self._start(*queue.popleft())
                 else:
                     del self._queues[arrival.key]
 
@@ -93,9 +93,9 @@
         left_us = self._first_submitted_us.setdefault(number, now_us) + whole_us - now_us
         if left_us <= 0:
             return
-        attempt = self._submissions[number]
+        count = self._submissions[number]
         self._submissions[number] += 1
-        message = self._plan.message_id(number, attempt)
+        message = self._plan.message_id(number, count)
         body = self._plan.body(arrival)
         self._by_id[message] = arrival
         self._ledger.submissions[message] = Submission(arrival, body)
@@ -115,8 +115,8 @@
 
         Status and wait are 0 without an answer. A request whose idle connection turns out closed is sent once more.
         """
-        for attempt in range(2):
-            used = None if fresh or attempt else self._take_idle_connection()
+        for repeat in range(2):
+            used = None if fresh or repeat else self._take_idle_connection()
             try:
                 async with asyncio.timeout(CLIENT_TIMEOUT_S):
                     link = used or await Client.dial(*self.address)
@@ -151,10 +151,10 @@
 
         `told_wait_us` replaces the drawn delay for the share of clients that honour it.
         """
-        attempt = self._submissions[arrival.number]
-        if attempt > (self._plan.retries if retry_header == "1" else 2):
+        count = self._submissions[arrival.number]
+        if count > (self._plan.retries if retry_header == "1" else 2):
             return
-        rng = random.Random(f"{self._plan.seed}/{arrival.number}/{attempt}")
+        rng = random.Random(f"{self._plan.seed}/{arrival.number}/{count}")
         wait_us = rng.uniform(*(self._plan.backoff_us if retry_header == "1" else
                                 tuple(span / self._plan.speed for span in _RESUBMIT_DELAY_US)))
         if told_wait_us and rng.random() < self._plan.honour:
--- a/wheelstep/rehearsal/standins/model.py
+++ b/wheelstep/rehearsal/standins/model.py
@@ -1,6 +1,7 @@
 """A partner's behaviour without I/O: rate limits, queue and lanes, faults, capacity after an outage.
 
-Times are microseconds."""
+Times are microseconds.
+"""
 
 from __future__ import annotations
 
--- a/wheelstep/rehearsal/standins/partner.py
+++ b/wheelstep/rehearsal/standins/partner.py
@@ -83,7 +83,7 @@
         if fault.kind in OUTAGE_FAULTS and self._outage_us is not None:
             now_us = self.pool.now_us()
             self.pool.history.add(Outage(self.name, self.partner.destination, self._outage_us, now_us,
-                                          self.partner.per_s))
+                                         self.partner.per_s))
             self._outage_us = None
             self.model.recover(now_us)
 
--- a/wheelstep/rehearsal/standins/platform.py
+++ b/wheelstep/rehearsal/standins/platform.py
@@ -137,7 +137,8 @@
             if any(outcome not in OUTCOMES for _, outcome, _ in taken):
                 raise ValueError("no such outcome")
         except (ValueError, KeyError, TypeError) as error:
-            self._history.add(Strange(self._now_us(), self.courier, "the platform", f"a malformed notification: {error}"))
+            self._history.add(Strange(self._now_us(), self.courier, "the platform",
+                                      f"a malformed notification: {error}"))
             return 400
         now_us = self._now_us()
         for (message, outcome, retry_ms), line in zip(taken, lines, strict=True):
