--- a/benchmarks/rig_rate.py
+++ b/benchmarks/rig_rate.py
@@ -73,7 +73,7 @@
 
     async def ask(client: wire.Client) -> None:
         for _ in range(count // links):
-            assert await client.ask(REQUEST) is not None
+            assert await client.exchange(REQUEST) is not None
 
     began = time.perf_counter()
     await asyncio.gather(*(ask(client) for client in clients))
--- a/benchmarks/spread_rig/clients.py
+++ b/benchmarks/spread_rig/clients.py
@@ -73,18 +73,18 @@
         link: Client | None = None
         try:
             async with asyncio.timeout(PATIENCE_S):
-                while member.idle and (link is None or link.gone):
+                while member.idle and (link is None or link.closed):
                     link = member.idle.pop()
-                answer = await link.ask(request) if link is not None and not link.gone else None
+                answer = await link.exchange(request) if link is not None and not link.closed else None
                 if answer is None:
                     link = await Client.dial(member.host, PORT)
-                    answer = await link.ask(request)
+                    answer = await link.exchange(request)
         except (OSError, TimeoutError):
             answer = None
         if answer is None:
             if link is not None:
                 link.close()
             return 0
-        if link is not None and not link.gone and member.up:
+        if link is not None and not link.closed and member.up:
             member.idle.append(link)
         return answer[0]
--- a/benchmarks/spread_rig/fleet.py
+++ b/benchmarks/spread_rig/fleet.py
@@ -158,7 +158,7 @@
         async with asyncio.timeout(2.0):
             link = await Client.dial(host, PORT)
             try:
-                answer = await link.ask(b"GET /healthz HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
+                answer = await link.exchange(b"GET /healthz HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
             finally:
                 link.close()
         return answer is not None and answer[0] == 200
--- a/benchmarks/spread_rig/growth.py
+++ b/benchmarks/spread_rig/growth.py
@@ -153,7 +153,7 @@
             self.asked += 1
             name = f"m{self.asked:06d}"
             body = b"x" * 200
-            answer = await link.ask((
+            answer = await link.exchange((
                 f"POST /api/k{number}-{self.asked // LINKS % 50} HTTP/1.1\r\nHost: origin.svc\r\n"
                 f"X-Request-Id: {name}\r\nX-Class: update\r\nX-Deadline-Ms: 5000\r\n"
                 f"X-Consignee: dest={self.asked % DESTINATIONS}\r\nIdempotency-Key: t{name}\r\n"
--- a/benchmarks/spread_rig/site.py
+++ b/benchmarks/spread_rig/site.py
@@ -93,7 +93,7 @@
             asyncio.get_running_loop().call_at(play.began + end_s, self._served, play, message.number, head)
 
     def _served(self, play: Play, number: int, head: dict[str, str]) -> None:
-        if self.gone:
+        if self.closed:
             return
         self.answer(200, head)
         play.delivered.setdefault(number, play.now_s())
--- a/tests/crossings_endpoints.py
+++ b/tests/crossings_endpoints.py
@@ -69,7 +69,7 @@
                 self._tell(call, int(how), wire.render(int(how), {"Retry-After": "0.1"} if how == "429" else {}, b""))
 
     def _tell(self, call: Call, status: int, data: bytes) -> None:
-        if not self.gone:
+        if not self.closed:
             call.status, call.told_at = status, time.monotonic()
             self.write(data)
 
--- a/tests/silent_agent.py
+++ b/tests/silent_agent.py
@@ -145,7 +145,7 @@
 
     def alive(self) -> list[AgentConnection]:
         """Return the open watches."""
-        return [link for link in dict.fromkeys(link for link, _ in self.opened) if not link.gone]
+        return [link for link in dict.fromkeys(link for link, _ in self.opened) if not link.closed]
 
     async def fill(self) -> list[socket.socket]:
         """Let connections hang, neither opened nor refused, until the returned sockets are closed and the port
--- a/tests/stub_fleet.py
+++ b/tests/stub_fleet.py
@@ -42,7 +42,7 @@
                 f"X-Channel-Number: {number}\r\nX-Channel-Epoch: 1\r\nIdempotency-Key: {TOKENS[message]}\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n")
         link = await Client.dial(DIALS[0][0], int(DIALS[0][1]))
-        await link.ask(head.encode() + body)
+        await link.exchange(head.encode() + body)
         link.close()
 
 
--- a/tests/test_crossings_notices.py
+++ b/tests/test_crossings_notices.py
@@ -65,7 +65,7 @@
             for number in range(3):
                 assert await sender.send(*(f"m{number} {one}" for one in range(50))) < CROWDED_S
             assert all(len(body.splitlines()) == 50 for body in taken[1:])  # in one request again, not one by one
-            assert len(agent.links) >= 4 and sum(not link.gone for link in agent.links) <= 2
+            assert len(agent.links) >= 4 and sum(not link.closed for link in agent.links) <= 2
             sender.stop()
         agent.close()
     run(scene())
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -106,7 +106,7 @@
         await agent.until(lambda: len(agent.opened) == 2)
         agent.opened[0][0].say(b"\n" + json.dumps(changes(2)).encode())
         await follower.until(2)
-        await agent.until(lambda: agent.opened[1][0].gone)
+        await agent.until(lambda: agent.opened[1][0].closed)
         assert len(agent.alive()) == 1 and agent.opened[1][1] == 1
         await follower.stop()
         agent.close()
--- a/tests/test_order_across_processes.py
+++ b/tests/test_order_across_processes.py
@@ -84,7 +84,7 @@
         self._task = asyncio.create_task(self._reply(attempt))
 
     async def _reply(self, attempt: Attempt) -> None:
-        if await self._endpoints.reply(attempt) and not self.gone:
+        if await self._endpoints.reply(attempt) and not self.closed:
             self._open.remove(attempt)
             attempt.answered, attempt.ended_at = True, time.monotonic()
             self.answer(200)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -149,11 +149,11 @@
         for _ in range(2):
             await port.listen()
             link = await wire.Client.dial("127.0.0.1", port.port)
-            assert await link.ask(ask) == (200, {"content-length": "2"}, b"hi")
+            assert await link.exchange(ask) == (200, {"content-length": "2"}, b"hi")
             port.refuse()
             with pytest.raises(OSError):
                 await wire.Client.dial("127.0.0.1", port.port)
-            assert await link.ask(ask) is not None  # open connections stay usable
+            assert await link.exchange(ask) is not None  # open connections stay usable
             link.close()
         port.close()
     run(scene())
--- a/wheelstep/rehearsal/fleet/clients.py
+++ b/wheelstep/rehearsal/fleet/clients.py
@@ -177,10 +177,10 @@
         reached = False
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_S):
-                if line.link is None or line.link.gone:
+                if line.link is None or line.link.closed:
                     line.link = await Client.dial(*self._doors.get(line.at, ("127.0.0.1", 1)))
                 reached = True
-                answer = await line.link.ask(request)
+                answer = await line.link.exchange(request)
         except TimeoutError:
             return (End.TIMED_OUT if reached else End.UNREACHED), 0, {}, b""
         except OSError:
--- a/wheelstep/rehearsal/fleet/looks.py
+++ b/wheelstep/rehearsal/fleet/looks.py
@@ -31,9 +31,9 @@
             answer = None
             try:
                 async with asyncio.timeout(CLIENT_TIMEOUT_S):
-                    if link is None or link.gone:
+                    if link is None or link.closed:
                         link = await Client.dial(*door)
-                    answer = await link.ask(request)
+                    answer = await link.exchange(request)
             except (TimeoutError, OSError):
                 if link is not None:  # an answer that still comes would pass for the next one
                     link.close()
--- a/wheelstep/rehearsal/scale/clients.py
+++ b/wheelstep/rehearsal/scale/clients.py
@@ -129,18 +129,18 @@
         reached = False
         try:
             async with asyncio.timeout(PATIENCE_S):
-                while courier.idle and (link is None or link.gone):
+                while courier.idle and (link is None or link.closed):
                     link = courier.idle.pop()
-                if link is None or link.gone:
+                if link is None or link.closed:
                     link = await Client.dial(courier.site.ip, CLIENTS_PORT)
                 reached = True
-                answer = await link.ask(request)
+                answer = await link.exchange(request)
         except (OSError, TimeoutError):
             answer = None
         if answer is None:
             if link is not None:
                 link.close()
             return 0 if reached else -1
-        if link is not None and not link.gone and len(courier.idle) < _IDLE:
+        if link is not None and not link.closed and len(courier.idle) < _IDLE:
             courier.idle.append(link)
         return answer[0]
--- a/wheelstep/rehearsal/standins/clients.py
+++ b/wheelstep/rehearsal/standins/clients.py
@@ -120,7 +120,7 @@
             try:
                 async with asyncio.timeout(CLIENT_TIMEOUT_S):
                     link = used or await Client.dial(*self.address)
-                    answer = await link.ask(request)
+                    answer = await link.exchange(request)
             except TimeoutError:
                 return End.TIMED_OUT, 0, 0
             except OSError:
@@ -136,12 +136,12 @@
     def _take_idle_connection(self) -> Client | None:
         while self._idle:
             link = self._idle.pop()
-            if not link.gone:
+            if not link.closed:
                 return link
         return None
 
     def _release_connection(self, link: Client, fresh: bool) -> None:
-        if fresh or link.gone or len(self._idle) >= _MAX_IDLE_CONNECTIONS:
+        if fresh or link.closed or len(self._idle) >= _MAX_IDLE_CONNECTIONS:
             link.close()
         else:
             self._idle.append(link)
--- a/wheelstep/rehearsal/standins/process.py
+++ b/wheelstep/rehearsal/standins/process.py
@@ -107,7 +107,7 @@
                 async with asyncio.timeout(1.0):
                     link = await Client.dial(*self.address)
                     try:
-                        answer = await link.ask(b"GET /healthz HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
+                        answer = await link.exchange(b"GET /healthz HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
                     finally:
                         link.close()
                 if answer is not None and answer[0] == 200:
--- a/wheelstep/rehearsal/standins/wire.py
+++ b/wheelstep/rehearsal/standins/wire.py
@@ -60,7 +60,7 @@
         self.first_byte_at: float | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = ""
-        self.gone = False
+        self.closed = False
 
     def on_request(self, request: Request) -> None:
         """Handle a complete request."""
@@ -92,8 +92,8 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Mark the connection as gone and call `on_disconnect`."""
-        self.gone = True
+        """Mark the connection as closed and call `on_disconnect`."""
+        self.closed = True
         self.on_disconnect()
 
     def on_url(self, url: bytes) -> None:
@@ -106,13 +106,13 @@
         request = Request(self._parser.get_method().decode(), self._target, self.headers, bytes(self.body),
                           self.first_byte_at or now, now)
         self._target, self.first_byte_at = "", None
-        if not self.gone:
+        if not self.closed:
             self.on_request(request)
 
     def answer(self, status: int, headers: Mapping[str, str] | None = None, body: bytes = b"",
                close: bool = False) -> None:
         """Send an answer unless the connection is closing; with `close` close it afterwards."""
-        if self.transport is None or self.gone or self.transport.is_closing():
+        if self.transport is None or self.closed or self.transport.is_closing():
             return
         self.transport.write(render(status, {**(headers or {}), **({"Connection": "close"} if close else {})}, body))
         if close:
@@ -120,12 +120,12 @@
 
     def write(self, data: bytes) -> None:
         """Send raw bytes, which need not be valid HTTP."""
-        if self.transport is not None and not self.gone:
+        if self.transport is not None and not self.closed:
             self.transport.write(data)
 
     def abort(self) -> None:
         """Reset the connection."""
-        if self.transport is not None and not self.gone:
+        if self.transport is not None and not self.closed:
             with contextlib.suppress(OSError):  # SO_LINGER with timeout 0 makes the kernel send a reset
                 self.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
@@ -147,7 +147,7 @@
     def __init__(self) -> None:
         _MessageReader.__init__(self)
         self.transport: asyncio.Transport | None = None
-        self.gone = False
+        self.closed = False
         self.used = 0  # number of answered requests
         self._answer: asyncio.Future[tuple[int, dict[str, str], bytes] | None] | None = None
         self._parser = httptools.HttpResponseParser(self)
@@ -171,25 +171,25 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Mark the connection as gone; a pending `ask` returns None."""
-        self.gone = True
+        """Mark the connection as closed; a pending `exchange` returns None."""
+        self.closed = True
         if self._answer is not None and not self._answer.done():
             self._answer.set_result(None)
 
     def on_message_complete(self) -> None:
-        """Pass the answer to the pending `ask`; informational answers are ignored."""
+        """Pass the answer to the pending `exchange`; informational answers are ignored."""
         status = self._parser.get_status_code()
         if status < 200:
             return
         self.used += 1
         if not self._parser.should_keep_alive():
-            self.gone = True
+            self.closed = True
         if self._answer is not None and not self._answer.done():
             self._answer.set_result((status, self.headers, bytes(self.body)))
 
-    async def ask(self, data: bytes) -> tuple[int, dict[str, str], bytes] | None:
+    async def exchange(self, data: bytes) -> tuple[int, dict[str, str], bytes] | None:
         """Send a request; return the answer's status, headers and body, None if the connection ends without one."""
-        if self.gone or self.transport is None or self.transport.is_closing():
+        if self.closed or self.transport is None or self.transport.is_closing():
             return None
         self._answer = asyncio.get_running_loop().create_future()
         self.transport.write(data)
@@ -197,7 +197,7 @@
 
     def close(self) -> None:
         """Close the connection at once."""
-        self.gone = True
+        self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
