--- a/tests/test_journal_crashes.py
+++ b/tests/test_journal_crashes.py
@@ -18,13 +18,13 @@
 from wheelstep.rehearsal.faulty_disk import FaultyDisk, Inode
 from wheelstep.rehearsal.journal_model import (
     JOURNAL_BYTES,
+    JournalState,
     MismatchError,
-    View,
+    apply_step,
     crash_between_syncs,
     crash_everywhere,
     draw_history,
     open_journal,
-    play,
 )
 
 KINDS = st.sampled_from(["take", "attempt", "outcome", "end", "over", "mark", "compact"])
@@ -173,8 +173,8 @@
     rng = random.Random(seed)
     journal = open_journal(disk := FaultyDisk(seed), SyncPolicy.NONE)
     for step in draw_history(rng, 60):
-        play(journal, step)
-    before = View.of(journal)
+        apply_step(journal, step)
+    before = JournalState.of(journal)
     journal.close()
     disk = disk.after_crash(power=False)
     name = rng.choice(disk.names())
@@ -182,7 +182,7 @@
     last = data.rfind(codec.MARKER)  # its length field is left alone: too long a one looks like a torn record
     data[rng.choice([at for at in range(len(data)) if not last + 2 <= at < last + 6])] ^= 1 + rng.randrange(255)
     again = open_journal(disk, SyncPolicy.NONE)
-    after = View.of(again)
+    after = JournalState.of(again)
     ran = {row[0] for row in before.messages if row[3]}
     for row in after.messages:  # a message that may have run must still count as such
         assert row[0] not in ran or row[3] or row[4]
@@ -190,9 +190,9 @@
     again.close()
     # What recovery decided holds at the next start, and after copying forward.
     third = open_journal(disk.after_crash(power=False), SyncPolicy.NONE)
-    assert [row[:5] for row in View.of(third).messages] == [row[:5] for row in after.messages]
+    assert [row[:5] for row in JournalState.of(third).messages] == [row[:5] for row in after.messages]
     third.compact_all()
-    assert [row[0] for row in View.of(third).messages] == [row[0] for row in after.messages]
+    assert [row[0] for row in JournalState.of(third).messages] == [row[0] for row in after.messages]
 
 
 def test_damage_in_the_middle_loses_one_record_and_is_logged_with_its_offset(caplog: pytest.LogCaptureFixture) -> None:
@@ -299,7 +299,7 @@
     history = draw_history(random.Random(number), 60)
     whole = open_journal(disk := FaultyDisk(1), SyncPolicy.NONE)
     for step in history:
-        play(whole, step)
+        apply_step(whole, step)
     for point in range(1, disk.count + 1):
         disk = FaultyDisk(1)
         disk.faults = {point: number}
@@ -309,12 +309,12 @@
             continue
         for step in history:
             try:
-                play(journal, step)
+                apply_step(journal, step)
             except OSError:  # an attempt that could not be written, and is not sent
                 assert step[0] == "attempt"
         journal._write_deferred()
-        held = View.of(journal)
-        again = View.of(open_journal(disk.after_crash(power=False), SyncPolicy.NONE))
+        held = JournalState.of(journal)
+        again = JournalState.of(open_journal(disk.after_crash(power=False), SyncPolicy.NONE))
         assert again.messages == held.messages
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -190,7 +190,7 @@
 
 # --- returns ---
 
-def rush(count: int, from_us: int, courier: str = "c0", failed: bool = True) -> Scene:
+def burst(count: int, from_us: int, courier: str = "c0", failed: bool = True) -> Scene:
     """An outage until 10 s of an endpoint with a capacity of 20 calls a second, then `count` calls within a second."""
     scene = Scene().add(Outage("e0", 1, 5 * S, 10 * S, 20.0))
     if failed:
@@ -203,21 +203,21 @@
 
 
 def test_a_burst_at_a_cold_endpoint_breaks_the_rule() -> None:
-    assert rush(40, 10 * S + 100 * MS).broken() == {Rule.RETURNS}
+    assert burst(40, 10 * S + 100 * MS).broken() == {Rule.RETURNS}
 
 
 def test_few_calls_or_a_late_burst_keep_the_rule() -> None:
-    assert rush(10, 10 * S + 100 * MS).broken() == set()
-    assert rush(40, 18 * S + 100 * MS).broken() == set()
+    assert burst(10, 10 * S + 100 * MS).broken() == set()
+    assert burst(40, 18 * S + 100 * MS).broken() == set()
 
 
 def test_a_burst_of_couriers_that_saw_no_failure_keeps_the_rule() -> None:
-    assert rush(40, 10 * S + 100 * MS, courier="c1").broken() == set()
-    assert rush(40, 10 * S + 100 * MS, failed=False).broken() == set()
+    assert burst(40, 10 * S + 100 * MS, courier="c1").broken() == set()
+    assert burst(40, 10 * S + 100 * MS, failed=False).broken() == set()
 
 
 def test_a_failed_probe_counts_as_a_seen_failure() -> None:
-    scene = rush(40, 10 * S + 100 * MS, failed=False).add(Probe("c0", "e0", 1, 7 * S, False))
+    scene = burst(40, 10 * S + 100 * MS, failed=False).add(Probe("c0", "e0", 1, 7 * S, False))
     assert scene.broken() == {Rule.RETURNS}
 
 
@@ -300,8 +300,8 @@
 
 
 def test_a_dumped_history_loads_unchanged() -> None:
-    scene = rush(5, 10 * S).add(Told(S, "c0", "e0", "DRAINING"), Life(S, "c0", Turn.EXITED, -9),
-                                Strange(S, "c0", "e0", "x"), Late(S, "rig", 1), Probe("c0", "e0", 1, S, True))
+    scene = burst(5, 10 * S).add(Told(S, "c0", "e0", "DRAINING"), Life(S, "c0", Turn.EXITED, -9),
+                                 Strange(S, "c0", "e0", "x"), Late(S, "rig", 1), Probe("c0", "e0", 1, S, True))
     again = load(dump(scene.history))
     assert again.facts == scene.history.facts and again.figures == scene.history.figures
     assert judge(again).canonical() == judge(scene.history).canonical()
--- a/wheelstep/rehearsal/journal_model.py
+++ b/wheelstep/rehearsal/journal_model.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class JournalState:
     """The comparable state of a journal: its messages in order and its marks.
 
     A message has id, attempts, body, whether it may have run, and its pending outcome or an empty string.
@@ -40,39 +40,39 @@
     marks: tuple[tuple[str, object], ...]
 
     @classmethod
-    def of(cls, journal: Journal) -> View:
+    def of(cls, journal: Journal) -> JournalState:
         """Return the state of a journal."""
         return cls(tuple((m.id, m.attempts, m.body, m.may_have_run() is not None, m.notice[0] if m.notice else "")
                          for m in journal.messages.values()),
                    tuple(sorted(copy.deepcopy(journal.marks).items())))
 
 
-def play(journal: Journal, step: Step) -> None:
+def apply_step(journal: Journal, step: Step) -> None:
     """Apply a step; one that isn't possible in the present state does nothing."""
-    what, which, number = step
-    name = f"m{which}"
-    if what == "take":
+    kind, index, argument = step
+    name = f"m{index}"
+    if kind == "take":
         if name not in journal.messages:
-            body = bytes([which]) * (number % 400)
+            body = bytes([index]) * (argument % 400)
             with contextlib.suppress(NoRoomError):
-                journal.take(StoredMessage(name, "c", 7, 1000 + number, f"k{which % 3}", None, False, body))
-    elif what == "attempt":
+                journal.take(StoredMessage(name, "c", 7, 1000 + argument, f"k{index % 3}", None, False, body))
+    elif kind == "attempt":
         message = journal.messages.get(name)
         if message is not None and message.notice is None:
-            journal.attempt(name, message.attempts, number, f"e{number % 3}")
-    elif what == "outcome":
+            journal.attempt(name, message.attempts, argument, f"e{argument % 3}")
+    elif kind == "outcome":
         message = journal.messages.get(name)
         if message is not None and message.out:
-            journal.outcome(name, min(message.out), bool(number % 2))
-    elif what == "end":
+            journal.outcome(name, min(message.out), bool(argument % 2))
+    elif kind == "end":
         message = journal.messages.get(name)
         if message is not None and message.notice is None:
-            journal.end(name, "given_up", number)
-    elif what == "over":
+            journal.end(name, "given_up", argument)
+    elif kind == "over":
         journal.over(name)
-    elif what == "mark":
-        journal.mark(f"f{which}", None if number % 3 == 0 else number)
-    elif what == "compact":
+    elif kind == "mark":
+        journal.mark(f"f{index}", None if argument % 3 == 0 else argument)
+    elif kind == "compact":
         journal.compact(0.0)
 
 
@@ -87,13 +87,13 @@
     Under `SyncPolicy.EACH` the power fails, under `SyncPolicy.NONE` the process ends. With `crash_recovery` the
     recovery crashes once too. Raises `MismatchError`.
     """
-    views: list[View] = []
+    states: list[JournalState] = []
     disk = FaultyDisk(seed)
     journal = open_journal(disk, sync)
-    views.append(View.of(journal))
+    states.append(JournalState.of(journal))
     for step in history:
-        play(journal, step)
-        views.append(View.of(journal))
+        apply_step(journal, step)
+        states.append(JournalState.of(journal))
     journal.close()
     total = disk.count
     for point in range(1, total + 1):
@@ -104,7 +104,7 @@
             journal = open_journal(disk, sync)
             done = 0
             for step in history:
-                play(journal, step)
+                apply_step(journal, step)
                 done += 1
             journal.close()
         except CrashError:
@@ -112,9 +112,9 @@
         left = disk.after_crash(power=sync is SyncPolicy.EACH)
         if crash_recovery:
             left = _crash_recovery(left, sync, random.Random(seed * 1_000_003 + point))
-        allowed = views[max(done, 0):max(done, 0) + 2]
-        found = View.of(open_journal(left, sync))
-        if not any(_matches(found, view, sync) for view in allowed):
+        allowed = states[max(done, 0):max(done, 0) + 2]
+        found = JournalState.of(open_journal(left, sync))
+        if not any(_matches(found, state, sync) for state in allowed):
             raise MismatchError(f"seed {seed}, {sync.value}, crash before operation {point} of {total}, in step "
                                 f"{done} {history[done] if 0 <= done < len(history) else ''}:\n found {found}\n"
                                 f" allowed {allowed}")
@@ -129,18 +129,18 @@
     return disk.after_crash(power=sync is SyncPolicy.EACH)
 
 
-def _matches(found: View, view: View, sync: SyncPolicy) -> bool:
+def _matches(found: JournalState, state: JournalState, sync: SyncPolicy) -> bool:
     """Return whether a recovered state is allowed.
 
     It must be the same after the end of a process. After a power loss a message that never ran may also be marked as
     possibly run, but not the reverse.
     """
     if sync is SyncPolicy.NONE:
-        return found == view
-    if len(found.messages) != len(view.messages) or found.marks != view.marks:
+        return found == state
+    if len(found.messages) != len(state.messages) or found.marks != state.marks:
         return False
     return all((a[0], a[1], a[2], a[4]) == (b[0], b[1], b[2], b[4]) and (a[3] or not b[3])
-               for a, b in zip(found.messages, view.messages, strict=True))
+               for a, b in zip(found.messages, state.messages, strict=True))
 
 
 def crash_between_syncs(history: Sequence[Step], seed: int, every: int = 5) -> int:
@@ -150,10 +150,10 @@
     `MismatchError`.
     """
     disk = FaultyDisk(seed)
-    views = [View.of(journal := open_journal(disk, SyncPolicy.GROUP))]
+    states = [JournalState.of(journal := open_journal(disk, SyncPolicy.GROUP))]
     for number, step in enumerate(history):
-        play(journal, step)
-        views.append(View.of(journal))
+        apply_step(journal, step)
+        states.append(JournalState.of(journal))
         if number % every == every - 1:
             journal.sync_now()
     total = disk.count
@@ -164,40 +164,40 @@
         with contextlib.suppress(CrashError):
             journal = open_journal(disk, SyncPolicy.GROUP)
             for number, step in enumerate(history):
-                play(journal, step)
+                apply_step(journal, step)
                 done = number + 1
                 if number % every == every - 1:
                     journal.sync_now()
                     safe = done
         left = _crash_recovery(disk.after_crash(power=True), SyncPolicy.EACH, random.Random(seed * 7 + point))
-        trouble = _mismatch(View.of(open_journal(left, SyncPolicy.GROUP)), views[safe:done + 2])
+        trouble = _mismatch(JournalState.of(open_journal(left, SyncPolicy.GROUP)), states[safe:done + 2])
         if trouble:
             raise MismatchError(f"seed {seed}, power lost before operation {point} of {total}, after step {done}, "
                                 f"synced at {safe}: {trouble}")
     return total
 
 
-def _mismatch(found: View, since: Sequence[View]) -> str:
+def _mismatch(found: JournalState, since: Sequence[JournalState]) -> str:
     """Return what is wrong with a state recovered after a power loss, empty if nothing.
 
     `since` has the states from the last sync on.
     """
     rows = {row[0]: row for row in found.messages}
-    held = [{row[0]: row for row in view.messages} for view in since]
+    held = [{row[0]: row for row in state.messages} for state in since]
     for name in held[0]:
-        if not all(name in view for view in held):
+        if not all(name in state for state in held):
             continue  # its removal may or may not have been written
         if name not in rows:
             return f"{name} was synced and is missing"
-        if all(view[name][3] for view in held) and not rows[name][3]:
+        if all(state[name][3] for state in held) and not rows[name][3]:
             return f"{name} may have run and is not marked so"
-        if rows[name][2] not in [view[name][2] for view in held]:
+        if rows[name][2] not in [state[name][2] for state in held]:
             return f"{name} has another body"
     for name in rows:
-        if not any(name in view for view in held):
+        if not any(name in state for state in held):
             return f"{name} was removed and is back"
-    common = [name for name in held[0] if name in rows and all(name in view for view in held)]
-    orders = [[name for name in view if name in common] for view in held]  # ids may return
+    common = [name for name in held[0] if name in rows and all(name in state for state in held)]
+    orders = [[name for name in state if name in common] for state in held]  # ids may return
     if [name for name in rows if name in common] not in orders:
         return "the order of the messages has changed"
     return ""
