--- a/benchmarks/rig_rate.py
+++ b/benchmarks/rig_rate.py
@@ -63,7 +63,7 @@
 class Plain(wire.Server):
     """Answers 200 to all."""
 
-    def requested(self, request: wire.Request) -> None:
+    def on_request(self, request: wire.Request) -> None:
         self.answer(200)
 
 
@@ -73,7 +73,7 @@
 
     async def ask(client: wire.Client) -> None:
         for _ in range(count // links):
-            assert await client.ask(REQUEST) is not None
+            assert await client.exchange(REQUEST) is not None
 
     began = time.perf_counter()
     await asyncio.gather(*(ask(client) for client in clients))
--- a/tests/crossings_endpoints.py
+++ b/tests/crossings_endpoints.py
@@ -29,13 +29,13 @@
         self._play, self._endpoint = play, endpoint
         self._calls: list[Call] = []
 
-    def requested(self, request: wire.Request) -> None:
+    def on_request(self, request: wire.Request) -> None:
         """Record the call and start its answer."""
         if request.method != "POST":
             self.answer(200)
             return
         name = request.headers["x-request-id"]
-        call = Call(name, self._endpoint, request.first_at, request.last_at)
+        call = Call(name, self._endpoint, request.first_byte_at, request.last_byte_at)
         self._calls.append(call)
         self._play.seen.calls.append(call)
         self._play.tries[name] += 1
@@ -69,7 +69,7 @@
                 self._tell(call, int(how), wire.render(int(how), {"Retry-After": "0.1"} if how == "429" else {}, b""))
 
     def _tell(self, call: Call, status: int, data: bytes) -> None:
-        if not self.gone:
+        if not self.closed:
             call.status, call.told_at = status, time.monotonic()
             self.write(data)
 
@@ -80,7 +80,7 @@
         elif self.transport is not None:
             self.transport.close()
 
-    def lost(self) -> None:
+    def on_disconnect(self) -> None:
         """Record when the connection of its calls ended."""
         for call in self._calls:
             call.closed_at = call.closed_at or time.monotonic()
--- a/tests/stub_fleet.py
+++ b/tests/stub_fleet.py
@@ -46,7 +46,7 @@
                 f"X-Channel-Number: {number}\r\nX-Channel-Epoch: 1\r\nIdempotency-Key: {TOKENS[message]}\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n")
         link = await Client.dial(ENDPOINT_ADDRESSES[0][0], int(ENDPOINT_ADDRESSES[0][1]))
-        await link.ask(head.encode() + body)
+        await link.exchange(head.encode() + body)
         link.close()
 
 
@@ -56,7 +56,7 @@
 class ClientConnection(Server):
     """A client's connection. The owner of the channel accepts messages; others answer 503 with the owner's address."""
 
-    def requested(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         """Answer a health check, a request for the channel's next number, or a message."""
         path = request.target.split("/")
         if request.target == "/healthz":
--- a/wheelstep/rehearsal/fleet/clients.py
+++ b/wheelstep/rehearsal/fleet/clients.py
@@ -14,8 +14,8 @@
 from wheelstep.rehearsal.fleet.looks import integer_fields
 from wheelstep.rehearsal.history import End, Strange
 from wheelstep.rehearsal.plan import Arrival, Plan
-from wheelstep.rehearsal.standins.clients import PATIENCE_S, _request, _retry_us
-from wheelstep.rehearsal.standins.partner import Known, Ledger
+from wheelstep.rehearsal.standins.clients import CLIENT_TIMEOUT_S, request_bytes, retry_after_us
+from wheelstep.rehearsal.standins.partner import Ledger, Submission
 from wheelstep.rehearsal.standins.wire import Client
 
 Address = tuple[str, int]
@@ -130,7 +130,7 @@
         deadline_us = self._now_us() + time_limit_us
         message = self._plan.message_id(arrival.number, self._hand_backs[arrival.number])
         body = self._plan.body(arrival)
-        self._ledger.known[message] = Known(arrival, body)
+        self._ledger.submissions[message] = Submission(arrival, body)
         redirects, possibly_accepted = 0, False
         while (left_us := deadline_us - self._now_us()) > 0:
             number = number if reserved else max(number, client.next_number)
@@ -168,7 +168,7 @@
                        left_us: int, deadline_us: int) -> tuple[Heard, int, dict[str, int]]:
         asked_us, courier, session = self._now_us(), client.courier, client.session
         channel_headers = f"\r\nX-Channel-Number: {number}\r\nX-Channel-Epoch: {session}\r\n".encode()
-        request = _request(arrival, message, body, left_us, "").replace(b"\r\n", channel_headers, 1)
+        request = request_bytes(arrival, message, body, left_us, "").replace(b"\r\n", channel_headers, 1)
         assert arrival.key is not None
         self._history.add(Asked(asked_us, courier, client.channel, number, session, message, arrival.message_class,
                                 arrival.destination, arrival.key, arrival.number, deadline_us))
@@ -177,16 +177,16 @@
         reply = Heard(self._now_us(), asked_us, courier, client.channel, number, message, end, status,
                       _parse_number(headers.get("x-channel-next", "")), self._courier_at(owner) if owner else "")
         self._history.add(reply)
-        return reply, _retry_us(headers.get("retry-after", "")), integer_fields(answer)
+        return reply, retry_after_us(headers.get("retry-after", "")), integer_fields(answer)
 
     async def _exchange(self, client: _ChannelClient, request: bytes) -> tuple[End, int, dict[str, str], bytes]:
         reached = False
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                if client.connection is None or client.connection.gone:
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
+                if client.connection is None or client.connection.closed:
                     client.connection = await Client.dial(*self._addresses.get(client.courier, ("127.0.0.1", 1)))
                 reached = True
-                answer = await client.connection.ask(request)
+                answer = await client.connection.exchange(request)
         except TimeoutError:
             return (End.TIMED_OUT if reached else End.UNREACHED), 0, {}, b""
         except OSError:
--- a/wheelstep/rehearsal/fleet/courier.py
+++ b/wheelstep/rehearsal/fleet/courier.py
@@ -79,15 +79,15 @@
         if "RIG_POINT" not in self.fault_env:
             return await super()._watch(process)
         code = await process.wait()
-        if process is self.process and not self._going:
+        if process is self.process and not self._stopping:
             self.ready.clear()
             if code == -signal.SIGKILL:
-                self._going = True
-                self._turn(Turn.KILLED)
-                self._turn(Turn.EXITED, code)
+                self._stopping = True
+                self._record_turn(Turn.KILLED)
+                self._record_turn(Turn.EXITED, code)
                 self.killed_at_point.set()
             else:
-                self._turn(Turn.CRASHED, code)
+                self._record_turn(Turn.CRASHED, code)
 
     async def kill_without_restart(self) -> None:
         """Send SIGKILL and wait for the end of the process. `restart` starts the next one."""
@@ -105,9 +105,9 @@
         process = self.process
         if process is None or process.returncode is not None:
             return "fell"
-        self._going = True
+        self._stopping = True
         self.ready.clear()
-        self._turn(turn)
+        self._record_turn(turn)
         if turn is Turn.TERMINATED:
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGTERM)
@@ -117,7 +117,7 @@
         self._signal(signal.SIGCONT)
         self._signal(signal.SIGKILL)
         code = await process.wait()
-        self._turn(Turn.EXITED, code)
+        self._record_turn(Turn.EXITED, code)
         return "stayed" if timed_out else "fell" if code == -signal.SIGKILL else "left"
 
     async def restart(self, keep: bool = True) -> bool:
@@ -128,7 +128,7 @@
         if not keep:
             shutil.rmtree(self._folder / "state", ignore_errors=True)
             (self._folder / "state").mkdir(parents=True)
-        self._going = False
+        self._stopping = False
         return await self.start()
 
     async def stop(self) -> None:
--- a/wheelstep/rehearsal/fleet/figures.py
+++ b/wheelstep/rehearsal/fleet/figures.py
@@ -35,7 +35,7 @@
 def measure_cost(history: FleetHistory, verdict: FleetVerdict) -> Cost:
     """Compute the figures of a history and its verdict."""
     tallied = worth.tally(history.courier_history()).values()
-    asked, earned = sum(row.asked for row in tallied), sum(row.earned for row in tallied)
+    asked, earned = sum(row.offered for row in tallied), sum(row.earned_worth for row in tallied)
     submitted_us: dict[str, int] = {}
     channels: dict[str, list[Touch]] = defaultdict(list)
     for fact in history.facts:
--- a/wheelstep/rehearsal/fleet/lives.py
+++ b/wheelstep/rehearsal/fleet/lives.py
@@ -150,7 +150,7 @@
             self._record_lateness("the rig", now_us - previous_us - round(_POLL_S * 1e6))
             previous_us = now_us
             for name, courier in self._couriers.items():
-                total_us = courier.waited_us() if courier.up else None
+                total_us = courier.run_queue_wait_us() if courier.up else None
                 if total_us is None or courier.process is None:
                     continue
                 pid, last_us = waits.get(name, (0, 0))
--- a/wheelstep/rehearsal/fleet/looks.py
+++ b/wheelstep/rehearsal/fleet/looks.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from wheelstep.rehearsal.fleet.history import Looked
-from wheelstep.rehearsal.standins.clients import PATIENCE_S
+from wheelstep.rehearsal.standins.clients import CLIENT_TIMEOUT_S
 from wheelstep.rehearsal.standins.wire import Client
 
 # In the answer of an owner that has no position of the channel, as the courier that had it is gone.
@@ -32,10 +32,10 @@
             request = f"GET /channels/{name} HTTP/1.1\r\nHost: origin.svc\r\n\r\n".encode()
             answer = None
             try:
-                async with asyncio.timeout(PATIENCE_S):
-                    if connection is None or connection.gone:
+                async with asyncio.timeout(CLIENT_TIMEOUT_S):
+                    if connection is None or connection.closed:
                         connection = await Client.dial(*address)
-                    answer = await connection.ask(request)
+                    answer = await connection.exchange(request)
             except (TimeoutError, OSError):
                 if connection is not None:  # a late answer would be taken for the next request's
                     connection.close()
--- a/wheelstep/rehearsal/fleet/rig.py
+++ b/wheelstep/rehearsal/fleet/rig.py
@@ -22,8 +22,8 @@
 from wheelstep.rehearsal.fleet.plan import MESSAGE_CLASS, Scene
 from wheelstep.rehearsal.fleet.relays import Relays
 from wheelstep.rehearsal.history import Call, Fact, Fate, HandIn, History, Notice, Outage
-from wheelstep.rehearsal.rig import _few_collections
-from wheelstep.rehearsal.standins.partner import Stage
+from wheelstep.rehearsal.rig import _reduced_gc
+from wheelstep.rehearsal.standins.partner import PartnerPool
 from wheelstep.rehearsal.standins.platform import Agent, row
 
 _POLL_S = 0.1
@@ -50,7 +50,7 @@
 
 async def run_scene(scene: Scene, broken: str = "", program: str = COURIER_COMMAND) -> RunResult:
     """Run a scene with our couriers, a broken variant or another program. Raises `NeverServedError`, `NoStartError`."""
-    with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _few_collections():
+    with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _reduced_gc():
         rig = _Rig(scene, Path(folder), broken, program)
         try:
             return await rig.run()
@@ -65,9 +65,9 @@
         self._epoch = self._loop.time()
         base = History(self._plan.figures)
         self._history = FleetHistory(base, scene.parts, {scene.contract.name: scene.contract}, lease_us=scene.lease_us)
-        self._stage = Stage(self._plan, base, self._now_us)
-        self._stage.epoch = self._epoch
-        partner.record_channels(self._stage, self._history, frozenset({MESSAGE_CLASS}))
+        self._pool = PartnerPool(self._plan, base, self._now_us)
+        self._pool.epoch = self._epoch
+        partner.record_channels(self._pool, self._history, frozenset({MESSAGE_CLASS}))
         self._agents = {name: Agent(name, base, self._now_us, self._on_notice) for name in scene.names}
         self._key_file = folder / "fleet.key"
         self._key_file.write_text(random.Random(f"key/{scene.seed}").randbytes(32).hex() + "\n")
@@ -86,7 +86,7 @@
         self._relays = Relays({name: ("127.0.0.1", courier.peer_port.port)
                                for name, courier in self._couriers.items()}, scene.seed, self._now_us)
         self._addresses: dict[str, tuple[str, int]] = {}
-        self._clients = Clients(self._plan, {MESSAGE_CLASS: scene.contract.name}, self._stage.ledger, self._history,
+        self._clients = Clients(self._plan, {MESSAGE_CLASS: scene.contract.name}, self._pool.ledger, self._history,
                                 self._now_us, self._addresses, scene.gap_share, scene.roam)
         self._control = ProcessController(self._couriers, self._addresses, self._history, self._now_us, folder / "arm")
         self._tasks: list[asyncio.Task[None]] = []
@@ -102,7 +102,7 @@
     def _config(self, name: str, listen: str) -> dict[str, Any]:
         agent, index = self._agents[name], int(name[1:])
         return {"name": name, "listen": listen, "discovery": agent.port.address, "seed": f"{self._plan.seed + index:x}",
-                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 4096, "disk_mb": 64}, "known": agent.whole(),
+                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 4096, "disk_mb": 64}, "known": agent.full_list(),
                 "settings": {**self._plan.settings, "self_index": index}}
 
     def _operator_text(self, name: str) -> str:
@@ -122,13 +122,13 @@
 
     async def run(self) -> RunResult:
         """Start all, run the scene, and wait until all messages are settled and each channel has one owner."""
-        await self._stage.open()
+        await self._pool.open()
         await self._relays.open()
         for name, agent in self._agents.items():
             index = int(name[1:])
             agent.hosts = {host: row(host, endpoint.ports[index].address, endpoint.partner.destination,
                                      self._plan.settings["kinds"][endpoint.partner.kind])
-                           for host, endpoint in self._stage.endpoints.items()}
+                           for host, endpoint in self._pool.endpoints.items()}
             await agent.open()
         initial = self._scene.names[:self._scene.begin]
         await asyncio.gather(*(self._couriers[name].start() for name in initial))
@@ -149,7 +149,7 @@
                 task.cancel()
         await self._wait_until_settled()
         await self._wait_until_served(last=True)
-        self._stage.close()
+        self._pool.close()
         self._history.base.end_us = self._now_us()
         result = self._result
         result.logs = {name: courier.log_text() for name, courier in self._couriers.items()}
@@ -162,7 +162,7 @@
     def _reset_clock(self) -> None:
         """Set time 0 to now. Facts from before get negative times, or are dropped if they are about traffic."""
         shift_us = self._now_us()
-        self._epoch = self._stage.epoch = self._loop.time()
+        self._epoch = self._pool.epoch = self._loop.time()
         kept_facts: list[Fact] = []
         for fact in self._history.base.facts:
             if not isinstance(fact, Call | Outage | HandIn):
@@ -244,6 +244,6 @@
         await self._relays.close()
         for agent in self._agents.values():
             agent.close()
-        for endpoint in self._stage.endpoints.values():
+        for endpoint in self._pool.endpoints.values():
             endpoint.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/wheelstep/rehearsal/soak/courier.py
+++ b/wheelstep/rehearsal/soak/courier.py
@@ -38,7 +38,7 @@
     # --- starting ---
 
     async def _spawn(self) -> asyncio.subprocess.Process:
-        self._console_port.renew()
+        self._console_port.change()
         base_configure = self._configure
         console_address = f"127.0.0.1:{self._console_port.port}"
         self._configure = lambda listen: {**base_configure(listen), "console": console_address}
@@ -82,7 +82,7 @@
 
     # --- faults ---
 
-    async def meet(self, fault: Fault) -> None:
+    async def apply_fault(self, fault: Fault) -> None:
         """Apply one fault to this courier and return when it is over. Kinds that it does not know are ignored."""
         duration_s = (fault.until_us - fault.at_us) / 1e6
         match fault.kind:
@@ -116,14 +116,14 @@
             process = await self._spawn()
             ready = await self._wait_console_ready(process)
             if predecessor.returncode is not None:
-                self._turn(Turn.CRASHED, predecessor.returncode)
+                self._record_turn(Turn.CRASHED, predecessor.returncode)
             if not ready:
-                self._turn(Turn.CRASHED if process.returncode is not None else Turn.NEVER_READY,
-                           process.returncode or 0)
+                self._record_turn(Turn.CRASHED if process.returncode is not None else Turn.NEVER_READY,
+                                  process.returncode or 0)
                 return
-            self._keep(self._watch(process))
+            self._create_task(self._watch(process))
             self._serving_process = process
-            self._keep(self._retire(predecessor))
+            self._create_task(self._retire(predecessor))
 
     async def _retire(self, process: asyncio.subprocess.Process) -> None:
         with contextlib.suppress(ProcessLookupError):
@@ -135,16 +135,16 @@
                 os.killpg(process.pid, signal.SIGKILL)
             await process.wait()
         if process.returncode not in (0, -signal.SIGKILL):
-            self._turn(Turn.CRASHED, process.returncode or 0)
+            self._record_turn(Turn.CRASHED, process.returncode or 0)
         self._retiring.discard(process)
 
-    async def _end(self, number: int, turn: Turn, back_s: float) -> None:
+    async def _stop_and_restart(self, number: int, turn: Turn, restart_delay_s: float) -> None:
         async with self._transition_lock:
             if number == signal.SIGKILL:
                 for process in self._retiring:
                     with contextlib.suppress(ProcessLookupError):
                         os.killpg(process.pid, signal.SIGKILL)
-            await super()._end(number, turn, back_s)
+            await super()._stop_and_restart(number, turn, restart_delay_s)
 
     async def stop(self) -> None:
         """Kill all processes of this courier and release its ports and its fault page."""
