--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,5 +1,6 @@
-"""A small fleet of hollow and real couriers: every destination is reachable from every real one, also after two have
-been killed, no message is lost or doubled, and nothing is left running. At size: `benchmarks/scale_run.py`."""
+"""A small fleet of hollow and real couriers: every destination is reachable through every real courier, also after a
+courier of each kind was killed; no message is lost or delivered twice, and no process is left running.
+`benchmarks/scale_run.py` runs this at full size."""
 
 from __future__ import annotations
 
@@ -13,9 +14,9 @@
 from typing import Any
 
 from wheelstep.rehearsal.scale.fleet import Fleet
-from wheelstep.rehearsal.scale.nursery import alive
+from wheelstep.rehearsal.scale.nursery import is_alive
 from wheelstep.rehearsal.scale.plan import Plan
-from wheelstep.rehearsal.scale.play import Given, play
+from wheelstep.rehearsal.scale.play import RunOptions, run_scale
 
 ROOT = Path(__file__).parent.parent
 DESTINATIONS = 240
@@ -25,74 +26,75 @@
             changes_per_s=2.0)
 
 
-class Seen:
-    """What the scene saw."""
+class Scenario:
+    """The scenario of the test, and what it observed."""
 
     def __init__(self) -> None:
         self.unreached: list[str] = []
-        self.gone = False
+        self.kills_noticed = False
 
     async def _reach(self, fleet: Fleet, when: str) -> None:
-        """Every destination from every real courier that is up."""
-        messages = [(courier.name, fleet.clients.hand_in(destination, courier))
+        """Submit a message for every destination at every real courier that is up."""
+        messages = [(courier.name, fleet.clients.submit(destination, courier))
                     for courier in fleet.real if courier.up for destination in range(DESTINATIONS)]
-        assert await fleet.clients.settled(WAIT_S)
-        self.unreached += [f"{when}: {name} {message.id}" for name, message in messages if message.taken_s is None]
+        assert await fleet.clients.wait_answered(WAIT_S)
+        self.unreached += [f"{when}: {name} {message.id}" for name, message in messages if message.accepted_s is None]
 
-    async def play(self, fleet: Fleet) -> None:
-        """Reach all, kill one of each kind under traffic, reach all again; both come back."""
+    async def run(self, fleet: Fleet) -> None:
+        """Reach all destinations, kill a courier of each kind under traffic, reach them again, restart both, and reach
+        them again."""
         await self._reach(fleet, "at first")
-        await fleet.traffic(fleet.plan.rate * 327)
+        await fleet.set_traffic(fleet.plan.rate * 327)
         hollow, real = "h0007", fleet.real[1].name
-        await asyncio.gather(fleet.each("kill", [hollow]), fleet.kill_real(real))
+        await asyncio.gather(fleet.command("kill", [hollow]), fleet.kill_real_courier(real))
         end_s = time.monotonic() + WAIT_S
-        while not self.gone and time.monotonic() < end_s:
-            self.gone = not sum(one["seeing"] for one in await fleet.ask(f"seen {hollow} {real}"))
+        while not self.kills_noticed and time.monotonic() < end_s:
+            self.kills_noticed = not sum(one["seeing"] for one in await fleet.ask_hosts(f"seen {hollow} {real}"))
             await asyncio.sleep(0.05)
         await self._reach(fleet, "without two")
-        await fleet.each("back", [hollow])
-        assert await fleet.start_real(real, WAIT_S), fleet.real[1].tail()
-        await fleet.formed(63, WAIT_S)
+        await fleet.command("back", [hollow])
+        assert await fleet.start_real_courier(real, WAIT_S), fleet.real[1].tail()
+        await fleet.wait_formed(63, WAIT_S)
         await self._reach(fleet, "in the end")
 
 
-def test_sixty_hollow_and_three_real_couriers_reach_all_lose_nothing_and_leave_nothing() -> None:
-    seen, told = Seen(), list[str]()
+def test_hollow_and_real_couriers_reach_all_destinations_and_lose_no_message_across_kills() -> None:
+    scenario, phases = Scenario(), list[str]()
     result: dict[str, Any] = asyncio.run(asyncio.wait_for(
-        play(Given(PLAN, (), start_s=WAIT_S, minutes=2.0), told.append, seen.play), 150))
+        run_scale(RunOptions(PLAN, (), start_s=WAIT_S, minutes=2.0), phases.append, scenario.run), 150))
     checks, followed = result["checks"], result["checks"]["followed"]
-    assert seen.gone and not seen.unreached, seen.unreached[:5]
+    assert scenario.kills_noticed and not scenario.unreached, scenario.unreached[:5]
     assert followed["taken"] >= 8 * DESTINATIONS and followed["delivered"] > 0
     assert (followed["lost"], followed["doubled"], followed["wrong"]) == (0, 0, [])
     assert checks["hollow_exceptions"] == 0, result["notes"]
     assert checks["hollow_without_end"] == 0 and checks["hollow_held"] == 0 and checks["left_running"] == 0
-    assert told == ["start", "drain", "end"]
+    assert phases == ["start", "drain", "end"]
 
 
-def children(pid: int) -> set[int]:
-    """Of a process, and theirs."""
+def descendants(pid: int) -> set[int]:
+    """Return the ids of a process's children, their children and so on."""
     found: set[int] = set()
     for path in Path(f"/proc/{pid}/task").glob("*/children"):
         for child in map(int, path.read_text().split()):
-            found |= {child} | children(child)
+            found |= {child} | descendants(child)
     return found
 
 
-def test_all_that_the_command_started_ends_with_it_also_when_it_is_killed() -> None:
-    command = subprocess.Popen(
+def test_killed_command_leaves_no_child_process() -> None:
+    command_process = subprocess.Popen(
         [sys.executable, "benchmarks/scale_run.py", "--hollow", "4", "--real", "1", "--control", "1", "--zones", "2",
          "--destinations", "20", "--shards", "16", "--hosts", "2", "--parts", "idle", "--spell", "600"],
         cwd=ROOT, stderr=subprocess.DEVNULL)
     try:
         end_s = time.monotonic() + WAIT_S
-        while len(started := children(command.pid)) < 6 and time.monotonic() < end_s:  # all that there will be
-            assert command.poll() is None
+        while len(started := descendants(command_process.pid)) < 6 and time.monotonic() < end_s:
+            assert command_process.poll() is None
             time.sleep(0.05)
-        assert len(started) == 6
+        assert len(started) == 6  # partners, discovery, a control machine, two hosts, a real courier
     finally:
-        os.kill(command.pid, signal.SIGKILL)
-        command.wait()
+        os.kill(command_process.pid, signal.SIGKILL)
+        command_process.wait()
     end_s = time.monotonic() + WAIT_S
-    while any(map(alive, started)) and time.monotonic() < end_s:
+    while any(map(is_alive, started)) and time.monotonic() < end_s:
         time.sleep(0.02)
-    assert not [pid for pid in started if alive(pid)]
+    assert not [pid for pid in started if is_alive(pid)]
--- a/wheelstep/rehearsal/scale/discovery.py
+++ b/wheelstep/rehearsal/scale/discovery.py
@@ -1,8 +1,8 @@
-"""Discovery for control machines: the whole list of a run's destinations, and changes at a stated rate.
+"""The discovery service of a run: the whole list of destinations, and changes at a given rate.
 
-`python -m wheelstep.rehearsal.scale.discovery PLAN.json`: prints its address, then obeys lines on stdin (`figures`,
-`changes PER_S`, `ended`) and ends with its stdin. A change replaces a destination's endpoint: the old name is told as
-gone, the new one at the same address.
+`python -m wheelstep.rehearsal.scale.discovery PLAN.json` prints its address, then answers commands on stdin (`figures`,
+`changes PER_S`, `ended`) and ends with its stdin. A change replaces a destination's endpoint: the old name is deleted
+and a new one is listed at the same address.
 """
 
 from __future__ import annotations
@@ -15,89 +15,92 @@
 from pathlib import Path
 from typing import Any
 
-from wheelstep.rehearsal.scale.nursery import die_with_parent, end_with_stdin
-from wheelstep.rehearsal.scale.partners import TRACKED
-from wheelstep.rehearsal.scale.plan import Plan, read
-from wheelstep.rehearsal.scale.settings import row
+from wheelstep.rehearsal.scale.nursery import kill_with_parent, read_stdin_lines
+from wheelstep.rehearsal.scale.partners import TRACKED_PREFIX
+from wheelstep.rehearsal.scale.plan import Plan, decode_plan
+from wheelstep.rehearsal.scale.settings import destination_row
 from wheelstep.rehearsal.standins.wire import Port, Request, Server
 
-_ALIVE_S = 2.0
-_KEPT = 4_096  # changes that a watch may go on from
+_KEEPALIVE_S = 2.0
+_MAX_CHANGES_KEPT = 4_096  # times of the latest changes
 
 
-def as_entry(plan: Plan, destination: int, life: int, health: str = "SERVING") -> dict[str, Any]:
-    """A line as discovery writes it."""
-    found = row(plan, destination, life, health)
-    return {"host": found.host, "dial": found.dial, "site": found.site, "class": found.kind, "block": found.block,
-            "health": found.health, "share": found.share, "born_ms": 0}
+def as_json_row(plan: Plan, destination: int, generation: int, health: str = "SERVING") -> dict[str, Any]:
+    """Return a destination's row in the JSON form of discovery."""
+    list_row = destination_row(plan, destination, generation, health)
+    return {"host": list_row.host, "dial": list_row.dial, "site": list_row.site, "class": list_row.kind,
+            "block": list_row.block, "health": list_row.health, "share": list_row.share, "born_ms": 0}
 
 
 class Discovery:
-    """The list, by destination, and who watches it."""
+    """The list of endpoints and the connections that watch it."""
 
     def __init__(self, plan: Plan) -> None:
         self._plan, self._rng = plan, random.Random(f"{plan.seed}/discovery")
-        self.lives = [0] * plan.destinations
+        self.generations = [0] * plan.destinations
         self.seq = 1
         self.per_s = plan.changes_per_s
-        self.wholes = self.bytes_out = self.changes = 0
-        self.changed_at: dict[str, float] = {}  # a new endpoint -> the machine's clock
-        self.ended: dict[str, str] = {}  # messages that are followed, and ended undelivered
-        self._whole: bytes | None = None
+        self.whole_lists_sent = self.bytes_out = self.changes = 0
+        self.changed_at: dict[str, float] = {}  # new endpoint -> time of the change on the monotonic clock
+        self.ended: dict[str, str] = {}  # tracked messages that ended undelivered -> outcome
+        self._encoded_list: bytes | None = None
         self.watches: set[_Connection] = set()
         self.port = Port(lambda: _Connection(self))
 
-    def whole(self) -> bytes:
-        """The list as it stands."""
-        if self._whole is None:
-            hosts = [as_entry(self._plan, destination, life) for destination, life in enumerate(self.lives)]
-            self._whole = json.dumps({"seq": self.seq, "whole": True, "hosts": hosts},
-                                     separators=(",", ":")).encode() + b"\n"
-        return self._whole
+    def whole_list_line(self) -> bytes:
+        """Return the current list as one line of JSON, which is kept until the next change."""
+        if self._encoded_list is None:
+            hosts = [as_json_row(self._plan, destination, generation)
+                     for destination, generation in enumerate(self.generations)]
+            self._encoded_list = json.dumps({"seq": self.seq, "whole": True, "hosts": hosts},
+                                            separators=(",", ":")).encode() + b"\n"
+        return self._encoded_list
 
     def change(self) -> None:
-        """One destination's endpoint is replaced."""
+        """Replace the endpoint of a random destination and tell all watches."""
         destination = self._rng.randrange(self._plan.destinations)
-        life = self.lives[destination]
-        self.lives[destination] = life + 1
+        generation = self.generations[destination]
+        self.generations[destination] = generation + 1
         self.seq += 1
         self.changes += 1
-        self._whole = None
-        rows = [as_entry(self._plan, destination, life + 1), as_entry(self._plan, destination, life, "DELETED")]
+        self._encoded_list = None
+        rows = [as_json_row(self._plan, destination, generation + 1),
+                as_json_row(self._plan, destination, generation, "DELETED")]
         self.changed_at[rows[0]["host"]] = time.monotonic()
-        while len(self.changed_at) > _KEPT:
+        while len(self.changed_at) > _MAX_CHANGES_KEPT:
             del self.changed_at[next(iter(self.changed_at))]
-        self.say(json.dumps({"seq": self.seq, "whole": False, "hosts": rows}).encode() + b"\n")
+        self.send_to_watches(json.dumps({"seq": self.seq, "whole": False, "hosts": rows}).encode() + b"\n")
 
-    def say(self, line: bytes) -> None:
-        """To every watch."""
+    def send_to_watches(self, line: bytes) -> None:
+        """Send a line to every watch."""
         for watch in self.watches:
-            watch.line(line)
+            watch.send_line(line)
 
-    def heard(self, body: bytes) -> None:
-        """Notices of real couriers."""
+    def record_notices(self, body: bytes) -> None:
+        """Record the notices of real couriers about tracked messages that ended undelivered."""
         for line in body.splitlines():
             notice = json.loads(line)
-            if str(notice["message"]).startswith(TRACKED):
+            if str(notice["message"]).startswith(TRACKED_PREFIX):
                 self.ended[notice["message"]] = notice["outcome"]
 
     async def run(self) -> None:
-        """Change and stay alive, for good."""
+        """Make changes at the given rate, and send an empty line to all watches about every `_KEEPALIVE_S`."""
         loop = asyncio.get_running_loop()
-        alive_s = loop.time()
+        last_keepalive_s = loop.time()
         while True:
-            wait_s = self._rng.expovariate(self.per_s) if self.per_s else _ALIVE_S
-            await asyncio.sleep(min(wait_s, _ALIVE_S))
-            if self.per_s and wait_s < _ALIVE_S:
+            wait_s = self._rng.expovariate(self.per_s) if self.per_s else _KEEPALIVE_S
+            await asyncio.sleep(min(wait_s, _KEEPALIVE_S))
+            if self.per_s and wait_s < _KEEPALIVE_S:
                 self.change()
-            if loop.time() - alive_s >= _ALIVE_S:
-                alive_s = loop.time()
-                self.say(b"\n")
+            if loop.time() - last_keepalive_s >= _KEEPALIVE_S:
+                last_keepalive_s = loop.time()
+                self.send_to_watches(b"\n")
 
     def figures(self) -> dict[str, Any]:
-        """Since the start."""
-        return {"seq": self.seq, "changes": self.changes, "whole_lists": self.wholes, "bytes_out": self.bytes_out,
-                "watches": len(self.watches), "list_bytes": len(self.whole()), "changed_at": self.changed_at}
+        """Return the figures since the start."""
+        return {"seq": self.seq, "changes": self.changes, "whole_lists": self.whole_lists_sent,
+                "bytes_out": self.bytes_out, "watches": len(self.watches), "list_bytes": len(self.whole_list_line()),
+                "changed_at": self.changed_at}
 
 
 class _Connection(Server):
@@ -108,21 +111,21 @@
     def requested(self, request: Request) -> None:
         path, _, query = request.target.partition("?")
         if request.method == "POST":
-            self._discovery.heard(request.body)
+            self._discovery.record_notices(request.body)
             self.answer(204)
         elif path == "/v1/servers" and "watch=1" in query:
             discovery = self._discovery
             self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            discovery.wholes += 1
+            discovery.whole_lists_sent += 1
             discovery.watches.add(self)
-            self.line(discovery.whole())
+            self.send_line(discovery.whole_list_line())
         elif path == "/v1/servers":
-            self.answer(200, {"Content-Type": "application/json"}, self._discovery.whole())
+            self.answer(200, {"Content-Type": "application/json"}, self._discovery.whole_list_line())
         else:
             self.answer(404)
 
-    def line(self, data: bytes) -> None:
-        """One line of the watch."""
+    def send_line(self, data: bytes) -> None:
+        """Send one line as a chunk of the watch's answer."""
         self._discovery.bytes_out += len(data)
         self.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
@@ -133,21 +136,21 @@
 async def _serve(plan: Plan) -> None:
     discovery = Discovery(plan)
     await discovery.port.listen()
-    discovery.whole()
+    discovery.whole_list_line()
     print(json.dumps({"address": discovery.port.address}), flush=True)
-    work = asyncio.create_task(discovery.run())
-    async for line in end_with_stdin():
-        what, _, rest = line.partition(" ")
-        if what == "changes":
-            discovery.per_s = float(rest)
-        print(json.dumps(discovery.ended if what == "ended" else discovery.figures()), flush=True)
-    work.cancel()
+    change_task = asyncio.create_task(discovery.run())
+    async for command_line in read_stdin_lines():
+        command, _, argument = command_line.partition(" ")
+        if command == "changes":
+            discovery.per_s = float(argument)
+        print(json.dumps(discovery.ended if command == "ended" else discovery.figures()), flush=True)
+    change_task.cancel()
 
 
 def main() -> int:
     """Serve until stdin ends."""
-    die_with_parent()
-    asyncio.run(_serve(read(Path(sys.argv[1]).read_bytes())))
+    kill_with_parent()
+    asyncio.run(_serve(decode_plan(Path(sys.argv[1]).read_bytes())))
     return 0
 
 
--- a/wheelstep/rehearsal/scale/judge.py
+++ b/wheelstep/rehearsal/scale/judge.py
@@ -1,8 +1,8 @@
-"""Was any message of a client lost or doubled? No I/O.
+"""Checks that no client's message was lost or delivered twice. No I/O.
 
-A message that was answered 202 is delivered, or ended by a notice. It is delivered once; where its owner was killed
-while a call was out, a repeat is within the rules of every class but `once`. A message of which a hand-in got no answer
-may have been taken there and somewhere else: such doubles are counted apart.
+A message answered 202 must be delivered or ended by a notice, and be delivered once. If a courier was killed during a
+call, a repeat is allowed for every class but `once`. A message with an unanswered submission may have been accepted
+there and elsewhere, so its duplicates are counted apart.
 """
 
 from __future__ import annotations
@@ -11,21 +11,22 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-_BEFORE_S, _AFTER_S = 0.5, 0.1  # of a kill: calls whose answers it may have swallowed
+_BEFORE_KILL_S, _AFTER_KILL_S = 0.5, 0.1  # window around a kill in which the answer to a call may be lost
 
 
 class Message(Protocol):
-    """What a client knows."""
+    """What a client knows of a message it submitted; see `clients.TrackedMessage`."""
 
     id: str
     message_class: str
-    taken_s: float | None
-    doubted: bool
+    accepted_s: float | None
+    uncertain: bool
 
 
 @dataclass
-class Verdict:
-    """Counts; the first few ids of what is wrong."""
+class DeliveryReport:
+    """Counts of messages, and the first ten problems in `wrong`. `doubled` are faults; `doubled_in_doubt` and
+    `repeated_at_kill` are allowed."""
 
     handed_in: int = 0
     taken: int = 0
@@ -39,36 +40,37 @@
     wrong: tuple[str, ...] = ()
 
 
-def judge(messages: Sequence[Message], delivered: Mapping[str, Sequence[float]], ended: Collection[str],
-          kills_s: Sequence[float], gone: Collection[str]) -> Verdict:
-    """`delivered`: when, in the run's seconds; `kills_s`: when processes were killed or lost; `gone`: what was owed by
-    machines that are lost for good."""
-    found = Verdict(handed_in=len(messages))
-    wrong: list[str] = []
+def check_deliveries(messages: Sequence[Message], delivered: Mapping[str, Sequence[float]], ended: Collection[str],
+                     kills_s: Sequence[float], lost_with_machines: Collection[str]) -> DeliveryReport:
+    """Compare messages with their deliveries and ends. `delivered` holds the delivery times by message id, `kills_s`
+    the times at which processes were killed or lost power, both in seconds since the run's start; `ended` the ids that
+    ended undelivered; `lost_with_machines` the ids held by couriers that lost power."""
+    report = DeliveryReport(handed_in=len(messages))
+    problems: list[str] = []
     for message in messages:
-        at = sorted(delivered.get(message.id, ()))
-        found.taken += message.taken_s is not None
-        if at:
-            found.delivered += 1
+        delivered_s = sorted(delivered.get(message.id, ()))
+        report.taken += message.accepted_s is not None
+        if delivered_s:
+            report.delivered += 1
         elif message.id in ended:
-            found.ended_by_notice += 1
-        elif message.taken_s is not None and message.id in gone:
-            found.lost_with_machine += 1
-        elif message.taken_s is not None:
-            found.lost += 1
-            wrong.append(f"{message.id} lost")
-        if len(at) < 2:
+            report.ended_by_notice += 1
+        elif message.accepted_s is not None and message.id in lost_with_machines:
+            report.lost_with_machine += 1
+        elif message.accepted_s is not None:
+            report.lost += 1
+            problems.append(f"{message.id} lost")
+        if len(delivered_s) < 2:
             continue
-        if message.message_class != "once" and all(_near(one, kills_s) for one in at[:-1]):
-            found.repeated_at_kill += 1
-        elif message.doubted:
-            found.doubled_in_doubt += 1
+        if message.message_class != "once" and all(_is_near_kill(at_s, kills_s) for at_s in delivered_s[:-1]):
+            report.repeated_at_kill += 1
+        elif message.uncertain:
+            report.doubled_in_doubt += 1
         else:
-            found.doubled += 1
-            wrong.append(f"{message.id} doubled")
-    found.wrong = tuple(wrong[:10])
-    return found
+            report.doubled += 1
+            problems.append(f"{message.id} doubled")
+    report.wrong = tuple(problems[:10])
+    return report
 
 
-def _near(at_s: float, kills_s: Sequence[float]) -> bool:
-    return any(kill_s - _BEFORE_S <= at_s <= kill_s + _AFTER_S for kill_s in kills_s)
+def _is_near_kill(at_s: float, kills_s: Sequence[float]) -> bool:
+    return any(kill_s - _BEFORE_KILL_S <= at_s <= kill_s + _AFTER_KILL_S for kill_s in kills_s)
--- a/wheelstep/rehearsal/scale/play.py
+++ b/wheelstep/rehearsal/scale/play.py
@@ -1,4 +1,4 @@
-"""A whole run: the plan's addresses, the fleet, its day, the drain and the checks, into one result."""
+"""One whole run: reserve addresses, start the fleet, play the day, drain, check, and build the result."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 
 from wheelstep.rehearsal.scale import figures
 from wheelstep.rehearsal.scale.day import Day
-from wheelstep.rehearsal.scale.fleet import Fleet, as_dict, take_base
-from wheelstep.rehearsal.scale.judge import judge
+from wheelstep.rehearsal.scale.fleet import Fleet, as_dict, reserve_base
+from wheelstep.rehearsal.scale.judge import check_deliveries
 from wheelstep.rehearsal.scale.plan import Plan
 from wheelstep.rehearsal.scale.settings import DEADLINE_S
 
-_DESCRIPTORS = 65_536
-_LEAST_DESCRIPTORS = 4_096
-_CHECKS_S = DEADLINE_S + 20.0  # kept for the drain
+_WANTED_DESCRIPTORS = 65_536
+_MIN_DESCRIPTORS = 4_096
+_CHECKS_RESERVE_S = DEADLINE_S + 20.0  # time of the run reserved for the drain and the checks
 _ROOT = Path(__file__).resolve().parents[3]
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
-    """What is asked of a run. `base` and `epoch_s` of the plan are put in here."""
+class RunOptions:
+    """The options of a run. `base`, `epoch_s`, `boot` and `links` of the plan are filled in by `run_scale`."""
 
     plan: Plan
     parts: Sequence[str]
-    spell_s: float = 20.0
-    start_s: float = 120.0  # until all are up
-    minutes: float = 10.0  # in all
-    folder: Path | None = None  # for logs and files, kept; else one that goes with the run
+    quiet_s: float = 20.0  # length of each quiet period
+    start_s: float = 120.0  # limit for each step of the start
+    minutes: float = 10.0  # limit of the whole run
+    folder: Path | None = None  # for logs and files; None: a temporary folder, removed at the end
 
 
-def machine() -> dict[str, Any]:
-    """What it runs on."""
+def machine_info() -> dict[str, Any]:
+    """Return the cores, the memory and the Python version of this machine."""
     memory_bytes = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return {"cores": os.cpu_count(), "memory_bytes": memory_bytes, "python": platform.python_version()}
 
 
-def commit() -> str:
-    """The state that runs; with a plus where files were changed since."""
+def commit_id() -> str:
+    """Return the commit that runs, with a plus if files were changed since; `unknown` without git."""
     with contextlib.suppress(OSError):
         found = subprocess.run(["git", "describe", "--always", "--dirty=+", "--exclude=*"], cwd=_ROOT,
                                capture_output=True, text=True, check=False)
@@ -55,99 +55,102 @@
     return "unknown"
 
 
-def raise_limits() -> None:
-    """As many descriptors as the system allows: a host has some hundreds of sockets."""
+def raise_descriptor_limit() -> None:
+    """Raise the limit of open files as far as the system allows; a host process has hundreds of sockets."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = _DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, _DESCRIPTORS)
+    wanted = _WANTED_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, _WANTED_DESCRIPTORS)
     with contextlib.suppress(ValueError, OSError):
-        resource.setrlimit(resource.RLIMIT_NOFILE, (max(most, _LEAST_DESCRIPTORS), hard))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (max(wanted, _MIN_DESCRIPTORS), hard))
 
 
-async def play(given: Given, tell: Callable[[str], None], look: Callable[[Fleet], Any] | None = None
-               ) -> dict[str, Any]:
-    """The result. `look` is called with the fleet once it is up, in place of the day's faults where parts are none.
-    Raises `NoRunError`, `TimeoutError`, and `EOFError` where a process has ended."""
-    raise_limits()
-    load, state, (base, lock) = os.getloadavg(), commit(), take_base()
+async def run_scale(options: RunOptions, report_phase: Callable[[str], None],
+                    on_up: Callable[[Fleet], Any] | None = None) -> dict[str, Any]:
+    """Run and return the result. `on_up` is awaited with the fleet once it is up, before the parts of the day. Raises
+    `FleetStartError`, `TimeoutError` if the time is over before any quiet period was measured, and `EOFError` if a
+    process has ended."""
+    raise_descriptor_limit()
+    load, commit_at_start, (base, lock) = os.getloadavg(), commit_id(), reserve_base()
     with tempfile.TemporaryDirectory(prefix="umberchute-scale-") as temporary, lock:
-        name = str((given.folder or Path(temporary)).resolve())
-        Path(name).mkdir(parents=True, exist_ok=True)
-        plan = _placed(given.plan, base, Path(name))
-        fleet = Fleet(plan, Path(name))
-        day = Day(fleet, given.spell_s, tell)
+        folder_name = str((options.folder or Path(temporary)).resolve())
+        Path(folder_name).mkdir(parents=True, exist_ok=True)
+        plan = _with_addresses(options.plan, base, Path(folder_name))
+        fleet = Fleet(plan, Path(folder_name))
+        day = Day(fleet, options.quiet_s, report_phase)
         began_s = time.monotonic()
-        left: list[int] = []
+        left_running: list[int] = []
         checks: dict[str, Any] = {"cut_short": True}
         try:
-            async with asyncio.timeout(given.minutes * 60):
-                tell("start")
-                await fleet.begin()
-                empty = await fleet.figures()
-                await fleet.start(given.start_s)
+            async with asyncio.timeout(options.minutes * 60):
+                report_phase("start")
+                await fleet.start_services()
+                first = await fleet.figures()
+                await fleet.start_couriers(options.start_s)
                 up_s = time.monotonic() - began_s
-                if look is not None:
-                    await look(fleet)
-                last = await fleet.figures()
+                if on_up is not None:
+                    await on_up(fleet)
+                final = await fleet.figures()
                 try:
-                    async with asyncio.timeout(given.minutes * 60 - (time.monotonic() - began_s) - _CHECKS_S):
-                        await day.play(given.parts)
+                    async with asyncio.timeout(options.minutes * 60 - (time.monotonic() - began_s) - _CHECKS_RESERVE_S):
+                        await day.play(options.parts)
                 except TimeoutError:
-                    tell("cut short")  # what was measured before counts; the checks still come
-                tell("drain")
-                checks = await _checks(fleet)
-                last = await fleet.figures()
+                    report_phase("cut short")  # earlier measurements count, and the checks still follow
+                report_phase("drain")
+                checks = await _check_after_drain(fleet)
+                final = await fleet.figures()
         except TimeoutError:
             if not day.quiet:
                 raise
         finally:
-            tell("end")
-            left = await fleet.close()
+            report_phase("end")
+            left_running = await fleet.close()
     checks["parts_played"] = [*day.quiet, *(fault["fault"] for fault in day.faults)]
     result = {
-        "what": "scale_run", "commit": state, "machine": machine(),
-        "parameters": _parameters(given), "seed": plan.seed,
+        "what": "scale_run", "commit": commit_at_start, "machine": machine_info(),
+        "parameters": _run_parameters(options), "seed": plan.seed,
         "load": {"start": load[0], "end": os.getloadavg()[0]},
-        "start": {"seconds": up_s, "host_memory_bytes_empty": figures.mean(empty["memory_bytes"]["hosts"]),
-                  "whole_lists": last["discovery"]["whole_lists"], "list_bytes": last["discovery"]["list_bytes"]},
+        "start": {"seconds": up_s, "host_memory_bytes_empty": figures.mean(first["memory_bytes"]["hosts"]),
+                  "whole_lists": final["discovery"]["whole_lists"], "list_bytes": final["discovery"]["list_bytes"]},
         "quiet": day.quiet, "faults": day.faults,
-        "notes": dict(figures.sums(last, "notes").most_common(20)),
-        "checks": {**checks, "left_running": len(left), "seconds": time.monotonic() - began_s}}
+        "notes": dict(figures.sums(final, "notes").most_common(20)),
+        "checks": {**checks, "left_running": len(left_running), "seconds": time.monotonic() - began_s}}
     return dict(figures.rounded(result))
 
 
-def _placed(plan: Plan, base: int, folder: Path) -> Plan:
+def _with_addresses(plan: Plan, base: int, folder: Path) -> Plan:
     import msgspec
     return msgspec.structs.replace(plan, base=base, epoch_s=time.monotonic(), boot=int(time.time()),
                                    links=str(folder / "links"))
 
 
-def _parameters(given: Given) -> dict[str, Any]:
-    plan = given.plan
+def _run_parameters(options: RunOptions) -> dict[str, Any]:
+    plan = options.plan
     names = ("hollow", "real", "destinations", "regions", "zones", "control", "shards", "rate", "hosts", "undivided",
              "changes_per_s", "down_share", "down_s", "zone_delay_s", "region_delay_s", "probe_us")
-    return {**{name: getattr(plan, name) for name in names}, "parts": list(given.parts), "spell_s": given.spell_s}
+    return {**{name: getattr(plan, name) for name in names}, "parts": list(options.parts),
+            "spell_s": options.quiet_s}
 
 
-async def _checks(fleet: Fleet) -> dict[str, Any]:
-    """Nothing new comes in; until all that was taken has its end, then whether any was lost or doubled."""
-    await fleet.traffic(0.0)
+async def _check_after_drain(fleet: Fleet) -> dict[str, Any]:
+    """Stop the traffic, wait until every accepted message has ended, and check that none was lost or delivered
+    twice."""
+    await fleet.set_traffic(0.0)
     end_s = time.monotonic() + DEADLINE_S + 10
-    await fleet.clients.settled(DEADLINE_S + 10)
+    await fleet.clients.wait_answered(DEADLINE_S + 10)
     while True:
         owed = await fleet.owed()
-        delivered, ended = await fleet.ends()
-        verdict = judge(fleet.clients.messages, delivered, ended, fleet.kills_s, owed["lost"])
-        if not owed["held"] and not owed["open"] and not verdict.lost or time.monotonic() > end_s:
+        delivered, ended = await fleet.message_ends()
+        report = check_deliveries(fleet.clients.messages, delivered, ended, fleet.kills_s, owed["lost"])
+        if not owed["held"] and not owed["open"] and not report.lost or time.monotonic() > end_s:
             break
         await asyncio.sleep(0.5)
-    last = await fleet.figures()
-    counts, taken = figures.sums(last, "counts"), figures.sums(last, "sums")["taken"]
+    final = await fleet.figures()
+    counts, taken = figures.sums(final, "counts"), figures.sums(final, "sums")["taken"]
     ends = (counts["delivered"] - counts["repeats"] + counts["handed_back"] + counts["given_up"] + counts["unsettled"]
             + owed["held"] + owed["kept"] + len(owed["lost"]))
-    return {"followed": as_dict(verdict), "hollow_taken": taken, "hollow_without_end": taken - ends,
+    return {"followed": as_dict(report), "hollow_taken": taken, "hollow_without_end": taken - ends,
             "hollow_held": owed["held"], "hollow_held_unsettled": len(owed["settling"]),
             "hollow_held_unsettled_some": owed["settling"][:5],
             "hollow_kept": owed["kept"], "hollow_lost_with_machines": len(owed["lost"]),
-            "hollow_exceptions": sum(host["exceptions"] for host in last["hosts"]),
+            "hollow_exceptions": sum(host["exceptions"] for host in final["hosts"]),
             "hollow_repeats": counts["repeats"], "hollow_open": owed["open"],
-            "answers": dict(figures.sums(last, "answers")), "real_answers": dict(fleet.clients.answers)}
+            "answers": dict(figures.sums(final, "answers")), "real_answers": dict(fleet.clients.answers)}
--- a/wheelstep/rehearsal/scale/undivided.py
+++ b/wheelstep/rehearsal/scale/undivided.py
@@ -1,6 +1,5 @@
-"""A hollow courier as it was before destinations were divided: membership as now, the whole list from discovery, and
-every destination in its module. It takes all that it is handed itself.
-"""
+"""A hollow courier without division of destinations, for comparison: the same membership, the whole list from
+discovery, and every destination in its decision module. It delivers every message submitted to it itself."""
 
 from __future__ import annotations
 
@@ -16,68 +15,69 @@
 from wheelstep.fleet.membership import MemberLimits, Membership
 from wheelstep.fleet.packets import HigherBoot, PacketSeal
 from wheelstep.fleet.types import Action, Packet, Roll, SendPacket, State
-from wheelstep.rehearsal.scale.courier import Shared, member, settle
-from wheelstep.rehearsal.scale.desk import HollowDesk
+from wheelstep.rehearsal.scale.courier import SharedState, as_member, skip_roll_reading
+from wheelstep.rehearsal.scale.desk import HollowAdmission
 from wheelstep.rehearsal.scale.net import DelayedNet
-from wheelstep.rehearsal.scale.partners import Partners
-from wheelstep.rehearsal.scale.plan import FLEET, Site, key
+from wheelstep.rehearsal.scale.partners import PartnerTable
+from wheelstep.rehearsal.scale.plan import FLEET_NAME, Site, fleet_key
 from wheelstep.rehearsal.scale.settings import NAMES
-from wheelstep.rehearsal.scale.traffic import Draw, Traffic
+from wheelstep.rehearsal.scale.traffic import ClientTraffic, DestinationSampler
 from wheelstep.shards.net import Sockets
 from wheelstep.shards.ports import Lost, Pipe, Received
 
 
 class UndividedCourier:
-    """As `courier.HollowCourier`, as far as a quiet spell asks for it."""
+    """Has the interface of `courier.HollowCourier` as far as quiet periods use it."""
 
-    silent = False
+    powered_off = False
 
-    def __init__(self, shared: Shared, site: Site) -> None:
+    def __init__(self, shared: SharedState, site: Site) -> None:
         self.shared, self.site = shared, site
         plan = shared.plan
-        boot = plan.boot + shared.lives[site.name]
-        shared.lives[site.name] += 1
+        boot = plan.boot + shared.starts[site.name]
+        shared.starts[site.name] += 1
         rng = random.Random(f"{plan.seed}/{site.name}/{boot}")
         self._rng = rng
         self.net = DelayedNet(Sockets(), site.zone, shared.zones, shared.links, frozenset())
-        partners = Partners(shared.downs, shared.counts, shared.settings.conn_idle_us / 1e6, 1.0, rng)
-        self.shelf = HollowDesk(shared.settings, rng.randrange(1 << 30), plan.shards, partners, shared.counts,
-                                shared.loop_epoch_s)
+        partners = PartnerTable(shared.outages, shared.counts, shared.settings.conn_idle_us / 1e6, 1.0, rng)
+        self.admission = HollowAdmission(shared.settings, rng.randrange(1 << 30), plan.shards, partners, shared.counts,
+                                         shared.loop_epoch_s)
         seeds = {name: address for name, address in shared.seeds.items() if name != site.name}
         self._loop = asyncio.get_running_loop()
-        self.membership = Membership(member(site, boot), seeds, MemberLimits(period_us=plan.probe_us), rng,
+        self.membership = Membership(as_member(site, boot), seeds, MemberLimits(period_us=plan.probe_us), rng,
                                      self._now_us())
-        seal = PacketSeal([key(plan)], FLEET, site.name, boot)
-        self._datagrams = Datagrams(seal, self._now_us, lambda data, to: self.net.send(to, data), self._packet,
-                                    self._elder)
-        self._watch = Watch(Address.parse(plan.discovery), NAMES, 0, self._listed, couriers=plan.hollow,
+        seal = PacketSeal([fleet_key(plan)], FLEET_NAME, site.name, boot)
+        self._datagrams = Datagrams(seal, self._now_us, lambda data, to: self.net.send(to, data), self._on_packet,
+                                    self._on_higher_boot)
+        self._watch = Watch(Address.parse(plan.discovery), NAMES, 0, self._on_list, couriers=plan.hollow,
                             seed=rng.randrange(1 << 30), max_s=3.0)
-        self.traffic = Traffic(site.name, self._desk, lambda: self.ready, Draw(plan.destinations, rng), rng,
-                               shared.answers, shared.took, shared.waited)
-        self.marked: frozenset[int] = frozenset()
+        self.traffic = ClientTraffic(site.name, self._find_admission, lambda: self.ready,
+                                     DestinationSampler(plan.destinations, rng), rng, shared.answers,
+                                     shared.answer_times, shared.durable_wait_times)
+        self.marked_shards: frozenset[int] = frozenset()
         self._tasks: list[asyncio.Task[None]] = []
         self._timer: asyncio.TimerHandle | None = None
 
     def _now_us(self) -> int:
         return int(self._loop.time() * 1e6)
 
-    def _desk(self, destination: int) -> Admission:
-        return self.shelf
+    def _find_admission(self, destination: int) -> Admission:
+        return self.admission
 
     @property
     def ready(self) -> bool:
-        """Has it the list?"""
-        return bool(self.shelf.destinations)
+        """Whether the courier has received the list."""
+        return bool(self.admission.destinations)
 
-    def prime(self) -> None:
-        """Before its start: as the other kind."""
+    def preload_members(self) -> None:
+        """As `HollowCourier.preload_members`."""
         others = tuple(one for one in self.shared.members if one.name != self.site.name)
         if others:
             self.membership.heard(self._now_us(), others[0].name, others[0].address, Roll(0, others))
-            settle(self.membership, self._rng)
+            skip_roll_reading(self.membership, self._rng)
 
     async def start(self) -> None:
-        """Listen and begin."""
+        """Listen, watch discovery and start the membership. Raises `OSError`."""
         await self.net.listen(self.site.address, self._accept, self._datagrams.received)
         self._tasks.append(asyncio.create_task(self._watch.run()))
         self._tick()
@@ -87,23 +87,23 @@
         pipe.close()
         return lambda data: None, lambda: None
 
-    def _listed(self, kind: api.ListKind, rows: Sequence[tuple[api.EndpointInfo, Address]]) -> None:
+    def _on_list(self, kind: api.ListKind, rows: Sequence[tuple[api.EndpointInfo, Address]]) -> None:
         if kind is api.ListKind.WHOLE:
-            named = {info.endpoint for info, _ in rows}
-            for gone in [name for name in self.shelf.listed_endpoints if name not in named]:
-                self.shelf._unlist(gone)
-        self.shelf.take_list(rows, kind)
+            listed = {info.endpoint for info, _ in rows}
+            for endpoint in [name for name in self.admission.listed_endpoints if name not in listed]:
+                self.admission._remove_row(endpoint)
+        self.admission.apply_list(rows, kind)
 
     def _tick(self) -> None:
-        self._do(self.membership.tick(self._now_us()))
+        self._run_actions(self.membership.tick(self._now_us()))
 
-    def _packet(self, sender: str, address: str, packet: Packet) -> None:
-        self._do(self.membership.heard(self._now_us(), sender, address, packet))
+    def _on_packet(self, sender: str, address: str, packet: Packet) -> None:
+        self._run_actions(self.membership.heard(self._now_us(), sender, address, packet))
 
-    def _elder(self, elder: HigherBoot) -> None:
-        self.shared.note("elder")
+    def _on_higher_boot(self, higher_boot: HigherBoot) -> None:
+        self.shared.count_log_line("elder")
 
-    def _do(self, actions: Sequence[Action]) -> None:
+    def _run_actions(self, actions: Sequence[Action]) -> None:
         for action in actions:
             if isinstance(action, SendPacket):
                 self._datagrams.send(action.address, self.membership.name_at(action.address), action.packet)
@@ -114,50 +114,50 @@
         self._timer = self._loop.call_later(due_us / 1e6, self._tick)
 
     def shards(self) -> frozenset[int]:
-        """It has none."""
+        """Return no shards."""
         return frozenset()
 
     def opening(self) -> int:
-        """None."""
+        """Return 0, as there are no shards to open."""
         return 0
 
-    def sees(self, name: str) -> bool:
-        """Does it hold this courier for one that is here?"""
-        member = self.membership.member(name)
-        return member is not None and member.state < State.LEAVING
+    def considers_present(self, name: str) -> bool:
+        """Return whether this courier considers the named one present."""
+        known = self.membership.member(name)
+        return known is not None and known.state < State.LEAVING
 
     def members(self) -> int:
-        """Couriers that it knows, itself included."""
+        """Return the number of couriers known here, itself included."""
         return len(self.membership.members())
 
     def figures(self) -> dict[str, float]:
-        """Nothing beside what all have."""
+        """Return no figures besides those that every kind of courier has."""
         return {}
 
     async def leave(self) -> list[str]:
-        """An end like any other."""
+        """End as by `kill`, as there is nothing to hand over."""
         return await self.kill()
 
     async def kill(self) -> list[str]:
-        """The end."""
-        self.net.mute = True
+        """End as by SIGKILL. Return the ids of the messages held."""
+        self.net.output_stopped = True
         self.traffic.stop()
-        self.shelf.end()
+        self.admission.stop()
         if self._timer is not None:
             self._timer.cancel()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.net.close()
-        return list(self.shelf.held)
+        return list(self.admission.held)
 
-    def silence(self) -> list[str]:
-        """Without a word."""
-        self.net.silent = True
+    def power_off(self) -> list[str]:
+        """End as by a loss of power; the sockets stay open until `close`. Return the ids of the messages held."""
+        self.net.powered_off = True
         self.traffic.stop()
-        self.shelf.end()
-        return list(self.shelf.held)
+        self.admission.stop()
+        return list(self.admission.held)
 
     async def close(self) -> None:
-        """What `silence` left."""
+        """Close the sockets that `power_off` left open."""
         await self.kill()
