--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -113,7 +113,7 @@
     options.add_argument("--sweep", default="", help="numbers of hollow couriers, separated by commas")
     options.add_argument("--sweep-destinations", default="14000,140000")
     options.add_argument("--json", type=Path)
-    options.add_argument("--folder", type=Path, help="folder for logs and files, kept after the run")
+    options.add_argument("--folder", type=Path, help="new folder for logs and files, kept after the run")
     args = options.parse_args()
     parts = [part for part in args.parts.split(",") if part]
     if unknown := set(parts) - set(PARTS):
--- a/wheelstep/rehearsal/scale/__init__.py
+++ b/wheelstep/rehearsal/scale/__init__.py
@@ -1,8 +1,9 @@
-"""A fleet on one machine: many hollow couriers share a process, beside real ones in processes of their own.
+"""Runs a fleet on one machine: many hollow couriers per process, beside real couriers in their own processes.
 
-Hollow (as Kubernetes' hollow nodes): the real code of membership, homes, list, forwarding and module on real sockets,
-without a journal and without partners' sockets. Imported by nothing in the daemon. Reading order: `plan`, `downs`,
-`links`, `net`, `partners`, `settings`, `desk`, `shelf`, `courier`, `traffic`, `host` (a process of hollow couriers),
-`runner` (a real process behind the same links), `discovery`, `standin` (partners of real couriers), `nursery`, `real`,
-`fleet` (all of it), `faults`, `day`, `figures`.
+A hollow courier (named after Kubernetes' hollow nodes) runs the real code of membership, homes, list, forwarding and
+the decision module on real sockets, without a journal and without connections to partners. The daemon imports nothing
+from here. Reading order: `plan`, `downs`, `links`, `net`, `partners`, `settings`, `desk`, `shelf`, `traffic`,
+`courier`, `undivided`, `nursery`, `host` (a process of hollow couriers), `runner` (a real process with the run's delays
+and cuts), `discovery`, `standin` (partners of real couriers), `real`, `clients`, `fleet` (all processes), `day`,
+`figures`, `judge`, `play` (a whole run).
 """
--- a/wheelstep/rehearsal/scale/courier.py
+++ b/wheelstep/rehearsal/scale/courier.py
@@ -160,8 +160,8 @@
         return await self._end()
 
     def power_off(self) -> list[str]:
-        """End as by a loss of power: nothing is sent any more, and the sockets stay open until `close`. Return the ids
-        of the messages held."""
+        """End as by a loss of power: nothing is sent or received any more, and the sockets stay open until `close`.
+        Return the ids of the messages held."""
         self.traffic.stop()
         self.net.powered_off = True
         self.admission.stop()
--- a/wheelstep/rehearsal/scale/day.py
+++ b/wheelstep/rehearsal/scale/day.py
@@ -139,7 +139,8 @@
                                                      least_moves)}
 
     async def _wait_formed(self, within_s: float) -> None:
-        """Wait until every courier knows every other. If that takes too long, the figures of the fault say so."""
+        """Wait until every courier knows every other. After `within_s` the fault's figure `all_know_all` becomes false
+        instead."""
         try:
             await self._fleet.wait_formed(self._members(), within_s)
         except FleetStartError:
@@ -149,19 +150,20 @@
         return self._fleet.plan.hollow + self._fleet.plan.real
 
     async def restarts(self, count: int = 79, over_s: float = 30.0) -> None:
-        """Play the 79 restarts of an ordinary day, sped up: two of three couriers leave as planned and keep what they
-        owe, one is killed and replaced. A real courier is killed and restarted as well."""
+        """Play an ordinary day's restarts, 79 or for half of the hollow couriers, sped up: two of three couriers leave
+        as planned and keep what they owe, one is killed and replaced. A real courier is killed and restarted as
+        well."""
         names = self._rng.sample(self._hollow_names, min(count, len(self._hollow_names) // 2))
         shard_counts = {key: value for one in await self._fleet.ask_hosts("mark") for key, value in one.items()}
 
-        async def one(index: int, name: str) -> None:
+        async def restart_one(index: int, name: str) -> None:
             await asyncio.sleep(index * over_s / len(names))
             await self._fleet.command("leave" if index % 3 else "kill", [name])
             await asyncio.sleep(1.0)
             await self._fleet.command("back", [name])
 
         async def inject() -> None:
-            await asyncio.gather(*(one(*pair) for pair in enumerate(names)), self._restart_real())
+            await asyncio.gather(*(restart_one(*pair) for pair in enumerate(names)), self._restart_real())
             await self._wait_formed(60.0)
         result = await self._measure_fault("restarts and replacements", [], inject, 0)
         least_moves = 2 * sum(shard_counts.get(name, 0) for name in names)
--- a/wheelstep/rehearsal/scale/discovery.py
+++ b/wheelstep/rehearsal/scale/discovery.py
@@ -104,11 +104,14 @@
 
 
 class _Connection(Server):
+    """A connection of a courier or control machine; it becomes a watch with `watch=1`."""
+
     def __init__(self, discovery: Discovery) -> None:
         super().__init__()
         self._discovery = discovery
 
     def requested(self, request: Request) -> None:
+        """Serve the list, start a watch, or take notices; 404 for anything else."""
         path, _, query = request.target.partition("?")
         if request.method == "POST":
             self._discovery.record_notices(request.body)
@@ -130,6 +133,7 @@
         self.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
     def lost(self) -> None:
+        """Forget the watch."""
         self._discovery.watches.discard(self)
 
 
--- a/wheelstep/rehearsal/scale/fleet.py
+++ b/wheelstep/rehearsal/scale/fleet.py
@@ -106,7 +106,7 @@
         `within_s`."""
         start_slots = asyncio.Semaphore(_MAX_CONCURRENT_STARTS)
 
-        async def one(courier: RealCourier) -> None:
+        async def start_one(courier: RealCourier) -> None:
             async with start_slots:
                 await courier.spawn()
                 self.pids.add(courier.pid)
@@ -116,7 +116,7 @@
         await self.ask_hosts("start")
         await self.wait_formed(self.plan.hollow, within_s)
         await self.wait_responsive(within_s)
-        await asyncio.gather(*map(one, self.real))
+        await asyncio.gather(*map(start_one, self.real))
         await self.wait_formed(self.plan.hollow + self.plan.real, within_s)
 
     async def wait_formed(self, members: int, within_s: float) -> None:
@@ -200,8 +200,8 @@
                         "handed_in": len(self.clients.messages)}}
 
     async def owed(self) -> dict[str, Any]:
-        """Return what hollow couriers hold and what was lost with powered-off ones, and the number of unanswered
-        messages of all clients."""
+        """Return the numbers of messages that hollow couriers hold and of unanswered messages of all clients, and the
+        ids of those unconfirmed or lost with powered-off couriers."""
         result = await self.ask_hosts("owed")
         return {"held": sum(one["held"] for one in result), "kept": sum(one["kept"] for one in result),
                 "open": sum(one["open"] for one in result) + self.clients.unanswered,
@@ -209,12 +209,13 @@
                 "lost": [name for one in result for name in one["lost"]]}
 
     async def message_ends(self) -> tuple[dict[str, list[float]], set[str]]:
-        """Return the delivery times of tracked messages by id, and the ids of those that ended undelivered."""
+        """Return the delivery times of tracked messages by id, in seconds since the run's start, and the ids of those
+        that ended undelivered."""
         answers = await self.ask_hosts("tracked")
         delivered: dict[str, list[float]] = {}
         for deliveries in [one["delivered"] for one in answers] + [await self.standin.ask("tracked")]:
-            for name, at in deliveries.items():
-                delivered.setdefault(name, []).extend(at)
+            for name, delivery_times in deliveries.items():
+                delivered.setdefault(name, []).extend(delivery_times)
         ended = {name for one in answers for name in one["ended"]} | set(await self.discovery.ask("ended"))
         return delivered, ended
 
--- a/wheelstep/rehearsal/scale/host.py
+++ b/wheelstep/rehearsal/scale/host.py
@@ -81,10 +81,10 @@
     async def start(self) -> dict[str, Any]:
         """Start all couriers, up to `_MAX_CONCURRENT_STARTS` at a time."""
         start_slots = asyncio.Semaphore(_MAX_CONCURRENT_STARTS)
-        async def one(name: str) -> None:
+        async def start_one(name: str) -> None:
             async with start_slots:
                 await self._start(name)
-        await asyncio.gather(*map(one, self._sites))
+        await asyncio.gather(*map(start_one, self._sites))
         return {"up": len(self._running)}
 
     async def restart(self, names: list[str]) -> dict[str, Any]:
--- a/wheelstep/rehearsal/scale/links.py
+++ b/wheelstep/rehearsal/scale/links.py
@@ -19,32 +19,33 @@
             path.write_bytes(bytes(size))
         with open(path, "r+b") as file:
             self._cut_flags = mmap.mmap(file.fileno(), size)
-        self._delays_s = {(one, other): 0.0 if one == other else
-                       zone_delay_s if one.partition("/")[0] == other.partition("/")[0] else region_delay_s
-                       for one in zones for other in zones}
+        self._delays_s = {(source, target): 0.0 if source == target else
+                          zone_delay_s if source.partition("/")[0] == target.partition("/")[0] else region_delay_s
+                          for source in zones for target in zones}
 
-    def delay_s(self, one: str, other: str) -> float:
-        """Return the one-way delay in seconds."""
-        return self._delays_s.get((one, other), 0.0)
+    def delay_s(self, source: str, target: str) -> float:
+        """Return the one-way delay from `source` to `target` in seconds."""
+        return self._delays_s.get((source, target), 0.0)
 
-    def is_cut(self, one: str, other: str) -> bool:
-        """Return whether the connection from `one` to `other` is cut."""
-        first, second = self._index.get(one), self._index.get(other)
-        return first is not None and second is not None and self._cut_flags[first * len(self._index) + second] != 0
+    def is_cut(self, source: str, target: str) -> bool:
+        """Return whether nothing gets from `source` to `target`."""
+        source_index, target_index = self._index.get(source), self._index.get(target)
+        return (source_index is not None and target_index is not None
+                and self._cut_flags[source_index * len(self._index) + target_index] != 0)
 
     def set_cut(self, cut: bool, matches: Callable[[str, str], bool]) -> None:
         """Cut (True) or restore (False) the connections, in both directions, between all pairs of zones for which
         `matches` returns True."""
-        for one, first in self._index.items():
-            for other, second in self._index.items():
-                if one != other and (matches(one, other) or matches(other, one)):
-                    self._cut_flags[first * len(self._index) + second] = cut
+        for source, source_index in self._index.items():
+            for target, target_index in self._index.items():
+                if source != target and (matches(source, target) or matches(target, source)):
+                    self._cut_flags[source_index * len(self._index) + target_index] = cut
 
     def close(self) -> None:
         """Unmap the file."""
         self._cut_flags.close()
 
 
-def in_different_regions(one: str, other: str) -> bool:
+def in_different_regions(source: str, target: str) -> bool:
     """Return whether two zones are in different regions; for `Links.set_cut`."""
-    return one.partition("/")[0] != other.partition("/")[0]
+    return source.partition("/")[0] != target.partition("/")[0]
--- a/wheelstep/rehearsal/scale/nursery.py
+++ b/wheelstep/rehearsal/scale/nursery.py
@@ -21,8 +21,8 @@
 
 
 def kill_with_parent() -> None:
-    """Have the kernel send SIGKILL to this process once its parent's thread has ended. Does nothing where that is not
-    Linux."""
+    """Have the kernel send SIGKILL to this process once its parent's thread has ended. Does nothing on systems other
+    than Linux."""
     if _LIBC is not None:
         _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
--- a/wheelstep/rehearsal/scale/plan.py
+++ b/wheelstep/rehearsal/scale/plan.py
@@ -7,7 +7,7 @@
 import msgspec
 
 REAL_RATE_PER_S = 327.0  # messages a second that each courier accepts in the planned production fleet
-PEERS_PORT, CLIENTS_PORT = 9_700, 9_701
+PEERS_PORT, CLIENTS_PORT = 9_700, 9_701  # for other members of the fleet; for clients
 FLEET_NAME = "scale"
 SEED_COUNT = 5  # couriers whose addresses a starting courier is given
 RACKS_PER_ZONE = 8
@@ -38,12 +38,12 @@
     ends in `_us`; addresses are in 127.0.0.0/8."""
 
     seed: int
-    hollow: int
-    real: int
+    hollow: int  # number of hollow couriers
+    real: int  # number of real couriers
     destinations: int
     regions: int
     zones: int  # total over all regions
-    control: int
+    control: int  # number of control machines
     shards: int
     rate: float  # messages submitted at each courier, as a fraction of `REAL_RATE_PER_S`
     hosts: int  # number of host processes
@@ -52,14 +52,14 @@
     boot: int  # incarnation of each hollow courier's first start, in Unix seconds like a real courier's
     links: str  # path of the file that holds the cuts between zones
     partners: str = ""  # ip:port of the stand-in partners; only the port is used, the IP differs by destination
-    discovery: str = ""
-    undivided: bool = False
+    discovery: str = ""  # ip:port
+    undivided: bool = False  # every hollow courier holds all destinations
     changes_per_s: float = 0.043  # changes of the list; 3,700 a day
-    down_share: float = 0.01
-    down_s: float = 40.0
-    zone_delay_s: float = 0.001
-    region_delay_s: float = 0.02
-    probe_us: int = 500_000
+    down_share: float = 0.01  # share of destinations that are down at any time
+    down_s: float = 40.0  # length of each outage
+    zone_delay_s: float = 0.001  # one way between zones of a region
+    region_delay_s: float = 0.02  # one way between regions
+    probe_us: int = 500_000  # period of the membership's probes
 
     def zone(self, number: int) -> str:
         """Return the name of zone `number`, counted from 0. Consecutive numbers cycle through the regions."""
@@ -96,8 +96,8 @@
 
     def zones_of_addresses(self) -> dict[str, str]:
         """Return the zone of each peer address, of couriers and control machines."""
-        found = {site.address: site.zone for site in self.sites()}
-        return found | {address: self.control_zone(number)
+        zones = {site.address: site.zone for site in self.sites()}
+        return zones | {address: self.control_zone(number)
                         for number, address in enumerate(self.control_machines().values())}
 
     def seeds(self, excluding: str = "") -> dict[str, str]:
--- a/wheelstep/rehearsal/scale/play.py
+++ b/wheelstep/rehearsal/scale/play.py
@@ -37,7 +37,7 @@
     quiet_s: float = 20.0  # length of each quiet period
     start_s: float = 120.0  # limit for each step of the start
     minutes: float = 10.0  # limit of the whole run
-    folder: Path | None = None  # for logs and files; None: a temporary folder, removed at the end
+    folder: Path | None = None  # new, for logs and files; None: a temporary one
 
 
 def machine_info() -> dict[str, Any]:
--- a/wheelstep/rehearsal/scale/settings.py
+++ b/wheelstep/rehearsal/scale/settings.py
@@ -13,7 +13,7 @@
 CLASS_SHARES = (0.5, 0.2, 0.2, 0.1)
 IS_ORDERED = {name: name == "order" for name in CLASSES}
 KEYS_PER_DESTINATION = 4
-DEADLINE_S = 20.0
+DEADLINE_S = 20.0  # of a message, from its submission
 NAMES = Names(CLASSES, ("k",), ("a",), ("x0", "x1"))
 
 
--- a/wheelstep/rehearsal/scale/standin.py
+++ b/wheelstep/rehearsal/scale/standin.py
@@ -62,6 +62,7 @@
         self._destination = -1
 
     def connected(self) -> None:
+        """Find the destination by the local address; abort connections from outside the loopback network."""
         assert self.transport is not None
         peer, own = self.transport.get_extra_info("peername"), self.transport.get_extra_info("sockname")
         if not peer or not peer[0].startswith("127."):
@@ -72,6 +73,7 @@
         self._destination = self._partners.destination(own[0])
 
     def requested(self, request: Request) -> None:
+        """Answer 200 to probes at once and to calls after a random delay; nothing while the destination is down."""
         partners = self._partners
         down_s = partners.down_s(self._destination)
         if request.method != "POST":
