--- a/benchmarks/spread_rig/desk.py
+++ b/benchmarks/spread_rig/desk.py
@@ -1,5 +1,5 @@
-"""An endpoint's lanes and queue, by real or by virtual time alike, and two choices to compare with: at random, and
-least calls with the truth known."""
+"""The model of an endpoint's lanes and queue, in real or virtual time, and two baseline policies to compare couriers
+with: a random endpoint, and the one with the fewest outstanding calls of all couriers."""
 
 from __future__ import annotations
 
@@ -14,32 +14,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call at an endpoint: its place on the list, when it came whole and when it is answered (seconds)."""
+    """One call at an endpoint. `arrived_s` is when the whole request had arrived, `end_s` when it is answered, both in
+    seconds from the scene's start."""
 
     destination: int
-    place: int
-    number: int
-    came_s: float
-    end_s: float | None  # None: refused
+    position: int  # the endpoint's, in the destination's list
+    number: int  # of the message
+    arrived_s: float
+    end_s: float | None  # None: rejected
 
 
-class Desk:
-    """First come, first served, by some lanes. Calls that are given up run on."""
+class EndpointQueue:
+    """The `LANES` parallel lanes of an endpoint and their queue, served in order of arrival.
+
+    A call that its courier has cancelled still occupies its lane. From `stall[0]` to `stall[1]` the endpoint neither
+    starts nor finishes a call.
+    """
 
     def __init__(self, stall: tuple[float, float] | None = None) -> None:
         self._free = [0.0] * LANES
         self._ends: list[float] = []
         self._stall = stall
 
-    def out(self, now_s: float) -> int:
-        """Calls that wait or run."""
+    def outstanding(self, now_s: float) -> int:
+        """Return how many calls wait or run at `now_s`."""
         while self._ends and self._ends[0] <= now_s:
             heapq.heappop(self._ends)
         return len(self._ends)
 
-    def take(self, now_s: float, work_s: float) -> float | None:
-        """When a call that comes now is answered; None where the queue is full."""
-        if self.out(now_s) >= LANES + QUEUE:
+    def accept(self, now_s: float, work_s: float) -> float | None:
+        """Add a call that takes `work_s` and return when it is answered, or None if the queue is full."""
+        if self.outstanding(now_s) >= LANES + QUEUE:
             return None
         begin_s = max(now_s, self._free[0])
         if self._stall is not None:
@@ -54,26 +59,28 @@
         return end_s
 
 
-class Choice(StrEnum):
-    """How the couriers would choose that we compare with."""
+class BaselinePolicy(StrEnum):
+    """How the couriers of a baseline choose an endpoint."""
 
     RANDOM = "random"
-    LEAST = "least calls"  # of all couriers, known at once
+    LEAST = "least calls"  # outstanding at the endpoint, from all couriers, without delay
 
 
-def virtual(seed: int, scene: Scene, shapes: Sequence[Shape], messages: Sequence[Arrival],
-            choice: Choice) -> list[Call]:
-    """The calls of the same messages at the same endpoints, with this choice, in virtual time."""
-    rng = random.Random(f"{seed} {scene.fault} {choice}")
-    by = {shape.destination: shape for shape in shapes}
-    desks = {shape.destination: [Desk(scene.stall(place)) for place in range(shape.endpoints + 1)] for shape in shapes}
+def simulate_calls(seed: int, scene: Scene, shapes: Sequence[Shape], messages: Sequence[Arrival],
+                   policy: BaselinePolicy) -> list[Call]:
+    """Return the calls of `messages` at the scene's endpoints under `policy`, one for each message, in virtual time."""
+    rng = random.Random(f"{seed} {scene.fault} {policy}")
+    by_destination = {shape.destination: shape for shape in shapes}
+    queues = {shape.destination: [EndpointQueue(scene.stall(position)) for position in range(shape.endpoints + 1)]
+              for shape in shapes}
     calls = []
     for message in messages:
-        places, row = scene.listed(by[message.destination], message.at_s), desks[message.destination]
-        if choice is Choice.LEAST:
-            _, _, place = min((row[one].out(message.at_s), rng.random(), one) for one in places)
+        positions, endpoints = (scene.listed_positions(by_destination[message.destination], message.at_s),
+                                queues[message.destination])
+        if policy is BaselinePolicy.LEAST:
+            _, _, position = min((endpoints[one].outstanding(message.at_s), rng.random(), one) for one in positions)
         else:
-            place = rng.choice(places)
-        calls.append(Call(message.destination, place, message.number, message.at_s,
-                          row[place].take(message.at_s, message.work_s)))
+            position = rng.choice(positions)
+        calls.append(Call(message.destination, position, message.number, message.at_s,
+                          endpoints[position].accept(message.at_s, message.work_s)))
     return calls
--- a/benchmarks/spread_rig/nursery.py
+++ b/benchmarks/spread_rig/nursery.py
@@ -1,8 +1,9 @@
-"""Forks couriers from one process that has imported them: `python nursery.py`, in the courier's tree.
+"""A fork server: forks couriers from one process that has imported their code. `python nursery.py`, run in the
+courier's tree.
 
-Each line on stdin is an object of environment variables and the file of the log; the answer is the new process's
-number. Couriers share what was imported, so that hundreds fit where each alone would need 25 MB. They share the seed
-of string hashes too. All end with this process.
+Each line on stdin is a JSON object with the environment variables (`env`) and the log file (`log`); the answer is the
+id of the new process. Couriers share the memory of the imported code, so that hundreds fit where each alone would need
+25 MB. They share the seed of string hashes too. All end with this process.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 _PR_SET_PDEATHSIG = 1
 
 
-def die_with_parent() -> None:
-    """Guards against couriers that stay where their parent is killed (Linux)."""
+def set_parent_death_signal() -> None:
+    """Ask the kernel to kill this process when its parent dies, so that no courier outlives the rig (Linux only)."""
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def _courier(env: dict[str, str], log: str) -> None:
+def _run_courier(env: dict[str, str], log: str) -> None:
     os.setsid()
-    die_with_parent()
+    set_parent_death_signal()
     signal.signal(signal.SIGCHLD, signal.SIG_DFL)
     os.environ.update(env)
     for number, path, flags in ((0, os.devnull, os.O_RDONLY), (1, log, os.O_WRONLY | os.O_APPEND | os.O_CREAT)):
@@ -42,14 +43,14 @@
 
 
 def _serve() -> None:
-    import wheelstep.courier.__main__  # noqa: F401 - what all share
-    signal.signal(signal.SIGCHLD, signal.SIG_IGN)  # the kernel forgets them as they end
+    import wheelstep.courier.__main__  # noqa: F401 - imported once, shared by all forked couriers
+    signal.signal(signal.SIGCHLD, signal.SIG_IGN)  # the kernel reaps ended couriers
     gc.collect()
     gc.freeze()
     for line in sys.stdin:
-        asked = json.loads(line)
+        request = json.loads(line)
         if (pid := os.fork()) == 0:
-            _courier(asked["env"], asked["log"])
+            _run_courier(request["env"], request["log"])
         print(pid, flush=True)
 
 
--- a/benchmarks/spread_rig/play.py
+++ b/benchmarks/spread_rig/play.py
@@ -1,4 +1,4 @@
-"""One fleet from its start to its end: scenes one after another, and what was seen."""
+"""Runs one fleet from its start to its end, one scene after another, and collects the statistics."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from statistics import mean, median
 
 from .clients import Clients
-from .desk import Choice, virtual
-from .figures import Row, at_share, row
+from .desk import BaselinePolicy, simulate_calls
+from .figures import TableRow, quantile, summarize
 from .fleet import Fleet, check_memory, cpu_s, memory_kb, settings
 from .plan import Fault, Scene, Shape, arrivals, weights
-from .site import Play, Site
+from .site import SceneRun, Site
 
-SETTLE_S = 12.0  # after a scene's last message until what is not delivered counts as such
-BACK_S = 0.6  # from SIGKILL until a courier's next start
-DESCRIPTORS = 16_384
-_TICK_S = 0.02
+SETTLE_S = 12.0  # from a scene's last submission until what is not delivered counts as undelivered
+RESTART_DELAY_S = 0.6  # from SIGKILL until a courier's next start
+MAX_DESCRIPTORS = 16_384
+_LATENESS_INTERVAL_S = 0.02
 
 
 @dataclass(frozen=True)
-class Given:
-    """What is asked for."""
+class RunOptions:
+    """What to run."""
 
     couriers: int
     command: str
@@ -43,27 +43,30 @@
 
 
 @dataclass
-class Seen:
-    """What a fleet showed."""
+class RunResult:
+    """The results of a run."""
 
-    rows: list[Row] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)
-    pids: list[int] = field(default_factory=list)
+    rows: list[TableRow] = field(default_factory=list)
+    notes: list[str] = field(default_factory=list)  # lines to print below the table
+    pids: list[int] = field(default_factory=list)  # last process of each courier
 
 
-def end_by_signal() -> None:
-    """SIGINT and SIGTERM end what this task does by cancelling it, also where SIGINT was ignored at the start."""
+def cancel_on_signal() -> None:
+    """Make SIGINT and SIGTERM cancel the current task, even if this process inherited an ignored SIGINT."""
     task, loop = asyncio.current_task(), asyncio.get_running_loop()
     assert task is not None
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, task.cancel)
 
 
-async def play(given: Given, seed: int, tell: Callable[[str], None] = lambda text: None) -> Seen:
-    """Start the fleet, play the scenes, end the fleet. Raises `fleet.NoFleetError`."""
+async def run_scenes(given: RunOptions, seed: int, tell: Callable[[str], None] = lambda text: None) -> RunResult:
+    """Start the fleet, run the scenes and end the fleet. `tell` receives lines on progress.
+
+    Raises `fleet.FleetStartError` if a courier doesn't start or memory runs out. No process is left in any case.
+    """
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, DESCRIPTORS) if hard > 0 else DESCRIPTORS, hard))
-    site, seen = Site(given.shapes, given.per_s, given.reports), Seen()
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, MAX_DESCRIPTORS) if hard > 0 else MAX_DESCRIPTORS, hard))
+    site, seen = Site(given.shapes, given.per_s, given.reports), RunResult()
     folder = Path(tempfile.mkdtemp(prefix="umberchute-spread-"))
     fleet: Fleet | None = None
     try:
@@ -73,15 +76,15 @@
             "limits": {"disk_mb": 3, "sockets": 256}, "settings": settings(given.couriers, given.reports, given.slots)})
         took_s = await fleet.start(fleet.members, tell)
         seen.notes.append(f"start ({given.command}): {given.couriers} couriers ready after {took_s:.1f} s, each after "
-                          f"{median(fleet.started_s):.2f} s in the middle, {max(fleet.started_s):.2f} s at most")
+                          f"{median(fleet.started_s):.2f} s (median), {max(fleet.started_s):.2f} s at most")
         for number, scene in enumerate(given.scenes):
             tell(f"seed {seed}, {scene.fault}: {scene.length_s:.0f} s")
-            seen.rows += await _scene(given, seed, scene, f"s{number}", site, fleet, seen.notes)
-        seen.notes.append(_memory(fleet))
-        if fallen := fleet.fallen():
-            seen.notes.append(f"couriers that ended by themselves: {fallen}")
-        if site.notices:
-            seen.notes.append(f"notices of messages that ended undelivered: {site.notices}")
+            seen.rows += await _run_scene(given, seed, scene, f"s{number}", site, fleet, seen.notes)
+        seen.notes.append(_memory_note(fleet))
+        if exited := fleet.exited():
+            seen.notes.append(f"couriers that ended by themselves: {exited}")
+        if site.notifications:
+            seen.notes.append(f"notifications of messages that ended undelivered: {site.notifications}")
     finally:
         if fleet is not None:
             seen.pids = [member.pid for member in fleet.members if member.process is not None]
@@ -91,31 +94,31 @@
     return seen
 
 
-def _memory(fleet: Fleet) -> str:
+def _memory_note(fleet: Fleet) -> str:
     sizes = [memory_kb(member.pid) for member in fleet.members if member.up]
     rss, pss = [size[0] / 1024 for size in sizes], [size[1] / 1024 for size in sizes]
     return (f"memory: RSS {mean(rss):.1f} MB a courier ({max(rss):.1f} at most), {sum(rss) / 1024:.2f} GB in all; "
-            f"what is shared counted once (PSS) {mean(pss):.1f} MB and {sum(pss) / 1024:.2f} GB")
+            f"shared memory counted once (PSS) {mean(pss):.1f} MB and {sum(pss) / 1024:.2f} GB")
 
 
-async def _scene(given: Given, seed: int, scene: Scene, tag: str, site: Site, fleet: Fleet,
-                 notes: list[str]) -> list[Row]:
+async def _run_scene(given: RunOptions, seed: int, scene: Scene, tag: str, site: Site, fleet: Fleet,
+                     notes: list[str]) -> list[TableRow]:
     messages = arrivals(seed, scene, given.shapes, given.per_s, weights(seed, given.couriers))
-    stage = Play(tag, scene, asyncio.get_running_loop().time() + 0.2, messages)
-    site.begin(stage)
-    clients, held, late = Clients(fleet, stage, seed), set[int](), list[float]()
-    used, own = {member.index: cpu_s(member.pid) for member in fleet.members}, os.times()
+    scene_run = SceneRun(tag, scene, asyncio.get_running_loop().time() + 0.2, messages)
+    site.begin(scene_run)
+    clients, held, late = Clients(fleet, scene_run, seed), set[int](), list[float]()
+    used_s, own = {member.index: cpu_s(member.pid) for member in fleet.members}, os.times()
     try:
         async with asyncio.TaskGroup() as group:
-            watch = group.create_task(_watch(late))
-            fault = group.create_task(_fault(seed, stage, site, fleet, clients, held))
+            watch = group.create_task(_measure_lateness(late))
+            fault = group.create_task(_inject_fault(seed, scene_run, site, fleet, clients, held))
             await clients.run()
             if scene.fault is Fault.PLAIN:
-                spent, mine = sum(cpu_s(member.pid) - used[member.index] for member in fleet.members), os.times()
+                spent, mine = sum(cpu_s(member.pid) - used_s[member.index] for member in fleet.members), os.times()
                 notes.append(f"plain: the couriers used {spent / scene.length_s:.2f} cores, endpoints and clients "
                              f"{(mine.user - own.user + mine.system - own.system) / scene.length_s:.2f}")
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(stage.over.wait(), SETTLE_S)
+                await asyncio.wait_for(scene_run.all_delivered.wait(), SETTLE_S)
             await fault
             watch.cancel()
     except ExceptionGroup as failed:
@@ -124,50 +127,57 @@
         clients.close()
     answers = ", ".join(f"{count} times {what}" for what, count in sorted(clients.answers.items()))
     notes.append(f"{scene.fault}: {len(messages)} messages, answers: {answers}; this process late by "
-                 f"{at_share(late, 0.99) * 1e3:.0f} ms at p99, {max(late) * 1e3:.0f} ms at most")
+                 f"{quantile(late, 0.99) * 1e3:.0f} ms at p99, {max(late) * 1e3:.0f} ms at most")
     rows = []
     for shape in given.shapes:
-        who = "couriers, x0" if given.reports else "couriers"
-        rows.append(row(who, scene, shape, messages, stage.calls, stage.delivered, stage.dials, held))
-        for choice in Choice:
-            calls = virtual(seed, scene, given.shapes, messages, choice)
-            ends = {call.number: call.end_s for call in calls if call.end_s is not None}
-            rows.append(row(choice, scene, shape, messages, calls, ends))
+        policy = "couriers, x0" if given.reports else "couriers"
+        rows.append(summarize(policy, scene, shape, messages, scene_run.calls, scene_run.delivered, scene_run.dials,
+                              held))
+        for baseline in BaselinePolicy:
+            calls = simulate_calls(seed, scene, given.shapes, messages, baseline)
+            delivered = {call.number: call.end_s for call in calls if call.end_s is not None}
+            rows.append(summarize(baseline, scene, shape, messages, calls, delivered))
     if held:
-        waited = [trip for line in rows for trip in line.held]
-        notes.append(f"{scene.fault}: {len(held)} messages were held by couriers as they were killed, kept out of the "
-                     f"table; delivered {len(waited)}, the last {max(waited, default=0):.1f} s after its hand-in")
+        held_times = [time_s for line in rows for time_s in line.held]
+        notes.append(f"{scene.fault}: {len(held)} messages were held by couriers when they were killed, left out of "
+                     f"the table; delivered {len(held_times)}, the last {max(held_times, default=0):.1f} s after it "
+                     "was submitted")
     return rows
 
 
-async def _fault(seed: int, stage: Play, site: Site, fleet: Fleet, clients: Clients, held: set[int]) -> None:
-    if stage.scene.fault not in (Fault.KILLED, Fault.REPLACED):
-        return  # a stall is the endpoints' own
-    await asyncio.sleep(stage.began + stage.scene.at_s - asyncio.get_running_loop().time())
-    if stage.scene.fault is Fault.REPLACED:
+async def _inject_fault(seed: int, scene_run: SceneRun, site: Site, fleet: Fleet, clients: Clients,
+                        held: set[int]) -> None:
+    """Wait for the time of the scene's fault and cause it. Adds to `held` the numbers of the messages that killed
+    couriers had accepted and not delivered."""
+    if scene_run.scene.fault not in (Fault.KILLED, Fault.REPLACED):
+        return  # `EndpointQueue` models the stall itself
+    await asyncio.sleep(scene_run.started + scene_run.scene.at_s - asyncio.get_running_loop().time())
+    if scene_run.scene.fault is Fault.REPLACED:
         await site.replace()
         return
     victims = random.Random(f"victims {seed}").sample(fleet.members, max(1, len(fleet.members) // 3))
     dead = {member.index for member in victims}
-    held |= {number for number, owner in clients.owner.items() if owner in dead and number not in stage.delivered}
+    held |= {number for number, courier in clients.accepted_by.items()
+             if courier in dead and number not in scene_run.delivered}
     fleet.kill(victims)
-    await asyncio.sleep(BACK_S)
+    await asyncio.sleep(RESTART_DELAY_S)
     await fleet.start(victims)
 
 
-async def _watch(late: list[float]) -> None:
-    """How much later than asked for this loop wakes: what the machine adds to every time that is seen. Ends the play
-    where memory runs out: couriers must not push others' processes out."""
+async def _measure_lateness(late: list[float]) -> None:
+    """Append to `late` how many seconds late this event loop wakes, which a busy machine adds to every measured time.
+    Raises `FleetStartError` if memory runs out, before other processes of the machine are killed."""
     loop = asyncio.get_running_loop()
     while True:
         before = loop.time()
-        await asyncio.sleep(_TICK_S)
-        late.append(loop.time() - before - _TICK_S)
+        await asyncio.sleep(_LATENESS_INTERVAL_S)
+        late.append(loop.time() - before - _LATENESS_INTERVAL_S)
         if len(late) % 25 == 0:
             check_memory()
 
 
-def scenes(length_s: float, which: Sequence[Fault] = tuple(Fault)) -> tuple[Scene, ...]:
-    """The scenes by their usual times: what counts begins after a sixth, a stall lasts a fifth."""
+def make_scenes(length_s: float, which: Sequence[Fault] = tuple(Fault)) -> tuple[Scene, ...]:
+    """Return a scene of `length_s` seconds for each fault: the fault begins after a sixth of it, and a stall lasts a
+    fifth of it."""
     begin_s = length_s / 6
     return tuple(Scene(fault, length_s, begin_s, begin_s + length_s / 5) for fault in which)
--- a/benchmarks/spread_rig/site.py
+++ b/benchmarks/spread_rig/site.py
@@ -1,4 +1,4 @@
-"""Stand-in endpoints on loopback that count and queue, and the one agent of discovery that all couriers share."""
+"""Stand-in endpoints on loopback that record and queue calls, and the one discovery agent that all couriers share."""
 
 from __future__ import annotations
 
@@ -13,53 +13,53 @@
 from wheelstep.rehearsal.standins.platform import Agent, row
 from wheelstep.rehearsal.standins.wire import Port, Request, Server
 
-from .desk import Call, Desk
+from .desk import Call, EndpointQueue
 from .plan import Arrival, Scene, Shape
 
-DRAIN_S = 0.5  # from the word that an endpoint drains until it is off the list
-OVER = 2.0  # a limit that answers tell of, over what is asked for: never in the way
+DRAIN_DELAY_S = 0.5  # from the listing of an endpoint as DRAINING until it is listed as DELETED
+REPORTED_LIMIT_FACTOR = 2.0  # the rate limit that answers report, over the actual rate: high enough never to apply
 
 
 @dataclass
-class Play:
-    """What endpoints saw in one scene."""
+class SceneRun:
+    """What the endpoints saw in one scene. Times are in seconds from its start."""
 
-    tag: str
+    tag: str  # starts the request ids of this scene's messages
     scene: Scene
-    began: float  # the loop's time
+    started: float  # event loop time
     messages: Sequence[Arrival]
     calls: list[Call] = field(default_factory=list)
-    dials: list[tuple[float, int]] = field(default_factory=list)  # when, and at which destination
-    delivered: dict[int, float] = field(default_factory=dict)  # message -> when its first 200 was written
-    over: asyncio.Event = field(default_factory=asyncio.Event)  # all are delivered
+    dials: list[tuple[float, int]] = field(default_factory=list)  # time and destination of each new connection
+    delivered: dict[int, float] = field(default_factory=dict)  # message number -> when its first 200 was written
+    all_delivered: asyncio.Event = field(default_factory=asyncio.Event)
 
     def now_s(self) -> float:
-        """Seconds since its start."""
-        return asyncio.get_running_loop().time() - self.began
+        """Return the seconds since the scene's start."""
+        return asyncio.get_running_loop().time() - self.started
 
 
 class Endpoint:
-    """One endpoint and its port."""
+    """One endpoint, its port and its open connections. With a `gauge`, its answers report a rate limit."""
 
-    def __init__(self, site: Site, name: str, destination: int, place: int, gauge: Gauge | None) -> None:
-        self.site, self.name, self.destination, self.place, self.gauge = site, name, destination, place, gauge
-        self.desk = Desk()
-        self.links: set[_Link] = set()
-        self.port = Port(lambda: _Link(self))
+    def __init__(self, site: Site, name: str, destination: int, position: int, gauge: Gauge | None) -> None:
+        self.site, self.name, self.destination, self.position, self.gauge = site, name, destination, position, gauge
+        self.queue = EndpointQueue()
+        self.connections: set[_Connection] = set()
+        self.port = Port(lambda: _Connection(self))
 
     def row(self, health: str = "SERVING") -> dict[str, Any]:
-        """Its line of the list."""
+        """Return the endpoint's entry in the list of discovery, with this health."""
         return row(self.name, self.port.address, self.destination, "k", health)
 
     def close(self) -> None:
-        """It is gone, with its connections."""
+        """Stop listening and abort all connections."""
         self.port.close()
-        for link in list(self.links):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
 
-class _Link(Server):
-    """One connection of a courier."""
+class _Connection(Server):
+    """One connection of a courier to an endpoint."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         super().__init__()
@@ -67,94 +67,99 @@
 
     def connected(self) -> None:
         endpoint = self._endpoint
-        endpoint.links.add(self)
-        if (play := endpoint.site.play) is not None:
-            play.dials.append((play.now_s(), endpoint.destination))
+        endpoint.connections.add(self)
+        if (scene_run := endpoint.site.scene_run) is not None:
+            scene_run.dials.append((scene_run.now_s(), endpoint.destination))
 
     def lost(self) -> None:
-        self._endpoint.links.discard(self)
+        self._endpoint.connections.discard(self)
 
     def requested(self, request: Request) -> None:
-        endpoint, play = self._endpoint, self._endpoint.site.play
+        endpoint, scene_run = self._endpoint, self._endpoint.site.scene_run
         tag, _, number = request.headers.get("x-request-id", "").partition("-")
-        if request.target != "/inbox" or play is None or tag != play.tag:
+        if request.target != "/inbox" or scene_run is None or tag != scene_run.tag:
             self.answer(200)  # a probe, or a copy of an earlier scene's message
             return
-        now_s, message = play.now_s(), play.messages[int(number.partition("-")[0])]
-        gauge, head = endpoint.gauge, {}
+        now_s, message = scene_run.now_s(), scene_run.messages[int(number.partition("-")[0])]
+        gauge, headers = endpoint.gauge, {}
         if gauge is not None:
             now_us = round(asyncio.get_running_loop().time() * 1e6)
-            fits, head = gauge.take(now_us, 1), {"X-Load": gauge.report(now_us)}
-        end_s = None if gauge is not None and not fits else endpoint.desk.take(now_s, message.work_s)
-        play.calls.append(Call(endpoint.destination, endpoint.place, message.number, now_s, end_s))
+            fits, headers = gauge.take(now_us, 1), {"X-Load": gauge.report(now_us)}
+        end_s = None if gauge is not None and not fits else endpoint.queue.accept(now_s, message.work_s)
+        scene_run.calls.append(Call(endpoint.destination, endpoint.position, message.number, now_s, end_s))
         if end_s is None:
-            self.answer(503, head)
+            self.answer(503, headers)
         else:
-            asyncio.get_running_loop().call_at(play.began + end_s, self._served, play, message.number, head)
+            asyncio.get_running_loop().call_at(scene_run.started + end_s, self._answer_served, scene_run,
+                                               message.number, headers)
 
-    def _served(self, play: Play, number: int, head: dict[str, str]) -> None:
+    def _answer_served(self, scene_run: SceneRun, number: int, headers: dict[str, str]) -> None:
         if self.gone:
             return
-        self.answer(200, head)
-        play.delivered.setdefault(number, play.now_s())
-        if len(play.delivered) == len(play.messages):
-            play.over.set()
+        self.answer(200, headers)
+        scene_run.delivered.setdefault(number, scene_run.now_s())
+        if len(scene_run.delivered) == len(scene_run.messages):
+            scene_run.all_delivered.set()
 
 
 class Site:
-    """All endpoints, and discovery."""
+    """All endpoints of the `shapes`, and discovery. `per_s` is the rate of messages to all destinations; with `reports`
+    the answers report a rate limit."""
 
     def __init__(self, shapes: Sequence[Shape], per_s: float, reports: bool) -> None:
-        self.agent = Agent("all", History(Figures({})), lambda: 0, self._heard)
-        self.notices = 0  # of messages that ended undelivered
-        self.play: Play | None = None
-        self._made = 0
-        self._gauges = {shape.destination: Gauge(Limit(OVER * per_s / len(shapes))) if reports else None
-                        for shape in shapes}
-        self.endpoints = {shape.destination: [self._make(shape.destination, place) for place in range(shape.endpoints)]
-                          for shape in shapes}
-
-    def _heard(self, courier: str, notice: object) -> None:
-        self.notices += 1
-
-    def _make(self, destination: int, place: int) -> Endpoint:
-        self._made += 1
-        return Endpoint(self, f"e{destination}-{self._made}", destination, place, self._gauges[destination])
+        self.agent = Agent("all", History(Figures({})), lambda: 0, self._on_notification)
+        self.notifications = 0  # of messages that ended undelivered
+        self.scene_run: SceneRun | None = None
+        self._endpoints_made = 0
+        self._gauges = {
+            shape.destination: Gauge(Limit(REPORTED_LIMIT_FACTOR * per_s / len(shapes))) if reports else None
+            for shape in shapes}
+        self.endpoints = {
+            shape.destination: [self._make(shape.destination, position) for position in range(shape.endpoints)]
+            for shape in shapes}
+
+    def _on_notification(self, courier: str, notice: object) -> None:
+        self.notifications += 1
+
+    def _make(self, destination: int, position: int) -> Endpoint:
+        self._endpoints_made += 1
+        return Endpoint(self, f"e{destination}-{self._endpoints_made}", destination, position,
+                        self._gauges[destination])
 
     async def open(self) -> None:
-        """Listen."""
+        """Start discovery and all endpoints."""
         await self.agent.open()
         for endpoint in self._all():
             await endpoint.port.listen()
             self.agent.hosts[endpoint.name] = endpoint.row()
 
     def _all(self) -> list[Endpoint]:
-        return [endpoint for places in self.endpoints.values() for endpoint in places]
+        return [endpoint for group in self.endpoints.values() for endpoint in group]
 
-    def begin(self, play: Play) -> None:
-        """From now on calls count for this play."""
-        self.play = play
-        for places in self.endpoints.values():
-            for place, endpoint in enumerate(places):
-                endpoint.place, endpoint.desk = place, Desk(play.scene.stall(place))
+    def begin(self, scene_run: SceneRun) -> None:
+        """Record calls in `scene_run` from now on, with empty queues and positions counted anew."""
+        self.scene_run = scene_run
+        for group in self.endpoints.values():
+            for position, endpoint in enumerate(group):
+                endpoint.position, endpoint.queue = position, EndpointQueue(scene_run.scene.stall(position))
 
     async def replace(self) -> None:
-        """The first endpoint of each destination drains, and a new one is there; then the old one is gone."""
-        old = [places[0] for places in self.endpoints.values()]
+        """Replace the first endpoint of each destination: list a new one, drain the old one, then remove it."""
+        old = [group[0] for group in self.endpoints.values()]
         new = [self._make(one.destination, len(self.endpoints[one.destination])) for one in old]
         for one in new:
             await one.port.listen()
             self.endpoints[one.destination].append(one)
         self.agent.change(*(one.row("DRAINING") for one in old), *(one.row() for one in new))
-        await asyncio.sleep(DRAIN_S)
+        await asyncio.sleep(DRAIN_DELAY_S)
         self.agent.change(*(one.row("DELETED") for one in old))
-        await asyncio.sleep(2 * DRAIN_S)  # what it has, it finishes
+        await asyncio.sleep(2 * DRAIN_DELAY_S)  # for calls that the old endpoints still work on
         for one in old:
             one.close()
             self.endpoints[one.destination].remove(one)
 
     def close(self) -> None:
-        """Nothing listens any more."""
+        """Stop discovery and close all endpoints."""
         self.agent.close()
         for endpoint in self._all():
             endpoint.close()
