--- a/benchmarks/channels_rig/courier.py
+++ b/benchmarks/channels_rig/courier.py
@@ -1,4 +1,4 @@
-"""One courier's process, with a file for its configuration, its state and its log in a folder."""
+"""One courier process, with its configuration, state and log in a folder."""
 
 from __future__ import annotations
 
@@ -16,11 +16,15 @@
 from wheelstep.rehearsal.standins.platform import Agent
 
 ROOT = Path(__file__).resolve().parents[2]
-READY_S, LEAVE_S = 60.0, 20.0
+READY_TIMEOUT_S, STOP_TIMEOUT_S = 60.0, 20.0
 
 
 class Courier:
-    """One process. `profile` is the file that cProfile writes."""
+    """One courier process.
+
+    `operator` is the text of its operator file, empty for none. `tree` is the checkout of the project whose code runs.
+    With `profile`, the courier runs under cProfile, which writes that file at its end.
+    """
 
     def __init__(self, name: str, folder: Path, port: int, agent: Agent, operator: str, tree: Path, seed: int,
                  profile: Path | None) -> None:
@@ -48,38 +52,41 @@
                 "PYTHONPATH": str(tree)})
 
     def get(self, path: str) -> int:
-        """The status of a GET, 0 if nobody answers."""
-        line = http.client.HTTPConnection(self.address, timeout=2)
+        """Return the status of a GET, or 0 if the courier doesn't answer within 2 seconds."""
+        connection = http.client.HTTPConnection(self.address, timeout=2)
         try:
-            line.request("GET", path)
-            return line.getresponse().status
+            connection.request("GET", path)
+            return connection.getresponse().status
         except OSError:
             return 0
         finally:
-            line.close()
+            connection.close()
+
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until `condition` returns true; it is called in a thread.
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Raises `RuntimeError` with the log where this does not come to hold, or the process ends."""
-        ends = time.monotonic() + READY_S
-        while not await asyncio.to_thread(holds):
-            if time.monotonic() > ends or self.process.poll() is not None:
+        Raises `RuntimeError` with the end of the log if that takes longer than `READY_TIMEOUT_S` or the process ends.
+        """
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while not await asyncio.to_thread(condition):
+            if time.monotonic() > deadline or self.process.poll() is not None:
                 raise RuntimeError(f"not ready: {self.log.read_text()[-2000:]}")
             await asyncio.sleep(0.05)
 
-    def figure(self, file: str, name: str) -> int:
-        """A number of the process's own files."""
+    def proc_value(self, file: str, name: str) -> int:
+        """Return the number in the line `name` of the process's file /proc/PID/`file`."""
         lines = Path(f"/proc/{self.process.pid}/{file}").read_text().splitlines()
         return int(next(line for line in lines if line.startswith(f"{name}:")).split()[1])
 
-    def written(self) -> int:
-        """Bytes that it has written to files, its log apart."""
-        return self.figure("io", "wchar") - self.log.stat().st_size
+    def bytes_written(self) -> int:
+        """Return how many bytes the process has written to files, without its log."""
+        return self.proc_value("io", "wchar") - self.log.stat().st_size
 
-    def end(self) -> None:
-        """SIGTERM, and SIGKILL where that does not end it."""
+    def stop(self) -> None:
+        """Send SIGTERM, then SIGKILL if the process is still there after `STOP_TIMEOUT_S`."""
         self.process.send_signal(signal.SIGTERM)
         try:
-            self.process.wait(LEAVE_S)
+            self.process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
--- a/benchmarks/channels_rig/profiled.py
+++ b/benchmarks/channels_rig/profiled.py
@@ -1,5 +1,7 @@
-"""A courier under cProfile by its thread's processor time, which other processes of a busy machine are none of:
-`python profiled.py FILE serve ...` writes FILE when it ends."""
+"""Runs a courier under cProfile: `python profiled.py FILE serve ...` writes FILE when the courier ends.
+
+Times are the thread's processor time, which doesn't include other processes of a busy machine.
+"""
 
 import cProfile
 import runpy
