--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -1,10 +1,11 @@
-"""What a forwarded message costs: asks a second, and processor time of the asker and of the home, between two processes
-over the workers' Unix socket and over a sealed stream on loopback, in turns.
+"""Measures what a forwarded message costs: requests a second and processor time of the client and of the home, between
+two processes, over the workers' Unix socket and over a sealed stream on loopback in turn.
 
     python benchmarks/forwarding_cost.py [--seconds 4] [--runs 3] [--body 200] [--under-way 64] [--json FILE]
 
-Closed loop: each of `--under-way` askers asks, begins, and asks again. The home only remembers the messages; nothing
-is written to disk. Processor time is that of the whole processes, by message.
+Closed loop: each of `--under-way` clients admits a message, begins it, and goes on with the next. The home only keeps
+the messages in memory; nothing is written to disk. Processor time is that of the whole processes, divided by the
+messages.
 """
 
 from __future__ import annotations
@@ -41,14 +42,14 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 
-class Remembers:
-    """Admits every message (admission.Admission)."""
+class MemoryAdmission:
+    """Admits every message and keeps it in memory (implements `admission.Admission`)."""
 
     ready, syncs = True, False
 
     def __init__(self) -> None:
-        self.held: set[str] = set()
-        self.begun = 0
+        self.held: set[str] = set()  # ids of messages that are admitted and not begun
+        self.begun = 0  # number of messages
 
     def full(self) -> bool:
         return False
@@ -79,33 +80,37 @@
         pass
 
 
-def streams(net: Sockets, me: str, heard: Any, lost: Any) -> Streams:
-    """Of one process."""
-    return Streams(net, [KEY], "bench", me, 1, heard, lost, lambda: time.monotonic_ns() // 1000)
+def make_streams(net: Sockets, name: str, on_frame: Any, on_lost: Any) -> Streams:
+    """Return the sealed streams of the process called `name`."""
+    return Streams(net, [KEY], "bench", name, 1, on_frame, on_lost, lambda: time.monotonic_ns() // 1000)
 
 
-def home(pipe: Connection, path: str) -> None:
-    """The process that is asked, until it is told to tell its processor time and end."""
+def serve_home(pipe: Connection, path: str) -> None:
+    """Serve forwarded messages on the Unix socket `path` and on a stream whose address goes through `pipe`.
+
+    The target of a process: answers "figures" on the pipe with its processor time in seconds and the number of begun
+    messages, and returns on "end".
+    """
     async def serve() -> None:
-        admission, loop = Remembers(), asyncio.get_running_loop()
+        admission, loop = MemoryAdmission(), asyncio.get_running_loop()
         servers: dict[StreamLink, ForwardServer] = {}
 
-        def heard(link: StreamLink, frame: Frame) -> None:
+        def on_frame(link: StreamLink, frame: Frame) -> None:
             assert isinstance(frame, Forwarded)
             if link not in servers:
                 servers[link] = ForwardServer(lambda message: admission)
                 servers[link].attach(ForwardLink(link))
             servers[link].on_frame(frame.head, frame.body)
         net = Sockets()
-        mine = streams(net, "home", heard, lambda link: servers.pop(link).on_end())
-        address = await net.listen("127.0.0.1:0", mine.accept, lambda *_: None)
+        streams = make_streams(net, "home", on_frame, lambda link: servers.pop(link).on_end())
+        address = await net.listen("127.0.0.1:0", streams.accept, lambda *_: None)
         server = await loop.create_unix_server(lambda: OwnerSide(lambda destination: admission).connection, path)
-        told = asyncio.Event()
-        loop.add_reader(pipe.fileno(), told.set)
+        readable = asyncio.Event()
+        loop.add_reader(pipe.fileno(), readable.set)
         pipe.send(address)
         while True:
-            await told.wait()
-            told.clear()
+            await readable.wait()
+            readable.clear()
             if not pipe.poll():
                 continue
             if pipe.recv() == "end":
@@ -117,8 +122,8 @@
     asyncio.run(serve())
 
 
-async def ask(client: ForwardClient, name: str, body: bytes) -> None:
-    """One message: asked, taken, begun."""
+async def forward(client: ForwardClient, name: str, body: bytes) -> None:
+    """Forward one message: wait until the home has admitted it, then begin it."""
     admission = RemoteAdmission(client)
     admission.take(StoredMessage(name, "once", 7, 10**13, body=body))
     await admission.durable()
@@ -126,47 +131,47 @@
 
 
 async def measure(kind: str, pipe: Connection, address: str, path: str, options: argparse.Namespace) -> dict[str, Any]:
-    """One run."""
+    """Forward messages for the given time over "unix" or "stream" and return a row of the result file."""
     net = Sockets()
-    ends: dict[StreamLink, tuple[OnFrame, OnEnd]] = {}
+    callbacks: dict[StreamLink, tuple[OnFrame, OnEnd]] = {}
 
-    def heard(link: StreamLink, frame: Frame) -> None:
+    def on_stream_frame(link: StreamLink, frame: Frame) -> None:
         assert isinstance(frame, Forwarded)
-        ends[link][0](frame.head, frame.body)
-    mine = streams(net, "asker", heard, lambda link: ends.pop(link)[1]())
+        callbacks[link][0](frame.head, frame.body)
+    streams = make_streams(net, "asker", on_stream_frame, lambda link: callbacks.pop(link)[1]())
 
     async def dial(on_frame: OnFrame, on_end: OnEnd) -> Link | None:
-        link = await mine.dial("home", address, 5)
+        link = await streams.dial("home", address, 5)
         if link is None:
             return None
-        ends[link] = on_frame, on_end
+        callbacks[link] = on_frame, on_end
         return ForwardLink(link)
     client = forward_client(path) if kind == "unix" else ForwardClient(dial, peer_name="the home")
-    body, done = b"b" * options.body, 0
-    await ask(client, f"{kind}-first", body)
+    body, forwarded = b"b" * options.body, 0
+    await forward(client, f"{kind}-first", body)
 
     async def loop(number: int, until_s: float) -> None:
-        nonlocal done
-        turn = 0
+        nonlocal forwarded
+        sent = 0
         while time.monotonic() < until_s:
-            await ask(client, f"{kind}-{number}-{turn}", body)
-            turn += 1
-            done += 1
+            await forward(client, f"{kind}-{number}-{sent}", body)
+            sent += 1
+            forwarded += 1
     pipe.send("figures")
-    far_s, _ = pipe.recv()
-    near_s, began_s = time.process_time(), time.monotonic()
+    home_s, _ = pipe.recv()
+    client_s, began_s = time.process_time(), time.monotonic()
     await asyncio.gather(*(loop(number, began_s + options.seconds) for number in range(options.under_way)))
-    took_s, near_s = time.monotonic() - began_s, time.process_time() - near_s
+    took_s, client_s = time.monotonic() - began_s, time.process_time() - client_s
     pipe.send("figures")
-    far_s = pipe.recv()[0] - far_s
+    home_s = pipe.recv()[0] - home_s
     client.close()
     await net.close()
-    return {"kind": kind, "under_way": options.under_way, "asks": done, "rate": round(done / took_s),
-            "asker_us": round(near_s / done * 1e6, 1), "home_us": round(far_s / done * 1e6, 1)}
+    return {"kind": kind, "under_way": options.under_way, "asks": forwarded, "rate": round(forwarded / took_s),
+            "asker_us": round(client_s / forwarded * 1e6, 1), "home_us": round(home_s / forwarded * 1e6, 1)}
 
 
 def main() -> int:
-    """Prints a line for each kind: medians of the runs."""
+    """Print a line with the medians of the runs for each kind of connection, and write the result file if wanted."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seconds", type=float, default=4)
     parser.add_argument("--runs", type=int, default=3)
@@ -175,21 +180,21 @@
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
     rows: list[dict[str, Any]] = []
-    with tempfile.TemporaryDirectory() as folder, contextlib.ExitStack() as ends:
-        near, far = mp.get_context("spawn").Pipe()
+    with tempfile.TemporaryDirectory() as folder, contextlib.ExitStack() as cleanup:
+        pipe, home_pipe = mp.get_context("spawn").Pipe()
         path = f"{folder}/home"
-        process = mp.get_context("spawn").Process(target=home, args=(far, path))
+        process = mp.get_context("spawn").Process(target=serve_home, args=(home_pipe, path))
         process.start()
-        ends.callback(process.join, 10)
-        ends.callback(near.send, "end")
-        address = near.recv()
+        cleanup.callback(process.join, 10)
+        cleanup.callback(pipe.send, "end")
+        address = pipe.recv()
         for _ in range(options.runs):
-            rows += [asyncio.run(measure(kind, near, address, path, options)) for kind in ("unix", "stream")]
+            rows += [asyncio.run(measure(kind, pipe, address, path, options)) for kind in ("unix", "stream")]
     for kind in ("unix", "stream"):
-        mine = [row for row in rows if row["kind"] == kind]
-        rate, asker, there = (statistics.median(row[name] for row in mine) for name in ("rate", "asker_us", "home_us"))
-        print(f"{kind}: {rate:.0f} asks/s, processor time a message: asker {asker:.1f} us, home {there:.1f} us "
-              f"(medians of {len(mine)} runs of {options.seconds:g} s, {options.under_way} under way, "
+        own = [row for row in rows if row["kind"] == kind]
+        rate, client, home = (statistics.median(row[name] for row in own) for name in ("rate", "asker_us", "home_us"))
+        print(f"{kind}: {rate:.0f} requests/s, processor time a message: client {client:.1f} us, home {home:.1f} us "
+              f"(medians of {len(own)} runs of {options.seconds:g} s, {options.under_way} under way, "
               f"{options.body} bytes)", flush=True)
     if options.json is not None:
         commit = subprocess.run(["git", "rev-parse", "HEAD"], cwd=ROOT, capture_output=True, text=True).stdout.strip()
--- a/benchmarks/monday_speed.py
+++ b/benchmarks/monday_speed.py
@@ -1,8 +1,9 @@
-"""A recorded Monday at speed 1 and at speed 10: the verdict and the worth delivered side by side.
+"""Replays a recording of the scenario `monday` at speed 1 and at speed 10 and compares the verdict and the worth
+delivered.
 
     python benchmarks/monday_speed.py [--speeds 1,10]
 
-Records the scenario `monday` as one courier was handed it, then replays the record with Monday's partners and
+Records the messages that one courier got in the scenario, then replays the record with the scenario's destinations and
 faults. Takes about three minutes.
 """
 
@@ -17,30 +18,31 @@
 from typing import Any
 
 
-def umberchute(*words: str) -> dict[str, Any]:
-    """One command's JSON."""
-    done = subprocess.run([sys.executable, "-m", "wheelstep.cli", "rehearse", *words, "--json"],
-                          capture_output=True, text=True)
-    if done.returncode not in (0, 1, 3):
-        raise SystemExit(done.stderr)
-    report: dict[str, Any] = json.loads(done.stdout)
+def rehearse(*arguments: str) -> dict[str, Any]:
+    """Run `umberchute rehearse` with these arguments and return its JSON report. Raises `SystemExit` with its stderr if
+    it fails."""
+    finished = subprocess.run([sys.executable, "-m", "wheelstep.cli", "rehearse", *arguments, "--json"],
+                              capture_output=True, text=True)
+    if finished.returncode not in (0, 1, 3):
+        raise SystemExit(finished.stderr)
+    report: dict[str, Any] = json.loads(finished.stdout)
     return report
 
 
 def main() -> None:
-    """Record, replay, print."""
+    """Record the scenario, then replay it at each speed, and print a line for each."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument("--speeds", default="1,10")
     given = options.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         record = str(Path(folder) / "monday.record")
-        show("recorded", umberchute("record", "monday", record))
+        print_report("recorded", rehearse("record", "monday", record))
         for speed in given.speeds.split(","):
-            show(f"speed {speed}", umberchute("replay", record, "--speed", speed, "--scenario", "monday"))
+            print_report(f"speed {speed}", rehearse("replay", record, "--speed", speed, "--scenario", "monday"))
 
 
-def show(name: str, report: dict[str, Any]) -> None:
-    """One line."""
+def print_report(name: str, report: dict[str, Any]) -> None:
+    """Print a report in one line, and its first three findings."""
     beside, classes = report["beside"], report["beside"]["worth"]
     worth = ", ".join(f"{cls} {row['share']:.3f} of {row['messages']}" for cls, row in classes.items())
     print(f"{name}: {report['verdict']['verdict']}; worth {beside['worth_share']:.3f} ({worth}); "
--- a/benchmarks/restart_at_limit.py
+++ b/benchmarks/restart_at_limit.py
@@ -1,10 +1,11 @@
-"""Share of untried messages that are tried after a restart at the hold limit, with fresh traffic from the first moment.
+"""Measures the share of untried messages that are tried after a restart at the hold limit, with new traffic from the
+start.
 
     python benchmarks/restart_at_limit.py [--tree FOLDER] [--hold 300] [--hanging 0,4] [--rates 0,150,300,1000]
         [--restarts 1,2] [--left-ms 6000] [--work-ms 20,200]
 
-A real courier is filled to its limit while its eight endpoints drain, killed outright, and started again; some of the
-endpoints hang then, the others answer. `--tree` plays another state of the courier.
+A courier process is filled to its limit while its eight endpoints drain, killed with SIGKILL, and started again; then
+some of the endpoints hang and the others answer. `--tree` selects another checkout of the project to measure.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def main() -> int:
-    """Print a line for each play."""
+    """Run each combination of the options and print a line for each."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--tree", type=Path, default=ROOT)
     parser.add_argument("--hold", type=int, default=300)
@@ -35,7 +36,7 @@
     parser.add_argument("--rates", type=_numbers, default=[0, 150, 300, 1000])
     parser.add_argument("--restarts", type=_numbers, default=[1, 2])
     parser.add_argument("--left-ms", type=int, default=6000)
-    parser.add_argument("--work-ms", type=_numbers, default=[20, 200], help="what a call takes at an endpoint")
+    parser.add_argument("--work-ms", type=_numbers, default=[20, 200], help="time of a call at an endpoint")
     given = parser.parse_args()
     loopback.ROOT = given.tree.resolve()
     for restarts in given.restarts:
