--- a/benchmarks/journal_crashes.py
+++ b/benchmarks/journal_crashes.py
@@ -1,10 +1,9 @@
-"""Crashes of the journal at every boundary of random histories, in numbers that CI has no time for.
+"""Crashes the journal at every operation of random histories, in numbers that CI has no time for.
 
     python benchmarks/journal_crashes.py [--points 100000] [--first-seed 0] [--jobs 4]
 
-A third with the process's end (`none`), a third with power losses after each sync (`each`), a third with power losses
-between shared syncs (`group`); recoveries are crashed too. Stops at the first mismatch and prints its seed and crash
-point.
+Each history is played three times: the process ends (`none`), the power is lost after each sync (`each`), or between
+shared syncs (`group`); recoveries crash too. Stops at the first mismatch and prints its seed and crash point.
 """
 
 from __future__ import annotations
@@ -20,8 +19,8 @@
 from wheelstep.rehearsal.journal_model import crash_between_syncs, crash_everywhere, draw_history
 
 
-def one(seed: int) -> int:
-    """One history under both policies."""
+def crash_history(seed: int) -> int:
+    """Crash one random history under the three policies and return the number of crash points."""
     logging.disable(logging.CRITICAL)
     history = draw_history(random.Random(seed), 120)
     return (crash_between_syncs(history, seed)
@@ -29,7 +28,7 @@
 
 
 def main() -> None:
-    """Play until there were enough points."""
+    """Crash histories until there were enough crash points."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument("--points", type=int, default=100_000)
     options.add_argument("--first-seed", type=int, default=0)
@@ -38,7 +37,7 @@
     began, points, histories = time.monotonic(), 0, 0
     with ProcessPoolExecutor(given.jobs) as pool:
         for first in itertools.count(given.first_seed, 64):
-            for count in pool.map(one, range(first, first + 64)):
+            for count in pool.map(crash_history, range(first, first + 64)):
                 points, histories = points + count, histories + 1
             if points >= given.points:
                 break
--- a/benchmarks/journal_kills.py
+++ b/benchmarks/journal_kills.py
@@ -1,9 +1,9 @@
-"""The real daemon under load, SIGKILLed again and again while its journal compacts, judged by the rehearsal kit.
+"""Kills a courier under load with SIGKILL again and again while its journal compacts, and checks the rehearsal's rules.
 
     python benchmarks/journal_kills.py [--kills 100] [--jobs 5]
 
-Each rehearsal kills its courier ten times. Its disk is so small, and its messages so large, that the journal is copied
-forward all the time: how many segments were removed is read from their numbers in the end.
+Each rehearsal kills its courier ten times. Its disk is so small, and its messages so large, that the journal compacts
+all the time: the highest number of a segment at the end tells how many were begun.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from wheelstep.rehearsal.scenario import parse
 from wheelstep.rehearsal.standins.process import Courier
 
-KILLS = 10
+KILLS = 10  # in a rehearsal
 HEAD = """
 title = "Killed while compacting"
 rule = "lost"
@@ -63,21 +63,21 @@
 KILL = '[[fault]]\nkind = "kill"\nat = ["{at:.1f}s", "{to:.1f}s"]\nfor = "600ms"\n'
 
 
-def one(seed: int) -> tuple[str, int, int, int, list[str]]:
-    """One rehearsal: verdict, kills, segments begun, lateness in us, findings."""
+def rehearse(seed: int) -> tuple[str, int, int, int, list[str]]:
+    """Run one rehearsal. Returns its verdict, kills, segments begun, lateness (µs) of the machine and three findings."""
     text = HEAD + "".join(KILL.format(at=1.5 + number * 2.8, to=2.3 + number * 2.8) for number in range(KILLS))
     plan = draw("journal-kills", parse(text, "journal-kills"), seed)
     newest = 0
     stop = Courier.stop
 
-    async def look(self: Courier) -> None:
+    async def record_newest_segment(self: Courier) -> None:
         nonlocal newest
         numbers = [int(found[1]) for path in (self._folder / "state").iterdir()
                    if (found := re.fullmatch(r"(\d{8})\.journal", path.name))]
         newest = max([newest, *numbers])
         await stop(self)
 
-    Courier.stop = look  # type: ignore[method-assign]
+    Courier.stop = record_newest_segment  # type: ignore[method-assign]
     with tempfile.TemporaryDirectory():
         played = asyncio.run(rig.play(plan, limits={"disk_mb": 1.0}))
     verdict = judge(played.history)
@@ -87,13 +87,13 @@
 
 
 def main() -> None:
-    """Play until there were enough kills."""
+    """Run as many rehearsals as there must be kills, and print their verdicts."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument("--kills", type=int, default=100)
     options.add_argument("--jobs", type=int, default=5)
     given = options.parse_args()
     with ProcessPoolExecutor(given.jobs) as pool:
-        played = list(pool.map(one, range(-(-given.kills // KILLS))))
+        played = list(pool.map(rehearse, range(-(-given.kills // KILLS))))
     for seed, (ruling, kills, segments, late_us, findings) in enumerate(played):
         print(f"seed {seed}: {ruling}, {kills} kills, {segments} segments begun, late {late_us // 1000} ms "
               + "; ".join(findings))
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,6 +1,7 @@
-"""What membership costs a courier and how well it tells the dead from the living, in virtual time with real seals:
-packets, bytes and CPU a courier a second in quiet; then deaths one after another, and the time until all others know of
-each; then false suspicions and deaths with 0 and 10% of the packets lost. All from one seed, which is printed.
+"""Simulates a fleet's membership in virtual time with real seals, and measures what it costs a courier and how well it
+detects deaths: packets, bytes and CPU for each courier and second without faults; then the time until all others know
+of a death; then false suspicions and false deaths, each with 0 and 10% of the packets lost. All from one seed, which is
+printed.
 
     python benchmarks/membership_cost.py --couriers 3 30 300 --seed 1
 """
@@ -19,7 +20,7 @@
 
 
 def cost(couriers: int, seed: int, seconds: float) -> str:
-    """In quiet, nothing lost."""
+    """Return what a courier sends and uses in a second, without faults and packet loss, as text."""
     world = World(couriers, seed, sealed=True)
     world.form()
     world.run(2)
@@ -32,9 +33,13 @@
 
 
 def deaths(couriers: int, seed: int, count: int, loss: float) -> str:
-    """One after another, each once all know of the one before; a new world for each where the fleet is small."""
+    """Let `count` couriers die one after another and return, as text, how soon all others know of each.
+
+    A courier dies once all know of the death before. A new fleet is simulated when less than 90% of the couriers, or
+    fewer than three, are left.
+    """
     took: list[float] = []
-    never = 0
+    undetected = 0
     world = World(couriers, seed, loss=loss)
     world.form()
     world.run(3)
@@ -53,18 +58,18 @@
 
         seconds = world.run(120, all_know)
         if seconds is None:
-            never += 1
+            undetected += 1
         else:
             took.append(seconds)
     took.sort()
     if not took:
-        return f"of {count} deaths none was known to all within 120 s"
+        return f"none of {count} deaths was known to all within 120 s"
     return (f"death known to all after p50 {took[len(took) // 2]:.1f} s, p99 {took[int(len(took) * 0.99)]:.1f} s, "
-            f"most {took[-1]:.1f} s ({count} deaths, {never} not within 120 s)")
+            f"most {took[-1]:.1f} s ({count} deaths, {undetected} not within 120 s)")
 
 
-def falsely(couriers: int, seed: int, seconds: float, loss: float) -> str:
-    """Nobody dies: each suspicion that was refuted, and each verdict, is false."""
+def false_alarms(couriers: int, seed: int, seconds: float, loss: float) -> str:
+    """Return, as text, how many suspicions were refuted and how many couriers were declared dead while none dies."""
     world = World(couriers, seed, loss=loss)
     world.form()
     world.run(seconds)
@@ -75,11 +80,11 @@
 
 
 def main() -> None:
-    """By the command line."""
+    """Simulate each number of couriers and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--couriers", type=int, nargs="+", default=[3, 30, 300])
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=60, help="of virtual time for the cost")
+    parser.add_argument("--seconds", type=float, default=60, help="virtual seconds for the cost")
     parser.add_argument("--deaths", type=int, default=50)
     parser.add_argument("--quiet", type=float, default=300, help="virtual seconds for false suspicions")
     args = parser.parse_args()
@@ -89,7 +94,8 @@
         print(f"{couriers} couriers: {cost(couriers, args.seed, args.seconds)}", flush=True)
         for loss in (0.0, 0.1):
             print(f"{couriers} couriers, {loss:.0%} lost: {deaths(couriers, args.seed, args.deaths, loss)}", flush=True)
-            print(f"{couriers} couriers, {loss:.0%} lost: {falsely(couriers, args.seed, args.quiet, loss)}", flush=True)
+            print(f"{couriers} couriers, {loss:.0%} lost: {false_alarms(couriers, args.seed, args.quiet, loss)}",
+                  flush=True)
         print(f"{couriers} couriers: took {time.monotonic() - began:.0f} s", flush=True)
 
 
