--- a/benchmarks/journal_kills.py
+++ b/benchmarks/journal_kills.py
@@ -64,7 +64,7 @@
 
 
 def rehearse(seed: int) -> tuple[str, int, int, int, list[str]]:
-    """Run one rehearsal. Returns its verdict, kills, segments begun, lateness (µs) of the machine and three findings."""
+    """Run one rehearsal. Returns verdict, kills, segments begun, lateness of the machine (µs) and first findings."""
     text = HEAD + "".join(KILL.format(at=1.5 + number * 2.8, to=2.3 + number * 2.8) for number in range(KILLS))
     plan = draw("journal-kills", parse(text, "journal-kills"), seed)
     newest = 0
--- a/benchmarks/journal_speed.py
+++ b/benchmarks/journal_speed.py
@@ -1,11 +1,11 @@
-"""The journal beside SQLite in WAL mode, in one run on one disk: appends, latency, replay, pauses, space.
+"""Measures the journal beside SQLite in WAL mode, on one disk: appends, latency, replay, pauses, space.
 
     python benchmarks/journal_speed.py append [--count 20000]
     python benchmarks/journal_speed.py replay [--records 1000000]
     python benchmarks/journal_speed.py pause [--live 1000,100000,1000000] [--seconds 10]
     python benchmarks/journal_speed.py space
 
-`append`: a message of 300 bytes taken on, an attempt, the end of it; each record written (and synced as the policy
+`append`: a message of 300 bytes is accepted, has an attempt, and ends; each record is written (and synced as the policy
 says) before the next, as SQLite commits each statement. For `group` 64 writers wait for one sync or commit.
 """
 
@@ -33,21 +33,20 @@
 
 
 def message(number: int) -> StoredMessage:
-    """As a client hands it in."""
+    """Return the message with this number, as a client submits it."""
     return StoredMessage(f"{number:016x}", "update", number % 100, 1_800_000_000_000, f"key{number % 1000}",
-                         f"{number:032x}",
-                  False, BODY)
+                         f"{number:032x}", False, BODY)
 
 
-def spread(samples: list[float]) -> str:
-    """Percentiles in microseconds."""
+def percentiles(samples: list[float]) -> str:
+    """Sort the samples (seconds) and return their percentiles in microseconds as text."""
     samples.sort()
     return ", ".join(f"p{p} {samples[min(len(samples) - 1, int(len(samples) * p / 100))] * 1e6:.0f}"
                      for p in (50, 99, 99.9)) + f", worst {samples[-1] * 1e6:.0f} us"
 
 
-class Table:
-    """The same records in SQLite."""
+class SqliteTable:
+    """The same records in an SQLite database."""
 
     def __init__(self, folder: Path, synchronous: str) -> None:
         self.db = sqlite3.connect(folder / "record.db", isolation_level=None, check_same_thread=False)
@@ -57,29 +56,29 @@
                         "key TEXT, token TEXT, body BLOB, attempts INT, ran INT)")
 
     def take(self, one: StoredMessage) -> None:
-        """A message."""
+        """Insert a message."""
         self.db.execute("INSERT INTO messages VALUES (?,?,?,?,?,?,?,0,NULL)", (
             one.id, one.message_class, one.destination, one.deadline_ms, one.key, one.token, one.body))
 
     def attempt(self, name: str) -> None:
-        """An attempt."""
+        """Count an attempt."""
         self.db.execute("UPDATE messages SET attempts = attempts + 1, ran = ? WHERE id = ?", (1, name))
 
-    def over(self, name: str) -> None:
-        """Its end."""
+    def delete(self, name: str) -> None:
+        """Delete a message that has ended."""
         self.db.execute("DELETE FROM messages WHERE id = ?", (name,))
 
 
 class Committer:
-    """SQLite as the journal is used: many writers on a loop wait for one commit, made off it."""
+    """Uses SQLite as the journal is used: many writers on an event loop wait for one commit in another thread."""
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: SqliteTable) -> None:
         self._table, self._pool = table, ThreadPoolExecutor(1)
         self._rows: list[tuple[StoredMessage, asyncio.Future[None]]] = []
         self._task: asyncio.Task[None] | None = None
 
     async def take(self, one: StoredMessage) -> None:
-        """Returns once it is committed."""
+        """Insert a message and return once it is committed."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._rows.append((one, waiter))
         if self._task is None or self._task.done():
@@ -102,13 +101,13 @@
                 waiter.set_result(None)
 
     def close(self) -> None:
-        """Give the thread back."""
+        """Stop the thread and close the database."""
         self._pool.shutdown()
         self._table.db.close()
 
 
 def timed(count: int, steps: tuple[Callable[[int], None], ...]) -> tuple[float, list[float]]:
-    """Records a second, and each one's time."""
+    """Run all steps for each number and return the steps a second, and the seconds that each took."""
     samples = []
     clock = time.perf_counter
     began = clock()
@@ -121,7 +120,7 @@
 
 
 def append(count: int, root: Path) -> None:
-    """Each policy beside SQLite's matching setting."""
+    """Compare each sync policy with SQLite's matching setting; prints the median of three runs."""
     for sync, synchronous, share in ((SyncPolicy.NONE, "OFF", 1), (SyncPolicy.EACH, "FULL", 20)):
         rates = {"journal": [0.0], "sqlite": [0.0]}
         shown = {}
@@ -133,15 +132,15 @@
                 lambda n: journal.over(f"{n:016x}")))  # noqa: B023
             journal.close()
             rates["journal"].append(rate)
-            shown["journal"] = spread(samples)
+            shown["journal"] = percentiles(samples)
             folder = Path(tempfile.mkdtemp(dir=root))
-            table = Table(folder, synchronous)
+            table = SqliteTable(folder, synchronous)
             rate, samples = timed(count // share, (
                 lambda n: table.take(message(n)), lambda n: table.attempt(f"{n:016x}"),  # noqa: B023
-                lambda n: table.over(f"{n:016x}")))  # noqa: B023
+                lambda n: table.delete(f"{n:016x}")))  # noqa: B023
             table.db.close()
             rates["sqlite"].append(rate)
-            shown["sqlite"] = spread(samples)
+            shown["sqlite"] = percentiles(samples)
             del turn
         ours, theirs = (sorted(rates[name][1:])[1] for name in ("journal", "sqlite"))
         print(f"{sync.value}: journal {ours:.0f} records a second ({shown['journal']})")
@@ -150,7 +149,7 @@
 
 
 async def group(count: int, root: Path) -> None:
-    """Many writers, one sync: against SQLite with one commit for as many statements."""
+    """Compare many writers that share a sync with SQLite, where they share a commit."""
     rates: dict[str, list[float]] = {"journal": [], "sqlite": []}
     for _ in range(3):
         journal = Journal(Path(tempfile.mkdtemp(dir=root)), 10_000_000_000, SyncPolicy.GROUP)
@@ -164,15 +163,15 @@
         await asyncio.gather(*(writer(first) for first in range(WRITERS)))
         rates["journal"].append(count / (time.perf_counter() - began))
         journal.close()
-        table = Table(Path(tempfile.mkdtemp(dir=root)), "FULL")
+        table = SqliteTable(Path(tempfile.mkdtemp(dir=root)), "FULL")
         committer = Committer(table)
 
-        async def inserter(first: int, committer: Committer = committer) -> None:
+        async def sqlite_writer(first: int, committer: Committer = committer) -> None:
             for number in range(first, count, WRITERS):
                 await committer.take(message(number))
 
         began = time.perf_counter()
-        await asyncio.gather(*(inserter(first) for first in range(WRITERS)))
+        await asyncio.gather(*(sqlite_writer(first) for first in range(WRITERS)))
         rates["sqlite"].append(count / (time.perf_counter() - began))
         committer.close()
     ours, theirs = (sorted(rates[name])[1] for name in ("journal", "sqlite"))
@@ -181,7 +180,7 @@
 
 
 def replay(records: int, root: Path) -> None:
-    """A million records, a tenth of them messages that are still owed."""
+    """Replay a journal of `records` records, a tenth of which are messages without a terminal outcome."""
     folder = Path(tempfile.mkdtemp(dir=root))
     journal = Journal(folder, 100_000_000_000)
     number = 0
@@ -202,16 +201,17 @@
     gc.collect()
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     began = time.perf_counter()
-    again = Journal(folder, 100_000_000_000)
-    spent = time.perf_counter() - began
+    reopened = Journal(folder, 100_000_000_000)
+    took_s = time.perf_counter() - began
     grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
-    print(f"replay: {records} records, {used / 1e6:.0f} MB, {len(again.messages)} messages owed, in {spent:.1f} s: "
-          f"{records / spent:.0f} records and {used / 1e6 / spent:.0f} MB a second; peak grew by {grown // 1024} MB")
-    again.close()
+    print(f"replay: {records} records, {used / 1e6:.0f} MB, {len(reopened.messages)} messages unfinished, "
+          f"in {took_s:.1f} s: {records / took_s:.0f} records and {used / 1e6 / took_s:.0f} MB a second; "
+          f"peak grew by {grown // 1024} MB")
+    reopened.close()
 
 
 async def pause(live: int, seconds: float, root: Path) -> None:
-    """What the loop sees: a ticker's delay while the journal compacts and takes on and ends messages."""
+    """Measure how late a timer of the event loop fires while the journal compacts, and messages come and end."""
     logging.getLogger("wheelstep.journal").setLevel(logging.ERROR)
     journal = Journal(Path(tempfile.mkdtemp(dir=root)), 100_000_000_000)
     for number in range(live):
@@ -246,12 +246,12 @@
         late.append(time.perf_counter() - start - 0.001)
     for task in tasks:
         task.cancel()
-    print(f"pause: {live} live messages, {slices} slices: the loop's delay {spread(late)}", flush=True)
+    print(f"pause: {live} live messages, {slices} slices: the loop's delay {percentiles(late)}", flush=True)
     journal.close()
 
 
 def space(root: Path) -> None:
-    """Live bytes over bytes on disk, under churn at 85% full."""
+    """Measure live bytes over bytes on disk while messages are replaced and the journal is 85% full."""
     limit = 64_000_000
     journal = Journal(Path(tempfile.mkdtemp(dir=root)), limit)
     rng, names, number = random.Random(1), [], 0
@@ -259,17 +259,17 @@
         journal.take(message(number))
         names.append(f"{number:016x}")
         number += 1
-    shares, refused, most = [], 0, 0
+    shares, rejected, most = [], 0, 0
     began = time.perf_counter()
     for turn in range(100_000):
-        place = rng.randrange(len(names))
-        names[place], names[-1] = names[-1], names[place]
+        index = rng.randrange(len(names))
+        names[index], names[-1] = names[-1], names[index]
         journal.over(names.pop())
         try:
             journal.take(message(number))
             names.append(f"{number:016x}")
         except NoRoomError:
-            refused += 1
+            rejected += 1
         number += 1
         if journal.wants_compaction() and not turn % 4:
             journal.compact(0.001)
@@ -278,13 +278,13 @@
     shares.sort()
     print(f"space: limit {limit / 1e6:.0f} MB, {journal.live / limit:.0%} live, {len(shares)} messages replaced at "
           f"random in {time.perf_counter() - began:.0f} s: live over used {shares[0]:.2f} at least, "
-          f"{shares[len(shares) // 2]:.2f} in the middle; {refused} turned away; "
+          f"{shares[len(shares) // 2]:.2f} median; {rejected} rejected; "
           f"at most {most / limit:.1%} of the limit")
     journal.close()
 
 
 def main() -> None:
-    """One measurement."""
+    """Run one measurement."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument("what", choices=["append", "replay", "pause", "space"])
     options.add_argument("--count", type=int, default=20_000)
--- a/benchmarks/move_pause.py
+++ b/benchmarks/move_pause.py
@@ -1,13 +1,13 @@
-"""The pause of a channel when its part moves, in virtual time: from the part's shutting at the giver to its opening at
-the taker.
+"""Measures the pause of a channel when its part moves, in virtual time: from the part's closing at the handover source
+to its opening at the target.
 
     python benchmarks/move_pause.py [--moves 100] [--first-seed 0]
 
-A commit, and the taker's lease after it, take one round to the voters each, and the commit a synced write there; the
-taker syncs before each answer, and twice more to adopt. A message takes between the link's delay and half as much
-again, a sync `SYNC_US` and, one in twenty, ten times that. No calls are out: a call's own time comes on top. All is
-drawn from the seed, which is printed; the last column alone is measured, the most processor time that one decision
-took.
+A commit, and the target's lease after it, take one round trip to the voters each, and the commit a synced write there;
+the target syncs before each answer, and twice more to adopt the part. A message takes between the link's delay and 1.5
+times that, a sync takes `SYNC_US` and, one in twenty, ten times that. No calls are outstanding: a call's own time comes
+on top. All is drawn from the seed, which is printed; only the last column is measured, the most processor time that one
+decision took.
 """
 
 from __future__ import annotations
@@ -25,106 +25,113 @@
 from wheelstep.moves.types import Given, Piece, Seal
 
 LINKS_US, RATES, PIECES = (200, 2_000, 20_000), (1, 100, 1_000), (100, 10_000)
-SYNC_US, DATA, PART = 1_000, 200, 3  # of a disk; bytes of a piece
+SYNC_US, PIECE_BYTES, PART = 1_000, 200, 3  # a disk's sync, the size of a piece, the number of the part that moves
 
 
-class Shelf:
-    """A content whose pieces change at a rate for as long as the part is open."""
+class ChangingContent:
+    """The content of a part, whose pieces change at `rate` a second while the part is open. Implements the content that
+    `moves.giver` expects."""
 
     version = 1
 
     def __init__(self, pieces: int, rate: int, draw: random.Random) -> None:
-        self.held = {f"m:{number}": draw.randbytes(DATA) for number in range(pieces)}
+        self.held = {f"m:{number}": draw.randbytes(PIECE_BYTES) for number in range(pieces)}
         self.names, self.rate, self.draw = list(self.held), rate, draw
         self.now_us = self.next_us = 0
         self.is_open = True
         self.changes: set[str] = set()
 
-    def _pass(self) -> None:
+    def _apply_changes(self) -> None:
         while self.is_open and self.next_us <= self.now_us:
             name = self.draw.choice(self.names)
-            self.held[name] = self.draw.randbytes(DATA)
+            self.held[name] = self.draw.randbytes(PIECE_BYTES)
             self.changes.add(name)
             self.next_us += max(1, round(self.draw.expovariate(self.rate / 1_000_000)))
 
     def pieces(self, part: int) -> list[Piece]:
-        self._pass()
+        """Return all pieces; `changed` reports changes from here on."""
+        self._apply_changes()
         self.changes.clear()
         return [Piece(name, data) for name, data in self.held.items()]
 
     def changed(self, part: int) -> list[Piece]:
-        self._pass()
+        """Return the pieces that changed since the last call of `pieces` or `changed`."""
+        self._apply_changes()
         changes, self.changes = self.changes, set()
         return [Piece(name, self.held[name]) for name in sorted(changes)]
 
     def under_way(self, part: int) -> int:
+        """Return the number of outstanding calls, which is always 0."""
         return 0
 
     def shut(self, part: int) -> None:
-        self._pass()
+        """Close the part: its pieces no longer change."""
+        self._apply_changes()
         self.is_open = False
 
     def drop(self, part: int) -> None:
+        """Forget all pieces."""
         self.held.clear()
 
 
 def pause_us(seed: int, link_us: int, rate: int, pieces: int) -> tuple[int, int, int, int]:
-    """One move: its pause, all of its time, the pieces that went with the `Seal`, and the longest decision in µs."""
-    shelf, taker = Shelf(pieces, rate, random.Random(seed)), Taker("t", 1, TakerLimits())
-    giver = Giver(PART, 1, "t", shelf, GiverLimits(), 0, "g")  # type: ignore[arg-type]
-    heap, order, opened_us, tail, now_us, busy_s = [(0, 0, None)], count(1), -1, 0, 0, 0.0
+    """Simulate one move and return its pause and its whole time (both µs), the number of pieces that went with the
+    `Seal`, and the processor time of the longest decision (µs)."""
+    content, target = ChangingContent(pieces, rate, random.Random(seed)), Taker("t", 1, TakerLimits())
+    source = Giver(PART, 1, "t", content, GiverLimits(), 0, "g")  # type: ignore[arg-type]
+    heap, order, opened_us, sealed_pieces, now_us, longest_s = [(0, 0, None)], count(1), -1, 0, 0, 0.0
     draw = random.Random(f"{seed} times")
 
-    def at(links: int, syncs: int, *event: object) -> None:
-        delay_us = sum(round(link_us * draw.uniform(1, 1.5)) for _ in range(links))
+    def schedule(messages: int, syncs: int, *event: object) -> None:
+        delay_us = sum(round(link_us * draw.uniform(1, 1.5)) for _ in range(messages))
         delay_us += sum(SYNC_US * (10 if draw.random() < 0.05 else 1) for _ in range(syncs))
         heapq.heappush(heap, (now_us + delay_us, next(order), event))
 
-    while heap and not (giver.over and opened_us >= 0):
+    while heap and not (source.over and opened_us >= 0):
         now_us, _, event = heapq.heappop(heap)
-        shelf.now_us = now_us
+        content.now_us = now_us
         began = time.thread_time()
         match event:
             case None:
-                acts = giver.tick(now_us)
-            case "arrive", ask:
-                named = isinstance(ask, Given)
-                moved, records = taker.handle_request(
-                    now_us, "g", ask, Ownership(2, "t") if named else Ownership(1, "g"))
-                busy_s = max(busy_s, time.thread_time() - began)
-                at(1, bool(records), "answer", ask, moved)
-                if named:  # asks the voters, then adopts, notes that, and opens
-                    at(2, 2, "open")
+                actions = source.tick(now_us)
+            case "arrive", request:
+                committed = isinstance(request, Given)
+                answer, records = target.handle_request(
+                    now_us, "g", request, Ownership(2, "t") if committed else Ownership(1, "g"))
+                longest_s = max(longest_s, time.thread_time() - began)
+                schedule(1, bool(records), "answer", request, answer)
+                if committed:  # the target asks the voters for its lease, adopts the part, records that, and opens it
+                    schedule(2, 2, "open")
                 continue
             case "open",:
                 opened_us = now_us
                 continue
-            case "answer", ask, moved:
-                acts = giver.handle_answer(now_us, ask, moved)
+            case "answer", request, answer:
+                actions = source.handle_answer(now_us, request, answer)
             case _:
-                acts = giver.observe_holding(now_us, 2, "t")
-        busy_s = max(busy_s, time.thread_time() - began)
-        for act in acts:
-            if isinstance(act, SendRequest):
-                tail = len(act.request.pieces) if isinstance(act.request, Seal) else tail
-                at(1, 0, "arrive", act.request)
-            elif isinstance(act, Commit):
-                at(2, 1, "decided")
+                actions = source.observe_holding(now_us, 2, "t")
+        longest_s = max(longest_s, time.thread_time() - began)
+        for action in actions:
+            if isinstance(action, SendRequest):
+                sealed_pieces = len(action.request.pieces) if isinstance(action.request, Seal) else sealed_pieces
+                schedule(1, 0, "arrive", action.request)
+            elif isinstance(action, Commit):
+                schedule(2, 1, "decided")
             else:
-                assert isinstance(act, Ended) and act.done, act
-        if not giver.over and not any(isinstance(act, SendRequest | Commit) for act in acts):
-            heapq.heappush(heap, (max(now_us, giver.next_us()), next(order), None))
-    return opened_us - giver.shut_us, now_us, tail, round(busy_s * 1_000_000)
+                assert isinstance(action, Ended) and action.done, action
+        if not source.over and not any(isinstance(action, SendRequest | Commit) for action in actions):
+            heapq.heappush(heap, (max(now_us, source.next_us()), next(order), None))
+    return opened_us - source.shut_us, now_us, sealed_pieces, round(longest_s * 1_000_000)
 
 
 def main() -> None:
-    """Print the table."""
+    """Simulate the moves of each row and print the table."""
     options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     options.add_argument("--moves", type=int, default=100)
     options.add_argument("--first-seed", type=int, default=0)
     given = options.parse_args()
     print(f"seeds {given.first_seed} to {given.first_seed + given.moves - 1}, {given.moves} moves a row, sync "
-          f"{SYNC_US / 1000:g} ms, pieces of {DATA} bytes")
+          f"{SYNC_US / 1000:g} ms, pieces of {PIECE_BYTES} bytes")
     print("link ms | changes/s | pieces | pause ms p50 | p99 | most | whole move ms p50 | most with the Seal | "
           "longest decision ms")
     for link_us in LINKS_US:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,11 +1,12 @@
-"""Moves of parts in a rolling swap beside the least possible, and what a plan costs.
+"""Counts the moves of parts in a rolling replacement of all couriers, beside the least possible number, and measures
+what a plan costs.
 
     python -m benchmarks.placement [--seeds 3]
 
-The fleet is replaced machine by machine, in waves, all couriers having one view. Two orders: the new machines of a wave
-join before the old ones leave ("join"), or come in their place afterwards ("return"). The least possible, counted
-apart from what was done: each part leaves its old machine once; where machines return, each gives away an even part
-and gets one back.
+The fleet is replaced machine by machine, in waves; all couriers have the same view. There are two orders: the new
+machines of a wave join before the old ones leave ("join"), or replace them afterwards ("return"). The least possible
+number of moves is computed independently: each part leaves its old machine once; with "return", each machine gives
+away an even share of the parts and gets one back.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 PROBATION_US = 1_000_000
 
 
-class Rig:
-    """All couriers by one view that they share; each move is done as soon as it is planned."""
+class SharedViewFleet:
+    """All couriers of a fleet with one view that they share; each move is done as soon as it is planned."""
 
     def __init__(self, couriers: list[str], parts: int) -> None:
         self.now_us = 0
@@ -29,51 +30,52 @@
         self.view = Placement("", parts, 64, 0, PROBATION_US)
         self.owners = assign(parts, dict.fromkeys(couriers, 1.0), {})
         for name in couriers:
-            self.see(name, State.ALIVE)
+            self.set_state(name, State.ALIVE)
         for part, owner in self.owners.items():
             self.view.record_owner(part, owner)
         self.now_us += 2 * PROBATION_US
 
-    def see(self, name: str, state: State) -> None:
-        """A member is in this state now."""
+    def set_state(self, name: str, state: State) -> None:
+        """Record that a member is in this state from now on."""
         self.view.record_member(self.now_us, Member(name, 1, state, "", ""))
 
     def settle(self) -> None:
-        """Moves, until nobody wants any."""
+        """Do planned moves until no courier plans one."""
         moved = True
         while moved:
             moved = False
             for name in sorted(set(self.owners.values())):
                 self.view.me = name
-                for part, to in self.view.plan(self.now_us, ()).away.items():
-                    self.owners[part] = to
-                    self.view.record_owner(part, to)
+                for part, target in self.view.plan(self.now_us, ()).away.items():
+                    self.owners[part] = target
+                    self.view.record_owner(part, target)
                     self.moves += 1
                     moved = True
 
 
-def swap(couriers: int, parts: int, wave: int, join: bool, seed: int) -> tuple[int, int, int]:
-    """Moves, the least possible, and the widest difference in parts at the end."""
+def replace_all(couriers: int, parts: int, wave: int, join: bool, seed: int) -> tuple[int, int, int]:
+    """Replace all couriers, `wave` at a time, in the order "join" or "return". Returns the moves, the least possible
+    number of moves, and the largest difference between couriers' parts at the end."""
     old = [f"old-{number}" for number in range(couriers)]
     random.Random(seed).shuffle(old)
-    rig = Rig(sorted(old), parts)
+    fleet = SharedViewFleet(sorted(old), parts)
     for at in range(0, couriers, wave):
         names = old[at:at + wave]
         for states in ((State.ALIVE, State.LEAVING) if join else (State.LEAVING, State.ALIVE)):
             for name in names:
-                rig.see(name.replace("old", "new") if states is State.ALIVE else name, states)
+                fleet.set_state(name.replace("old", "new") if states is State.ALIVE else name, states)
             if states is State.ALIVE:
-                rig.now_us += 2 * PROBATION_US
+                fleet.now_us += 2 * PROBATION_US
             if not join or states is State.LEAVING:
-                rig.settle()  # machines that join are waited for: the wave's old ones give to them
+                fleet.settle()  # with "join", parts move only when the old machines leave
         for name in names:
-            rig.see(name, State.GONE)
-    counts = [list(rig.owners.values()).count(f"new-{number}") for number in range(couriers)]
-    return rig.moves, parts if join else max(parts, 2 * couriers * (parts // couriers)), max(counts) - min(counts)
+            fleet.set_state(name, State.GONE)
+    counts = [list(fleet.owners.values()).count(f"new-{number}") for number in range(couriers)]
+    return fleet.moves, parts if join else max(parts, 2 * couriers * (parts // couriers)), max(counts) - min(counts)
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the table of moves and the table of planning times."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     seeds = parser.parse_args().seeds
@@ -82,9 +84,9 @@
                                   (200, 1024, 20)]:
         for join in (True, False):
             for seed in range(seeds if couriers < 200 else 1):
-                moves, least, wide = swap(couriers, parts, wave, join, seed)
+                moves, least, difference = replace_all(couriers, parts, wave, join, seed)
                 print(f"{couriers:8} {parts:5} {wave:4} {'join' if join else 'return':7} {moves:5} {least:6} "
-                      f"{moves / least:5.2f}  {wide}", flush=True)
+                      f"{moves / least:5.2f}  {difference}", flush=True)
     print("\nassign with 1,000 couriers: parts, milliseconds from nothing, with one courier gone")
     weights = {f"courier-{number}": 1.0 for number in range(1000)}
     for parts in (64, 1024):
--- a/benchmarks/shard_plan.py
+++ b/benchmarks/shard_plan.py
@@ -1,10 +1,10 @@
-"""What the plan of shards costs and moves, beside `fleet.assignment.assign` on the same sizes.
+"""Measures what planning shards costs, and how many it moves, beside `fleet.assignment.assign` on the same sizes.
 
     python -m benchmarks.shard_plan [--json FILE] [--deaths 40] [--seed 1]
 
-All couriers are in one region, as the ring sees them, of weight 1. `least` is the least possible number of moves: what
-those that went had, or what the one that came was given. A second table kills a tenth of the couriers one after
-another, with caps as they are and with caps by the total rounded up to powers of 1.05 for all.
+All couriers are in one region, as the ring sees them, of weight 1. `least` is the least possible number of moves: the
+shards of the couriers that left, or the shards that the new courier got. For a second table a tenth of the couriers
+leave one after another, with the caps of the module, and with caps by the total weight rounded up to a power of 1.05.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 
 COURIERS = (100, 300, 550, 1_100)
 SHARDS = (1_024, 4_096, 16_384, 65_536)
-LOAD = 1.25
-GRID = math.log(1.05)
+LOAD = 1.25  # cap of a courier's shards, over the mean
+LOG_STEP = math.log(1.05)
 
 
 class GridCaps(Caps):
-    """By the total weight rounded up to a power of 1.05: the other way that was weighed."""
+    """Caps by the total weight rounded up to a power of 1.05, an alternative to those of the module."""
 
     def of(self, weights: Mapping[str, float]) -> dict[str, int]:
-        """Alike for couriers of one weight."""
-        total = math.exp(math.ceil(math.log(math.fsum(weights.values())) / GRID) * GRID)
+        """Return the cap of each courier; couriers of one weight get the same."""
+        total = math.exp(math.ceil(math.log(math.fsum(weights.values())) / LOG_STEP) * LOG_STEP)
         return {name: math.ceil(LOAD * self._shards * weight / total) for name, weight in weights.items()}
 
 
-def timed(what: Callable[[], Any]) -> tuple[float, Any]:
-    """Milliseconds, and what came of it."""
+def timed(function: Callable[[], Any]) -> tuple[float, Any]:
+    """Call the function and return the milliseconds that took, and its result."""
     start = time.perf_counter()
-    result = what()
+    result = function()
     return (time.perf_counter() - start) * 1_000, result
 
 
-def one_size(couriers: int, shards: int, deaths: int, rng: random.Random) -> dict[str, Any]:
-    """A row of the first table."""
+def measure_size(couriers: int, shards: int, deaths: int, rng: random.Random) -> dict[str, Any]:
+    """Measure one number of couriers and shards and return a row of the first table."""
     names = [f"courier-{number}" for number in range(couriers)]
     rng.shuffle(names)
     weights = dict.fromkeys(names, 1.0)
@@ -66,12 +66,12 @@
     moved, least = 0, 0
     for name in names[:deaths]:
         least += len(ring.shards_of(name))
-        for what, weight in (("death", 0.0), ("arrival", 1.0)):
+        for change, weight in (("death", 0.0), ("arrival", 1.0)):
             ms, changed = timed(lambda name=name, weight=weight: ring.update({name: weight}))
-            took[what].append(ms)
-            moved += len(changed) if what == "death" else 0  # an arrival undoes the death before it
-    for what, each in took.items():
-        row[f"{what}_longest_ms"], row[f"{what}_median_ms"] = max(each), sorted(each)[len(each) // 2]
+            took[change].append(ms)
+            moved += len(changed) if change == "death" else 0  # an arrival undoes the death before it
+    for change, times_ms in took.items():
+        row[f"{change}_longest_ms"], row[f"{change}_median_ms"] = max(times_ms), sorted(times_ms)[len(times_ms) // 2]
     row["one_moves_over_least"] = moved / least
     zone = dict.fromkeys(names[:couriers // 6], 0.0)
     least = sum(len(ring.shards_of(name)) for name in zone)
@@ -85,27 +85,28 @@
     return row
 
 
-def in_a_row(couriers: int, shards: int, rule: type[Caps]) -> dict[str, Any]:
-    """A row of the second table."""
+def measure_deaths_in_a_row(couriers: int, shards: int, rule: type[Caps]) -> dict[str, Any]:
+    """Let a tenth of the couriers leave one after another, with this rule for caps, and return a row of the second
+    table."""
     names = [f"courier-{number}" for number in range(couriers)]
     ring = HashRing(shards, LOAD)
     ring._rule = rule(shards, LOAD)
     ring.update(dict.fromkeys(names, 1.0))
-    each = []
+    deaths = []
     for name in names[:couriers // 10]:
-        had = len(ring.shards_of(name))
+        held = len(ring.shards_of(name))
         caps = dict(ring._caps)
         moves = len(ring.update({name: 0.0}))
-        each.append((moves / had, moves, had, sum(caps[other] != cap for other, cap in ring._caps.items())))
-    most = max(each)
-    return {"couriers": couriers, "shards": shards, "caps": rule.__name__, "deaths": len(each),
-            "median_over_least": sorted(each)[len(each) // 2][0], "most_over_least": most[0], "most_moves": most[1],
-            "most_least": most[2], "most_caps_changed": most[3],
-            "all_over_least": sum(one[1] for one in each) / sum(one[2] for one in each)}
+        deaths.append((moves / held, moves, held, sum(caps[other] != cap for other, cap in ring._caps.items())))
+    most = max(deaths)
+    return {"couriers": couriers, "shards": shards, "caps": rule.__name__, "deaths": len(deaths),
+            "median_over_least": sorted(deaths)[len(deaths) // 2][0], "most_over_least": most[0],
+            "most_moves": most[1], "most_least": most[2], "most_caps_changed": most[3],
+            "all_over_least": sum(one[1] for one in deaths) / sum(one[2] for one in deaths)}
 
 
-def printed(rows: list[dict[str, Any]]) -> None:
-    """As a table."""
+def print_table(rows: list[dict[str, Any]]) -> None:
+    """Print the rows as a table with the keys of the first one as its header."""
     names = [*rows[0]]
     print("  ".join(names))
     for row in rows:
@@ -114,26 +115,26 @@
 
 
 def main() -> None:
-    """Measure, print, and write the file."""
+    """Measure all sizes, print both tables, and write the result file if wanted."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--json", type=Path)
     parser.add_argument("--deaths", type=int, default=40)
     parser.add_argument("--seed", type=int, default=1)
-    asked = parser.parse_args()
-    rng = random.Random(asked.seed)
-    rows = [one_size(couriers, shards, asked.deaths, rng) for shards in SHARDS for couriers in COURIERS]
-    printed(rows)
-    rules = [in_a_row(couriers, shards, rule) for shards in (16_384, 65_536) for couriers in COURIERS
-             for rule in (Caps, GridCaps)]
-    printed(rules)
-    if asked.json:
+    options = parser.parse_args()
+    rng = random.Random(options.seed)
+    rows = [measure_size(couriers, shards, options.deaths, rng) for shards in SHARDS for couriers in COURIERS]
+    print_table(rows)
+    rules = [measure_deaths_in_a_row(couriers, shards, rule)
+             for shards in (16_384, 65_536) for couriers in COURIERS for rule in (Caps, GridCaps)]
+    print_table(rules)
+    if options.json:
         commit = subprocess.run(["git", "describe", "--always", "--dirty"], capture_output=True, text=True,
                                 check=True).stdout.strip()
         machine = {"cores": os.cpu_count(), "system": platform.platform(), "python": platform.python_version()}
-        asked.json.write_text(json.dumps({
-            "what": "shard_plan", "commit": commit, "machine": machine, "seed": asked.seed,
-            "parameters": {"load": LOAD, "points": 64, "deaths": asked.deaths}, "rows": rows, "deaths_in_a_row": rules,
-        }, indent=1) + "\n")
+        options.json.write_text(json.dumps({
+            "what": "shard_plan", "commit": commit, "machine": machine, "seed": options.seed,
+            "parameters": {"load": LOAD, "points": 64, "deaths": options.deaths}, "rows": rows,
+            "deaths_in_a_row": rules}, indent=1) + "\n")
 
 
 if __name__ == "__main__":
