--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""`docs/CAPACITY.md`, computed from the result files in `benchmarks/results/`: written, or compared with what is there.
+"""Computes `docs/CAPACITY.md` from the result files in `benchmarks/results/`, and writes it or compares it.
 
     python benchmarks/capacity.py [--check]
 """
@@ -32,28 +32,30 @@
 
 
 def page(folder: Path) -> str:
-    """The whole page from the result files of a folder."""
+    """Return the text of the page from the result files in a folder."""
     results = Results(folder)
     return "\n\n".join([HEAD, *(section(results) for section in SECTIONS)]) + "\n"
 
 
 def main() -> int:
-    """Write the page; with `--check`, say whether it is as the files give it."""
+    """Write the page, or compare it with the file under `--check` and return 1 if they differ."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--check", action="store_true", help="write nothing; 1 where page and files differ")
+    parser.add_argument("--check", action="store_true",
+                        help="write nothing; exit with 1 if the page differs from the result files")
     args = parser.parse_args()
     text = page(FILES)
     if not args.check:
         PAGE.write_text(text)
         print(f"{PAGE.relative_to(ROOT)}: {len(text.splitlines())} lines")
         return 0
-    there = PAGE.read_text() if PAGE.exists() else ""
-    for number, (is_there, wanted) in enumerate(zip(there.splitlines(), text.splitlines(), strict=False), 1):
-        if is_there != wanted:
-            print(f"{PAGE.relative_to(ROOT)}:{number}: {is_there!r:.160}\n  expected {wanted!r:.160}")
+    current = PAGE.read_text() if PAGE.exists() else ""
+    for number, (line, expected) in enumerate(zip(current.splitlines(), text.splitlines(), strict=False), 1):
+        if line != expected:
+            print(f"{PAGE.relative_to(ROOT)}:{number}: {line!r:.160}\n  expected {expected!r:.160}")
             break
-    print("as the files give it" if there == text else "differs: python benchmarks/capacity.py writes it anew")
-    return int(there != text)
+    print("the page matches the result files" if current == text
+          else "the page differs from the result files: python benchmarks/capacity.py writes it again")
+    return int(current != text)
 
 
 if __name__ == "__main__":
--- a/benchmarks/module_scale.py
+++ b/benchmarks/module_scale.py
@@ -1,8 +1,9 @@
-"""What a round of the decision module costs at size: one message accepted and one attempt ended, all slots busy.
+"""Measures what a round of the decision module costs with many destinations and messages: one message accepted and one
+attempt ended, with all slots busy.
 
     python benchmarks/module_scale.py [--rounds 2000] [--cases 26:1000,1000:20000,10000:20000,10000:100000]
 
-A case is destinations:held messages. The first one is the peer that the others are compared with.
+A case is destinations:held messages. After the case 26:1000, the others are compared with it.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 
 
 def measure(destinations: int, held: int, rounds: int) -> tuple[float, float]:
-    """Microseconds a round: the middle one and the 99th of 100."""
+    """Run so many rounds and return the median and the 99th percentile of their times, in microseconds."""
     sender = Sender(Settings(CLASSES, slots=64, hold_limit=1 << 30, may_probe=True), 1)
     rng = random.Random(1)
-    out: deque[tuple[str, str]] = deque()
+    outstanding: deque[tuple[str, str]] = deque()
     now = number = 0
 
     def feed(events: list[api.Event]) -> None:
         for action in sender.handle(now, events):
             if isinstance(action, api.StartAttempt):
-                out.append((action.message, action.endpoint))
+                outstanding.append((action.message, action.endpoint))
 
     feed([api.MembershipReceived(api.ListKind.WHOLE, tuple(
         api.EndpointInfo(f"e{one}", one) for one in range(destinations)))])
@@ -48,7 +49,7 @@
     samples = []
     for _ in range(rounds):
         now += 1_000
-        message, endpoint = out.popleft()
+        message, endpoint = outstanding.popleft()
         attempt = attempts.get(message, 0)
         events: list[api.Event] = [api.AttemptEnded(message, attempt, endpoint, Outcome.OK, 50_000, True), accepted()]
         began = time.perf_counter()
@@ -59,19 +60,20 @@
 
 
 def main() -> None:
-    """Each case, beside the first."""
+    """Measure and print each case."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument("--rounds", type=int, default=1000)
     options.add_argument("--cases", default="26:0,26:1000,1000:20000,10000:20000,10000:100000")
     given = options.parse_args()
-    first = 0.0
+    reference_us = 0.0
     for case in given.cases.split(","):
         destinations, held = map(int, case.split(":"))
-        middle, high = measure(destinations, held, given.rounds if destinations < 5000 else given.rounds // 10)
+        median_us, p99_us = measure(destinations, held, given.rounds if destinations < 5000 else given.rounds // 10)
         if case == "26:1000":
-            first = middle
-        beside = f", {middle / first:.1f} times 26:1000" if first else ""
-        print(f"{destinations} destinations, {held} held: {middle:.0f} us a round, p99 {high:.0f}{beside}", flush=True)
+            reference_us = median_us
+        beside = f", {median_us / reference_us:.1f} times 26:1000" if reference_us else ""
+        print(f"{destinations} destinations, {held} held: {median_us:.0f} us a round, p99 {p99_us:.0f}{beside}",
+              flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -1,10 +1,11 @@
-"""What clients lose when a courier is told to end: a real process, connections that go on sending, SIGTERM, many times.
+"""Measures what clients lose when a courier shuts down: a courier process gets SIGTERM while its clients go on sending,
+many times.
 
     python benchmarks/shutdown.py [--runs 20] [--clients 500] [--rest 1.0] [--tree DIR]
 
-`--tree` runs the courier of another checkout. A request is lost if its last byte was written before the connection was
-ended, as its client's kernel knew it, and the connection then ended with no answer. Whoever finds the end before
-writing connects again, and stops once nobody listens.
+`--tree` runs the courier of another checkout. A request is lost if it was written completely before the client's kernel
+knew of the connection's end, and the connection then ended without an answer. A client that notices the end before it
+writes connects again, and stops when no one listens any more.
 """
 
 from __future__ import annotations
@@ -28,20 +29,20 @@
 
 from loopback import SETTINGS, Call, Endpoint, Platform, Reply, host  # noqa: E402
 
-_BEFORE_S = 1.0  # of traffic, before SIGTERM
-_PATIENCE_S = 0.4  # PROTOCOL, clients to couriers
-_KILL_S = 3.7  # SIGKILL comes no sooner (PROTOCOL, figures)
+_TRAFFIC_S = 1.0  # before SIGTERM
+_CLIENT_TIMEOUT_S = 0.4  # see PROTOCOL, clients to couriers
+_KILL_DELAY_S = 3.7  # shortest delay from SIGTERM to SIGKILL (PROTOCOL, figures)
 
 
 class Clients:
-    """All of them; `count` has how their requests went."""
+    """All clients of a run. `count` holds the number of requests by their result, which `main` prints."""
 
     def __init__(self, address: tuple[str, int], rest_s: float) -> None:
         self._address, self._rest_s, self.count = address, rest_s, Counter[str]()
         self._number = 0
 
-    async def one(self) -> None:
-        """Connect, and send one request after another for as long as there is somebody."""
+    async def run_one(self) -> None:
+        """Run one client: connect and send one request after another, until no one listens."""
         while True:
             link = socket.socket()
             link.setblocking(False)
@@ -60,11 +61,11 @@
             self._number += 1
             data = (f"POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: m{self._number}\r\nX-Class: once\r\n"
                     f"X-Deadline-Ms: 20000\r\nX-Consignee: dest=7\r\nContent-Length: 1\r\n\r\nx").encode()
-            if ended(link) or not written(link, data):
+            if has_ended(link) or not send_at_once(link, data):
                 self.count["ended between"] += 1
                 return
             try:
-                async with asyncio.timeout(_PATIENCE_S):
+                async with asyncio.timeout(_CLIENT_TIMEOUT_S):
                     answer = await asyncio.get_running_loop().sock_recv(link, 4096)
             except TimeoutError:
                 self.count["late"] += 1
@@ -79,8 +80,8 @@
                 return
 
 
-def ended(link: socket.socket) -> bool:
-    """Does this end know by now that the connection is over?"""
+def has_ended(link: socket.socket) -> bool:
+    """Return whether the kernel knows that the connection has ended."""
     try:
         return not link.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -89,22 +90,23 @@
         return True
 
 
-def written(link: socket.socket, data: bytes) -> bool:
-    """Write it at once; some hundred bytes always fit."""
+def send_at_once(link: socket.socket, data: bytes) -> bool:
+    """Send the data without waiting and return whether that worked; a few hundred bytes always fit into the buffer."""
     try:
         return link.send(data) == len(data)
     except OSError:
         return False
 
 
-async def play(tree: Path, clients: int, rest_s: float) -> tuple[Counter[str], float, int]:
-    """One shutdown: how requests went from SIGTERM on, how long it took, and the exit code."""
+async def measure_shutdown(tree: Path, clients: int, rest_s: float) -> tuple[Counter[str], float, int]:
+    """Run one courier and shut it down. Returns the results of requests since SIGTERM, the seconds until the courier's
+    end, and its exit code. Raises `RuntimeError` with its log if it doesn't start."""
     platform, endpoint = Platform(), Endpoint()
 
-    async def fine(call: Call) -> Reply:
+    async def answer_ok(call: Call) -> Reply:
         await asyncio.sleep(0.01)
         return 200, {}, b""
-    endpoint.reply = fine
+    endpoint.reply = answer_ok
     await platform.start()
     platform.list(host("e0", await endpoint.start()))
     with tempfile.TemporaryDirectory() as folder:
@@ -126,40 +128,41 @@
             if process.returncode is not None:
                 raise RuntimeError(Path(folder, "log").read_text())
             await asyncio.sleep(0.02)
-        world = Clients(address, rest_s)
+        all_clients = Clients(address, rest_s)
         async with asyncio.TaskGroup() as group:
             for _ in range(clients):
-                group.create_task(world.one())
-            await asyncio.sleep(rest_s + _BEFORE_S)
-            before, began = Counter(world.count), time.monotonic()
+                group.create_task(all_clients.run_one())
+            await asyncio.sleep(rest_s + _TRAFFIC_S)
+            before, began = Counter(all_clients.count), time.monotonic()
             process.send_signal(signal.SIGTERM)
             try:
-                async with asyncio.timeout(_KILL_S):
+                async with asyncio.timeout(_KILL_DELAY_S):
                     await process.wait()
             except TimeoutError:
-                with contextlib.suppress(ProcessLookupError):  # it has ended just now
+                with contextlib.suppress(ProcessLookupError):  # the process ended in the meantime
                     process.kill()
                 await process.wait()
-            took = time.monotonic() - began
+            took_s = time.monotonic() - began
     await platform.stop()
-    world.count.subtract(before)
-    return world.count, took, process.returncode or 0
+    all_clients.count.subtract(before)
+    return all_clients.count, took_s, process.returncode or 0
 
 
 def main() -> None:
-    """Play and print."""
+    """Run the shutdowns and print the results of each and their sums."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--runs", type=int, default=20)
     parser.add_argument("--clients", type=int, default=500)
-    parser.add_argument("--rest", type=float, default=1.0, help="seconds that a client rests at most")
-    parser.add_argument("--tree", type=Path, default=ROOT, help="the checkout whose courier is run")
+    parser.add_argument("--rest", type=float, default=1.0,
+                        help="longest pause of a client between two requests, in seconds")
+    parser.add_argument("--tree", type=Path, default=ROOT, help="checkout whose courier runs")
     given = parser.parse_args()
     total, slowest, codes = Counter[str](), 0.0, Counter[int]()
     for run in range(given.runs):
-        count, took, code = asyncio.run(play(given.tree.resolve(), given.clients, given.rest))
+        count, took_s, code = asyncio.run(measure_shutdown(given.tree.resolve(), given.clients, given.rest))
         total += count
-        slowest, codes = max(slowest, took), codes + Counter([code])
-        print(f"run {run + 1}: {dict(sorted(count.items()))}, {took:.2f} s, exit {code}", flush=True)
+        slowest, codes = max(slowest, took_s), codes + Counter([code])
+        print(f"run {run + 1}: {dict(sorted(count.items()))}, {took_s:.2f} s, exit {code}", flush=True)
     print(f"{given.runs} runs, {given.clients} clients: lost {total['lost']}, late {total['late']}, "
           f"answered {total['answered']}, refused {total['refused']}, failed {total['failed']}, "
           f"ended between {total['ended between']}; slowest {slowest:.2f} s, exit {dict(codes)}")
--- a/benchmarks/standalone_reload.py
+++ b/benchmarks/standalone_reload.py
@@ -1,9 +1,10 @@
-"""What a reload costs a standalone courier: the longest turn of its loop, with many destinations and messages held.
+"""Measures what a reload costs a standalone courier with many destinations and held messages: the longest iteration of
+its event loop.
 
     python benchmarks/standalone_reload.py [--destinations 2000] [--held 20000] [--reloads 20]
 
-Each reload changes the endpoints of one destination in twenty, a route and a tenant. Beside it: the turns of as long a
-time without a reload, and the time that reading and checking the file takes in its own thread.
+Each reload changes the endpoints of one destination in twenty, a route and a tenant. Also prints the iterations during
+5 seconds without a reload, and the time that reading and checking the file takes.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 from wheelstep.standalone import model, serve
 
 
-def text(destinations: int, version: int, held: int) -> str:
-    """A file; endpoints drain, so that what is held waits."""
+def deploy_file(destinations: int, version: int, held: int) -> str:
+    """Return the text of a deploy file. All endpoints drain, so that held messages stay held."""
     lines = ['listen = "127.0.0.1:0"', 'state = "state"', "[limits]", f"held = {2 * held}", "disk_mb = 500",
              "[class.a]", 'effect = "safe"', 'deadline = "10min"']
     for number in range(destinations):
@@ -33,11 +34,11 @@
     return "\n".join([*lines, "[tenant.t]", "open = true", f"rate_per_s = {1000 + version}", ""])
 
 
-async def work(given: argparse.Namespace) -> None:
-    """Run one courier in this process."""
+async def measure(given: argparse.Namespace) -> None:
+    """Run one courier in this process, reload its file many times and print the times."""
     with tempfile.TemporaryDirectory(prefix="umberchute-reload-") as folder:
         path = Path(folder) / "umberchute.toml"
-        path.write_text(text(given.destinations, 0, given.held))
+        path.write_text(deploy_file(given.destinations, 0, given.held))
         (Path(folder) / "state").mkdir()
         journal = Journal(Path(folder) / "state", 500_000_000)
         due_ms = int(time.time() * 1000) + 600_000
@@ -46,46 +47,46 @@
             journal.take(StoredMessage(f"t~m{number}", "a", destination, due_ms, None, None, False, b"x"))
         journal.close()
         began = time.perf_counter()
-        found = model.load(path)
-        loaded = time.perf_counter() - began
-        courier = serve.Courier(path, found)
-        renewed = asyncio.Event()
-        serving = asyncio.create_task(courier.serve(renewed))
-        await asyncio.sleep(8)  # all is restored
+        deployment = model.load(path)
+        load_s = time.perf_counter() - began
+        courier = serve.Courier(path, deployment)
+        reload = asyncio.Event()
+        serving = asyncio.create_task(courier.serve(reload))
+        await asyncio.sleep(8)  # until all messages are restored
         gc.freeze()
-        turns = Turns()
+        iterations = Turns()
         await asyncio.sleep(5)
-        calm = turns.take()
-        longest, spent = [], []
+        quiet_ms = iterations.take()
+        longest_ms, reload_s = [], []
         for version in range(1, given.reloads + 1):
-            path.with_suffix(".new").write_text(text(given.destinations, version, given.held))
+            path.with_suffix(".new").write_text(deploy_file(given.destinations, version, given.held))
             path.with_suffix(".new").replace(path)
-            await asyncio.sleep(0.05)  # the turn that made the file is none of the courier's
-            turns.take()
+            await asyncio.sleep(0.05)  # the iteration that wrote the file doesn't count
+            iterations.take()
             began = time.perf_counter()
-            renewed.set()
+            reload.set()
             while courier.loads < version:
                 await asyncio.sleep(0.001)
-            spent.append(time.perf_counter() - began)
+            reload_s.append(time.perf_counter() - began)
             await asyncio.sleep(0.3)
-            longest.append(turns.take()[0])
+            longest_ms.append(iterations.take()[0])
         serving.cancel()
         await asyncio.gather(serving, return_exceptions=True)
-    longest.sort()
-    print(f"{given.destinations} destinations, {given.held} held: file read in {loaded * 1e3:.0f} ms at the start; a "
-          f"reload takes {sorted(spent)[len(spent) // 2] * 1e3:.0f} ms; longest turn in {len(longest)} reloads: middle "
-          f"{longest[len(longest) // 2]:.1f} ms, worst {longest[-1]:.1f} ms; in 5 s without: worst {calm[0]:.1f} ms, "
-          f"99 of 100 {calm[len(calm) // 100]:.1f} ms")
+    longest_ms.sort()
+    print(f"{given.destinations} destinations, {given.held} held: file read in {load_s * 1e3:.0f} ms at the start; a "
+          f"reload takes {sorted(reload_s)[len(reload_s) // 2] * 1e3:.0f} ms; longest loop iteration in "
+          f"{len(longest_ms)} reloads: median {longest_ms[len(longest_ms) // 2]:.1f} ms, worst {longest_ms[-1]:.1f} "
+          f"ms; in 5 s without: worst {quiet_ms[0]:.1f} ms, p99 {quiet_ms[len(quiet_ms) // 100]:.1f} ms")
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the measurement with the options of the command line."""
     options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     options.add_argument("--destinations", type=int, default=2_000)
     options.add_argument("--held", type=int, default=20_000)
     options.add_argument("--reloads", type=int, default=20)
     logging.basicConfig(level=logging.ERROR)
-    asyncio.run(work(options.parse_args()))
+    asyncio.run(measure(options.parse_args()))
 
 
 if __name__ == "__main__":
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -1,32 +1,32 @@
-"""How long the turns of a running loop take, for benchmarks that run a courier's parts in their own process."""
+"""Measures the iterations of a running event loop, for benchmarks that run parts of a courier in their own process."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-_EVERY_S = 0.0005
+_INTERVAL_S = 0.0005  # between two looks at the clock
 
 
 class Turns:
-    """The turns of the running loop, in milliseconds."""
+    """The durations of the running event loop's iterations, in milliseconds, sampled every `_INTERVAL_S` at most."""
 
     def __init__(self) -> None:
-        self._all: list[float] = []
+        self._durations_ms: list[float] = []
         self._last = time.perf_counter()
-        self._turn()
+        self._sample()
 
-    def _turn(self) -> None:
+    def _sample(self) -> None:
         now = time.perf_counter()
-        self._all.append((now - self._last) * 1e3)
+        self._durations_ms.append((now - self._last) * 1e3)
         self._last = now
-        self._handle = asyncio.get_running_loop().call_later(_EVERY_S, self._turn)
+        self._handle = asyncio.get_running_loop().call_later(_INTERVAL_S, self._sample)
 
     def take(self) -> list[float]:
-        """Those since the last time, longest first."""
-        found, self._all = sorted(self._all, reverse=True), []
-        return found
+        """Return the durations since the last call, longest first."""
+        durations_ms, self._durations_ms = sorted(self._durations_ms, reverse=True), []
+        return durations_ms
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop measuring."""
         self._handle.cancel()
--- a/benchmarks/wide_day.py
+++ b/benchmarks/wide_day.py
@@ -1,9 +1,10 @@
-"""A day at size: 1,000 endpoints, 1,000 messages a second, a third of the partners out; judged by the six rules.
+"""Rehearses a large day: 1,000 endpoints, 1,000 messages a second, a third of the destinations with a fault; checked by
+the six rules.
 
     python benchmarks/wide_day.py [--partners 250] [--endpoints 4] [--rate 1000] [--couriers 4] [--seeds 1,2,3]
 
-Of the partners a third is out for a third of the time: each hangs, refuses, resets or shuts with a wait. The rig has
-two cores, the couriers have the others.
+A third of the destinations has a fault for a third of the time: they hang, refuse or reset connections, or shut with a
+wait. The rig has two cores, the couriers have the others.
 """
 
 from __future__ import annotations
@@ -62,11 +63,11 @@
 for = "5s"
 {more}
 """
-KINDS = (("hang", ""), ("refuse", ""), ("reset", "share = 0.5\nwhen = \"after\""), ("shut", "wait = \"800ms\""))
+FAULT_KINDS = (("hang", ""), ("refuse", ""), ("reset", "share = 0.5\nwhen = \"after\""), ("shut", "wait = \"800ms\""))
 
 
 def main() -> None:
-    """Play each seed and print what was seen."""
+    """Rehearse each seed and print its verdict and what was delivered."""
     options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     options.add_argument("--partners", type=int, default=250)
     options.add_argument("--endpoints", type=int, default=4)
@@ -81,7 +82,7 @@
     command = f"taskset -c {','.join(map(str, cores[2:]))} {rig.OURS}"
     text = HEAD.format(couriers=given.couriers, rate=given.rate) + "".join(
         PARTNER.format(number=number, endpoints=given.endpoints) for number in range(given.partners)) + "".join(
-        FAULT.format(kind=KINDS[number // 3 % 4][0], number=number, more=KINDS[number // 3 % 4][1])
+        FAULT.format(kind=FAULT_KINDS[number // 3 % 4][0], number=number, more=FAULT_KINDS[number // 3 % 4][1])
         for number in range(0, given.partners, 3))
     scenario = parse(text, "wide")
     for seed in map(int, given.seeds.split(",")):
