--- a/benchmarks/scale_edges.py
+++ b/benchmarks/scale_edges.py
@@ -21,7 +21,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from turns import Turns
+from turns import LoopIterations
 
 from wheelstep import Sender, Settings
 from wheelstep import interface as api
@@ -109,7 +109,7 @@
         gone = [(replace(info, state=api.EndpointState.REMOVED), address) for info, address in old]
         core.listed(api.ListKind.WHOLE, first)
         core.restore({}, journal.messages.values())
-        turns = Turns()
+        turns = LoopIterations()
         await asyncio.sleep(2)
         turns.take()
         await asyncio.sleep(1)
--- a/benchmarks/standalone_reload.py
+++ b/benchmarks/standalone_reload.py
@@ -17,7 +17,7 @@
 import time
 from pathlib import Path
 
-from turns import Turns
+from turns import LoopIterations
 
 from wheelstep.journal import Journal, StoredMessage
 from wheelstep.standalone import model, serve
@@ -54,7 +54,7 @@
         serving = asyncio.create_task(courier.serve(reload))
         await asyncio.sleep(8)  # until all messages are restored
         gc.freeze()
-        iterations = Turns()
+        iterations = LoopIterations()
         await asyncio.sleep(5)
         quiet_ms = iterations.take()
         longest_ms, reload_s = [], []
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -8,7 +8,7 @@
 _INTERVAL_S = 0.0005  # between two looks at the clock
 
 
-class Turns:
+class LoopIterations:
     """The durations of the running event loop's iterations, in milliseconds, sampled every `_INTERVAL_S` at most."""
 
     def __init__(self) -> None:
