--- a/benchmarks/measure/__init__.py
+++ b/benchmarks/measure/__init__.py
@@ -1,5 +1,6 @@
-"""Commands that measure single parts at size, and write result files for `benchmarks/capacity.py`.
+"""Commands that measure single parts of a courier at several sizes and write result files for `benchmarks/capacity.py`.
 
-`result` (files, a process for each size), `destinations` (list and module), `held` (held messages), `placement`,
-`voters`, `membership`, `members`, `deaths`, `list_server`, `changes`, `zones`.
+`result` writes the files and runs each size in its own process. The commands are `destinations` (list and module),
+`held` (held messages), `placement`, `voters`, `membership`, `members`, `windows`, `deaths`, `list_server`, `changes`,
+`zones`.
 """
--- a/benchmarks/measure/deaths.py
+++ b/benchmarks/measure/deaths.py
@@ -1,21 +1,23 @@
-"""Time until the death of a courier is known to all others, in virtual time: deaths one after another in one fleet.
+"""Measures the time until the death of a courier is known to all others, in virtual time: deaths one after another in
+one fleet.
 
     python -m benchmarks.measure.deaths
 """
 
 from __future__ import annotations
 
-from benchmarks.measure.membership import SEED, SIZES, Real
-from benchmarks.measure.result import Row, measure
+from benchmarks.measure.membership import SEED, SIZES, LongNamesWorld
+from benchmarks.measure.result import Row, run_cases
 from wheelstep.fleet.types import State
 
 DEATHS = 9
 WITHIN_S = 120
 
 
-def known(couriers: int) -> Row:
-    """Seconds until all know: the middle one and the longest of nine deaths, and how many were not known in 120 s."""
-    world = Real(couriers, SEED, sealed=False)
+def measure_deaths(couriers: int) -> Row:
+    """Let `DEATHS` couriers die and measure the median and the longest time until all know, how many deaths were not
+    known to all within `WITHIN_S`, and how many living couriers were declared gone."""
+    world = LongNamesWorld(couriers, SEED, sealed=False)
     world.form()
     world.run(10)
     took: list[float] = []
@@ -38,5 +40,5 @@
 
 
 if __name__ == "__main__":
-    measure("before-deaths", "deaths", __doc__, [{"couriers": couriers} for couriers in SIZES], known,
-            {"deaths": DEATHS, "loss": 0.0}, SEED)
+    run_cases("before-deaths", "deaths", __doc__, [{"couriers": couriers} for couriers in SIZES],
+              measure_deaths, {"deaths": DEATHS, "loss": 0.0}, SEED)
--- a/benchmarks/measure/membership.py
+++ b/benchmarks/measure/membership.py
@@ -1,5 +1,5 @@
-"""What membership costs a courier, by the time after all have started together and by kind of packet, in virtual time
-with real seals. Members have names and addresses as long as real ones, unless short ones are asked for.
+"""Measures what membership costs a courier, by the time since all started together and by kind of packet, in virtual
+time with real seals. Members have names and addresses as long as real ones, unless short ones are selected.
 
     python -m benchmarks.measure.membership
 """
@@ -10,33 +10,35 @@
 import random
 from collections import Counter
 
-from benchmarks.measure.result import Row, measure, resident
+from benchmarks.measure.result import Row, resident_bytes, run_cases
 from wheelstep.fleet.membership import QUIET_ROLLS, Membership
 from wheelstep.fleet.packets import PacketSeal
 from wheelstep.fleet.types import Member, State
 from wheelstep.rehearsal.simulation.membership_world import World
 
 SIZES = (30, 100, 300, 600, 1_100)
-AFTER_START = (("start", 2), ("early", 20))  # windows one after the other, in seconds of virtual time
-LATER = (("settled", 2), ("early", 20), ("quiet", 60))
+AFTER_START = (("start", 2), ("early", 20))  # consecutive windows, in virtual seconds
+SETTLED = (("settled", 2), ("early", 20), ("quiet", 60))
 SEED = 1
 
 
-class Weighed(PacketSeal):
-    """A seal that counts what it packs, by kind."""
+class CountingSeal(PacketSeal):
+    """A seal that counts the packets and bytes that it packs, by kind of payload."""
 
     counts: Counter[str]
     sizes: Counter[str]
 
     def pack(self, to: str, payload: object) -> bytes:
+        """Pack and seal a payload, and count it."""
         data = super().pack(to, payload)
         self.counts[type(payload).__name__] += 1
         self.sizes[type(payload).__name__] += len(data)
         return data
 
 
-class Real(World):
-    """Members are told apart by names, addresses and zones as long as an operator's."""
+class LongNamesWorld(World):
+    """A simulated fleet whose members have names, addresses and zones as long as real ones, unless `short`. `counts`
+    and `sizes` are the packets and bytes sent, by kind."""
 
     def __init__(self, count: int, seed: int, short: bool = False, sealed: bool = True) -> None:
         self.counts: Counter[str] = Counter()
@@ -45,6 +47,7 @@
         super().__init__(count, seed, sealed=sealed)
 
     def add(self, process: str, *, name: str = "", incarnation: int = 0) -> Membership:
+        """Add a courier for this process and return its membership."""
         if self._short:
             courier = super().add(process, name=name, incarnation=incarnation)
         else:
@@ -58,44 +61,46 @@
             courier = Membership(me, seeds, self.limits, random.Random(self.rng.random()), self.now_us)
             self.couriers[process], self.at[me.address] = courier, process
             self._push(courier.next_us(), process, None)
-        seal = Weighed(b"k" * 16, "fleet", courier.me.name, self.now_us + 1)
+        seal = CountingSeal(b"k" * 16, "fleet", courier.me.name, self.now_us + 1)
         seal.counts, seal.sizes = self.counts, self.sizes
         self.seals[process] = seal
         return courier
 
 
-def cost(couriers: int, names: str, asks: bool) -> Row:
-    """Bytes, packets and microseconds of processor time a courier a second in each window, in all and by kind. Without
-    `asks` couriers hold from the start that they know everybody, as they do later: they ask nobody for a roll in their
-    first periods."""
+def measure_cost(couriers: int, names: str, asks: bool) -> Row:
+    """Measure bytes, packets and processor time (µs) of a courier in a second, for each window, in all and by kind.
+
+    `names` is "real" or "short". Without `asks`, couriers assume from the start that they know all members, as they do
+    later, and request no `Roll` in their first periods.
+    """
     gc.collect()
-    base = resident()
-    world = Real(couriers, SEED, names == "short")
+    base = resident_bytes()
+    world = LongNamesWorld(couriers, SEED, names == "short")
     world.form()
     for courier in world.couriers.values():
         courier._quiet_rolls = courier._quiet_rolls if asks else QUIET_ROLLS
     gc.collect()
-    gc.freeze()  # a collection looks at all couriers' objects, where a real one would at its own: not counted here
+    gc.freeze()  # a collection here would go through the objects of all couriers, so it is not counted
     gc.disable()
     row: Row = {}
-    for window, seconds in AFTER_START if asks else LATER:
+    for window, seconds in AFTER_START if asks else SETTLED:
         for counter in (world.counts, world.sizes, world.sent):
             counter.clear()
         world.cpu_s = 0.0
         world.run(seconds)
-        each = couriers * seconds
-        row[window] = {"seconds": seconds, "bytes": sum(world.sizes.values()) / each,
-                       "packets": sum(world.counts.values()) / each, "cpu_us": world.cpu_s / each * 1e6,
-                       "bytes_by_kind": {kind: size / each for kind, size in sorted(world.sizes.items())},
-                       "packets_by_kind": {kind: count / each for kind, count in sorted(world.counts.items())}}
+        courier_s = couriers * seconds
+        row[window] = {"seconds": seconds, "bytes": sum(world.sizes.values()) / courier_s,
+                       "packets": sum(world.counts.values()) / courier_s, "cpu_us": world.cpu_s / courier_s * 1e6,
+                       "bytes_by_kind": {kind: size / courier_s for kind, size in sorted(world.sizes.items())},
+                       "packets_by_kind": {kind: count / courier_s for kind, count in sorted(world.counts.items())}}
     gc.collect()
     refused = sum(courier.refused["busy"] for courier in world.couriers.values())
-    return {**row, "memory_kb": (resident() - base) / couriers / 1e3, "hellos_refused": refused / couriers}
+    return {**row, "memory_kb": (resident_bytes() - base) / couriers / 1e3, "hellos_refused": refused / couriers}
 
 
 if __name__ == "__main__":
-    measure("before-membership", "membership", __doc__,
-            [*({"couriers": couriers, "names": "real", "asks": False} for couriers in SIZES),
-             *({"couriers": couriers, "names": "short", "asks": asks} for couriers in (300, 600, 1_100)
-               for asks in (True, False))],
-            cost, {"windows_asking": AFTER_START, "windows_settled": LATER}, SEED)
+    run_cases("before-membership", "membership", __doc__,
+              [*({"couriers": couriers, "names": "real", "asks": False} for couriers in SIZES),
+               *({"couriers": couriers, "names": "short", "asks": asks} for couriers in (300, 600, 1_100)
+                 for asks in (True, False))],
+              measure_cost, {"windows_asking": AFTER_START, "windows_settled": SETTLED}, SEED)
--- a/benchmarks/measure/placement.py
+++ b/benchmarks/measure/placement.py
@@ -1,5 +1,5 @@
-"""What the placement of parts costs one courier: `assign` from nothing, with a sixth of the couriers gone, and a plan,
-which a courier makes every tenth of a lease.
+"""Measures what the placement of parts costs one courier: `assign` from nothing, `assign` with a sixth of the couriers
+gone, and a plan, which a courier makes every tenth of a lease.
 
     python -m benchmarks.measure.placement
 """
@@ -8,26 +8,26 @@
 
 import time
 
-from benchmarks.measure.result import Row, measure
+from benchmarks.measure.result import Row, run_cases
 from wheelstep.fleet.assignment import Placement, assign
 from wheelstep.fleet.types import Member, State
 
 COURIERS = (100, 300, 600, 1_100)
 PARTS = (256, 1_024, 4_096, 16_384)
-EVERY_S = 0.3  # a tenth of a lease of 3 s
+PLAN_INTERVAL_S = 0.3  # a tenth of a lease of 3 s
 PROBATION_US = 1_000_000
-AGAIN = 5
+PLANS = 5  # of which the mean is taken
 
 
-def timed(parts: int, couriers: int) -> Row:
-    """Milliseconds of processor time, and the share of a core that plans take at their rate."""
+def measure_placement(parts: int, couriers: int) -> Row:
+    """Measure the processor time of the three steps, and the share of a core that plans take at their rate."""
     weights = {f"c{one}": 1.0 for one in range(couriers)}
     began = time.process_time()
     owners = assign(parts, weights, {})
     row = {"assign_ms": (time.process_time() - began) * 1e3}
-    left = dict(list(weights.items())[couriers // 6:])
+    remaining = dict(list(weights.items())[couriers // 6:])
     began = time.process_time()
-    assign(parts, left, owners)
+    assign(parts, remaining, owners)
     row["sixth_gone_ms"] = (time.process_time() - began) * 1e3
     view = Placement(f"c{couriers // 2}", parts, 64, 0, PROBATION_US)
     for name in weights:
@@ -36,13 +36,14 @@
         view.record_owner(part, owner)
     view.plan(10 * PROBATION_US, ())
     began = time.process_time()
-    for one in range(AGAIN):
-        view.plan(10 * PROBATION_US + round((one + 1) * EVERY_S * 1e6), ())
-    row["plan_ms"] = (time.process_time() - began) / AGAIN * 1e3
-    return {**row, "core_share": row["plan_ms"] / 1e3 / EVERY_S}
+    for one in range(PLANS):
+        view.plan(10 * PROBATION_US + round((one + 1) * PLAN_INTERVAL_S * 1e6), ())
+    row["plan_ms"] = (time.process_time() - began) / PLANS * 1e3
+    return {**row, "core_share": row["plan_ms"] / 1e3 / PLAN_INTERVAL_S}
 
 
 if __name__ == "__main__":
-    measure("before-placement", "placement", __doc__,
-            [*({"couriers": couriers, "parts": parts} for couriers in COURIERS for parts in PARTS),
-             {"couriers": 1_100, "parts": 131_072}], timed, {"plan_every_s": EVERY_S, "again": AGAIN})
+    run_cases("before-placement", "placement", __doc__,
+              [*({"couriers": couriers, "parts": parts} for couriers in COURIERS for parts in PARTS),
+               {"couriers": 1_100, "parts": 131_072}],
+              measure_placement, {"plan_every_s": PLAN_INTERVAL_S, "again": PLANS})
