--- a/benchmarks/measure/voters.py
+++ b/benchmarks/measure/voters.py
@@ -46,7 +46,7 @@
     assert renewed == parts
     return {"renewal_ms": took_s * 1e3, "core_share": took_s / RENEWAL_INTERVAL_S,
             "ask_bytes": sum(len(data) for _, data in requests) / len(requests),
-            "stand_mb": len(msgspec.msgpack.encode(voter.stand("c1"))) / 1e6}
+            "stand_mb": len(msgspec.msgpack.encode(voter.registers_for("c1"))) / 1e6}
 
 
 if __name__ == "__main__":
