--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,7 +18,7 @@
 from benchmarks.page.membership import membership  # noqa: E402
 from benchmarks.page.results import Results  # noqa: E402
 from benchmarks.page.size import roles, size  # noqa: E402
-from benchmarks.page.verdicts import again, over  # noqa: E402
+from benchmarks.page.verdicts import over_budget, reproduce  # noqa: E402
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
 FILES = ROOT / "benchmarks" / "results"
@@ -28,7 +28,7 @@
 so. All figures and tables are computed by `python benchmarks/capacity.py` from the files in `benchmarks/results/`; a
 test compares. Change the runs, not the page. Slopes are fitted over four sizes or more, others held: constant, log n,
 linear, n log n and quadratic are told apart by residual (`benchmarks/slopes.py` states the rule)."""
-SECTIONS = (size, roles, laws, membership, compare, failures, backlog, changes, over, again)
+SECTIONS = (size, roles, laws, membership, compare, failures, backlog, changes, over_budget, reproduce)
 
 
 def page(folder: Path) -> str:
--- a/benchmarks/page/__init__.py
+++ b/benchmarks/page/__init__.py
@@ -1,3 +1,4 @@
-"""`docs/CAPACITY.md`, computed: `results` (files, figures and how they are written), `parts` (what single runs say of
-the size) and `after`, then the page's sections. `benchmarks/capacity.py` is the command.
+"""Computes `docs/CAPACITY.md`: `results` reads result files and formats figures, `parts` and `after` look up figures of
+single measurements and of scale runs, and the other modules make the page's sections. The command is
+`benchmarks/capacity.py`. Sentences that go into the page are compared by a test.
 """
--- a/benchmarks/page/after.py
+++ b/benchmarks/page/after.py
@@ -1,4 +1,4 @@
-"""What scale runs show, with destinations divided among couriers and (for the state before) undivided."""
+"""Looks up figures of scale runs, with destinations divided among couriers or (the state before) undivided."""
 
 from __future__ import annotations
 
@@ -6,60 +6,64 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from benchmarks.page.results import NEAR, Figure, Results, number_at, slope
+from benchmarks.page.results import SIZE_TOLERANCE, Figure, Results, describe_law, number_at
 from benchmarks.slopes import Fit, fit
 
 
 def couriers_of(one: Mapping[str, Any]) -> int:
-    """Hollow and real ones of a run."""
-    given = one.get("parameters", {})
-    return int(given.get("hollow", 0)) + int(given.get("real", 0))
+    """Return the number of couriers in a run: simulated ("hollow") ones and real processes."""
+    parameters = one.get("parameters", {})
+    return int(parameters.get("hollow", 0)) + int(parameters.get("real", 0))
 
 
 @dataclass(frozen=True, slots=True)
-class After:
-    """As `parts.Before`; `divided` is False for the state before."""
+class ScaleRuns:
+    """Figures of scale runs with destinations divided, or undivided if `divided` is False."""
 
     results: Results
     divided: bool = True
 
     def runs(self, destinations: float | None = None) -> dict[str, Mapping[str, Any]]:
-        """Scale runs of this state, by file name, small ones first."""
+        """Return the scale runs, by file name, from the smallest to the largest; of so many destinations, if given."""
         found = {name: one for name, one in self.results.files.items() if one.get("what") == "scale_run"
                  and bool(one["parameters"].get("undivided")) is not self.divided
                  and destinations in (None, one["parameters"].get("destinations"))}
         return dict(sorted(found.items(), key=lambda pair: couriers_of(pair[1])))
 
-    def of_size(self, couriers: float, destinations: float, spell: str = "") -> str | None:
-        """The run of this size that has this spell; the one with more faults where there are several."""
+    def run_name(self, couriers: float, destinations: float, spell: str = "") -> str | None:
+        """Return the name of the run of this size that has the quiet spell `spell`, or None; of several runs the one
+        with the most faults."""
         found = [name for name, one in self.runs(destinations).items()
-                 if abs(couriers_of(one) - couriers) <= NEAR * couriers and (not spell or spell in one["quiet"])]
+                 if abs(couriers_of(one) - couriers) <= SIZE_TOLERANCE * couriers
+                 and (not spell or spell in one["quiet"])]
         return max(found, key=lambda name: len(self.results.files[name]["faults"]), default=None)
 
     def quiet(self, couriers: float, destinations: float, field: str, unit: str = "", by: float = 1.0,
               spell: str = "idle") -> Figure:
-        """A figure of a quiet spell in the run of this size: "idle" (no messages), "spread" (a fraction of the
-        traffic over all destinations) or "dense" (each called destination at its real rate). With its slope by
-        couriers, where four sizes were run; by that law, and said so, where this size was not."""
-        name = self.of_size(couriers, destinations, spell)
+        """Return a figure of a quiet spell in the run of this size: "idle" (no messages), "spread" (a fraction of the
+        traffic over all destinations) or "dense" (each called destination at its real rate). `how` describes its law by
+        couriers, if four sizes were measured. Without a run of this size, the law predicts the figure."""
+        name = self.run_name(couriers, destinations, spell)
         law = self.law(destinations, f"quiet.{spell}.{field}", by)
         if name is None:
             value = None if law is None else law.value(couriers)
-            how = f"extrapolated: {slope(law, 'couriers', unit)}" if value is not None else ""
+            how = f"extrapolated: {describe_law(law, 'couriers', unit)}" if value is not None else ""
             return Figure(value, unit, "`scale-*`" if how else "", how)
-        found = self.results.top(name, f"quiet.{spell}.{field}", unit, by)
-        return replace(found, how=slope(law, "couriers", unit)) if law and found.value is not None else found
+        found = self.results.file_value(name, f"quiet.{spell}.{field}", unit, by)
+        return replace(found, how=describe_law(law, "couriers", unit)) if law and found.value is not None else found
 
-    def best(self, couriers: float, destinations: float) -> tuple[float, float]:
-        """The stated size where it was run, else that of the largest run with messages; the stated one without any."""
-        if self.of_size(couriers, destinations, "dense"):
+    def best_size(self, couriers: float, destinations: float) -> tuple[float, float]:
+        """Return this size if it was measured with messages, else that of the largest run with messages, else this
+        size."""
+        if self.run_name(couriers, destinations, "dense"):
             return couriers, destinations
         runs = [(couriers_of(one), one["parameters"]["destinations"]) for one in self.runs().values()
                 if "dense" in one["quiet"]]
         return max(runs, default=(couriers, destinations))
 
     def law(self, destinations: float, path: str, by: float = 1.0) -> Fit | None:
-        """How a figure grows with couriers, over this state's runs with so many destinations."""
+        """Return how the figure at `path` grows with couriers in the runs with so many destinations, or None with fewer
+        than four sizes."""
         points: dict[int, tuple[float, str]] = {}
         for name, one in self.runs(destinations).items():
             value = number_at(one, path)
@@ -73,55 +77,55 @@
         return found
 
     def memory(self, couriers: float, destinations: float) -> Figure:
-        """Bytes of a hollow courier, idle, less what its empty process has."""
+        """Return the memory of a hollow courier in the idle spell, without its share of the empty process."""
         full = self.quiet(couriers, destinations, "hollow.memory_bytes", "bytes")
-        name = self.of_size(couriers, destinations, "idle")
+        name = self.run_name(couriers, destinations, "idle")
         if name is None or full.value is None:
             return full
-        given = self.results.files[name]["parameters"]
-        empty = self.results.top(name, "start.host_memory_bytes_empty").value or 0.0
-        return replace(full, value=full.value - empty * given["hosts"] / given["hollow"])
+        parameters = self.results.files[name]["parameters"]
+        empty = self.results.file_value(name, "start.host_memory_bytes_empty").value or 0.0
+        return replace(full, value=full.value - empty * parameters["hosts"] / parameters["hollow"])
 
     def core(self, couriers: float, destinations: float) -> Figure:
-        """Processor time of a hollow courier, idle."""
+        """Return the processor time of a hollow courier in the idle spell."""
         return self.quiet(couriers, destinations, "hollow.cpu_us_per_s", "share", 1e-6)
 
     def sent(self, couriers: float, destinations: float) -> Figure:
-        """Bytes a second that a courier sends for control, idle: members, list, and to its peers."""
+        """Return the bytes a second that a courier sends for control in the idle spell: members, list, and to peers."""
         return self._sum(couriers, destinations, "membership_bytes_sent_per_s", "list_bytes_sent_per_s",
                          "peer_bytes_dialled_here_per_s")
 
     def received(self, couriers: float, destinations: float) -> Figure:
-        """Bytes a second that a courier gets for control, idle: members and list."""
+        """Return the bytes a second that a courier receives for control in the idle spell: members and list."""
         return self._sum(couriers, destinations, "membership_bytes_received_per_s", "list_bytes_received_per_s")
 
     def _sum(self, couriers: float, destinations: float, *fields: str) -> Figure:
         first, *rest = (self.quiet(couriers, destinations, f"hollow.{field}", "bytes/s") for field in fields)
         return replace(first.plus(*rest), how="")
 
-    def ignorant(self, couriers: float, destinations: float) -> Figure:
-        """Calls to destinations that have been down for 10 s or more, by message that is meant for such: as many as
-        the run's own share and time of being down say."""
+    def long_down_calls(self, couriers: float, destinations: float) -> Figure:
+        """Return the calls to destinations that have been down for 10 s or more, over the messages for such
+        destinations, whose number follows from the run's share of destinations that are down and their time down."""
         share = self.quiet(couriers, destinations, "calls.hollow_calls_to_down_10_s_share", "share", spell="dense")
-        name = self.of_size(couriers, destinations, "dense")
+        name = self.run_name(couriers, destinations, "dense")
         if name is None or share.value is None:
             return share
-        given = self.results.files[name]["parameters"]
-        long = given["down_share"] * max(0.0, given["down_s"] - 10) / given["down_s"]
-        return replace(share, value=share.value / long if long else None, how="")
-
-    def down(self, couriers: float, destinations: float) -> Figure:
-        """How many destinations the figures of `ignorant` rest on: those that are called in the spell "dense" and have
-        been down for 10 s or more, by the run's own shares."""
-        name = self.of_size(couriers, destinations, "dense")
+        parameters = self.results.files[name]["parameters"]
+        long_down_share = parameters["down_share"] * max(0.0, parameters["down_s"] - 10) / parameters["down_s"]
+        return replace(share, value=share.value / long_down_share if long_down_share else None, how="")
+
+    def long_down_destinations(self, couriers: float, destinations: float) -> Figure:
+        """Return on how many destinations `long_down_calls` is based: those that are called in the spell "dense"
+        and have been down for 10 s or more, by the run's own shares."""
+        name = self.run_name(couriers, destinations, "dense")
         if name is None:
             return Figure(None)
-        given = self.results.files[name]["parameters"]
-        long = given["down_share"] * max(0.0, given["down_s"] - 10) / given["down_s"]
-        return Figure(given["destinations"] * given["rate"] * long, "", f"`{name}`")
+        parameters = self.results.files[name]["parameters"]
+        long_down_share = parameters["down_share"] * max(0.0, parameters["down_s"] - 10) / parameters["down_s"]
+        return Figure(parameters["destinations"] * parameters["rate"] * long_down_share, "", f"`{name}`")
 
-    def fault(self, kind: str) -> tuple[str, Mapping[str, Any]] | None:
-        """The fault of this name in the largest run that has it, with the run's name."""
+    def fault_run(self, kind: str) -> tuple[str, Mapping[str, Any]] | None:
+        """Return the name of the largest run that has this kind of fault, and the fault's figures, or None."""
         for name, one in reversed(self.runs().items()):
             for fault in one.get("faults", ()):
                 if fault.get("fault") == kind:
--- a/benchmarks/page/laws.py
+++ b/benchmarks/page/laws.py
@@ -1,13 +1,13 @@
-"""All slopes in one table: a figure by one variable, the others held."""
+"""The page's table of slopes: how each figure grows with one variable, the others held."""
 
 from __future__ import annotations
 
-from benchmarks.page.after import After
-from benchmarks.page.results import Results, slope, table
+from benchmarks.page.after import ScaleRuns
+from benchmarks.page.results import Results, describe_law, markdown_table
 
-Law = tuple[str, str, str, str, str, float, dict[str, object]]
+LawRow = tuple[str, str, str, str, str, float, dict[str, object]]
 
-PARTS: tuple[Law, ...] = (
+PART_LAWS: tuple[LawRow, ...] = (
     ("couriers", "membership: bytes sent a second", "before-membership", "quiet.bytes", "bytes/s", 1.0,
      {"names": "real", "asks": False}),
     ("couriers", "membership: packets sent a second", "before-membership", "quiet.packets", "/s", 1.0,
@@ -53,7 +53,7 @@
     ("parts", "a voter's renewal of all", "before-voters", "renewal_ms", "s", 1e-3, {}),
     ("parts", "a courier's ask to one voter", "before-voters", "ask_bytes", "bytes", 1.0, {}))
 
-RUNS = (("memory of a courier, with its process's share", "hollow.memory_bytes", "bytes", 1.0),
+RUN_LAWS = (("memory of a courier, with its process's share", "hollow.memory_bytes", "bytes", 1.0),
         ("processor time of a courier", "hollow.cpu_us_per_s", "share", 1e-6),
         ("members: bytes sent a second", "hollow.membership_bytes_sent_per_s", "bytes/s", 1.0),
         ("list: bytes received a second", "hollow.list_bytes_received_per_s", "bytes/s", 1.0),
@@ -62,20 +62,20 @@
 
 
 def laws(results: Results) -> str:
-    """Each law with its residual and run."""
+    """Return the subsection on slopes: each law with its residual and its run."""
     rows = []
-    for over, what, name, path, unit, by, where in PARTS:
+    for over, what, name, path, unit, by, where in PART_LAWS:
         label = over.replace("_per_s", " a second")
         law = results.law(name, over, path, by, **where)
-        rows.append((label, what, slope(law, label, unit), f"`{name}`" if law else "-"))
-    after = After(results)
+        rows.append((label, what, describe_law(law, label, unit), f"`{name}`" if law else "-"))
+    after = ScaleRuns(results)
     for destinations in (14_000, 140_000):
-        for what, path, unit, by in RUNS:
+        for what, path, unit, by in RUN_LAWS:
             law = after.law(destinations, f"quiet.idle.{path}", by)
             rows.append(("couriers", f"divided, {destinations:,} destinations, idle: {what}",
-                         slope(law, "couriers", unit), "`scale-*`" if law else "-"))
+                         describe_law(law, "couriers", unit), "`scale-*`" if law else "-"))
     return "\n\n".join((
-        "### Slopes", table(("by", "what", "law", "run"), rows),
+        "### Slopes", markdown_table(("by", "what", "law", "run"), rows),
         "Of scale runs: a courier's memory falls where more couriers share the destinations, which none of the laws "
         "says; members' bytes are those of one window shorter than the 30 s between looks into a whole table, so that "
         "a law over them says little (next section): go by the one of virtual time, over 60 s."))
--- a/benchmarks/page/results.py
+++ b/benchmarks/page/results.py
@@ -1,5 +1,5 @@
-"""Result files, figures out of them, and how a figure is written. A figure knows the run that it comes from; what no
-run has given is "not measured"."""
+"""Reads result files, looks up figures in them, and formats figures. A figure names the run that it comes from; a
+figure without a run is "not measured"."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from benchmarks.slopes import Fit, fit
 
 NOT_MEASURED = "not measured"
-NEAR = 0.05  # a run so near to a size counts as one of it
+SIZE_TOLERANCE = 0.05  # largest relative difference between a run's size and the wanted size
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A figure in a unit: "bytes", "s", "/s", "bytes/s", "share" (of a core or of all) or "" (a count). `how` says by
-    which law a figure was told for a size that was not run."""
+    """A figure with a unit: "bytes", "s", "/s", "bytes/s", "share" (of a core or of all) or "" (a count). `value` is
+    None if it was not measured. `source` names the run, and `how` the law or the nearby size that gave the value."""
 
     value: float | None
     unit: str = ""
@@ -27,15 +27,15 @@
     how: str = ""
 
     def __str__(self) -> str:
-        return NOT_MEASURED if self.value is None else written(self.value, self.unit)
+        return NOT_MEASURED if self.value is None else format_value(self.value, self.unit)
 
     def times(self, by: float | None, unit: str | None = None) -> Figure:
-        """The same, so many times."""
+        """Return the product of the figure and `by`, with another unit if one is given."""
         value = None if self.value is None or by is None else self.value * by
         return replace(self, value=value, unit=self.unit if unit is None else unit)
 
     def plus(self, *others: Figure) -> Figure:
-        """The sum; unknown if a part is."""
+        """Return the sum of the figures, which is not measured if one of them isn't."""
         parts = [self, *others]
         if any(part.value is None for part in parts):
             return Figure(None, self.unit)
@@ -44,7 +44,7 @@
                       "; ".join(dict.fromkeys(part.how for part in parts if part.how)))
 
     def verdict(self, most: float | None) -> str:
-        """Beside a budget."""
+        """Return how the figure compares with the budget `most`; empty without a budget."""
         if self.value is None:
             return NOT_MEASURED
         if most is None:
@@ -52,8 +52,8 @@
         return "within" if self.value <= most else f"**OVER BUDGET by {self.value / most:.1f} times**"
 
 
-def plain(value: float) -> str:
-    """Three digits, more where it is 1,000 or above."""
+def format_number(value: float) -> str:
+    """Format a number with three significant digits, or all of its integer digits."""
     if value == 0 or not math.isfinite(value):
         return f"{value:.0f}"
     digits = max(0, 2 - math.floor(math.log10(abs(value))))
@@ -61,23 +61,23 @@
     return text.rstrip("0").rstrip(".") if "." in text else text
 
 
-def written(value: float, unit: str) -> str:
-    """A figure with its unit, in steps of a thousand."""
+def format_value(value: float, unit: str) -> str:
+    """Format a value with its unit, scaled to a readable prefix."""
     if unit == "share":
-        return f"{plain(value * 100)}%"
+        return f"{format_number(value * 100)}%"
     if unit.startswith("bytes"):
         for step, name in ((1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
             if abs(value) >= step:
-                return f"{plain(value / step)} {name}{unit[5:]}"
-        return f"{plain(value)} {unit}"
+                return f"{format_number(value / step)} {name}{unit[5:]}"
+        return f"{format_number(value)} {unit}"
     if unit == "s" and 0 < abs(value) < 1:
-        return f"{plain(value * 1e3)} ms" if abs(value) >= 1e-3 else f"{plain(value * 1e6)} µs"
+        return f"{format_number(value * 1e3)} ms" if abs(value) >= 1e-3 else f"{format_number(value * 1e6)} µs"
     if unit == "s" and abs(value) >= 120:
-        return f"{plain(value / 60)} min" if abs(value) < 7_200 else f"{plain(value / 3_600)} h"
-    return f"{plain(value)} {unit}".rstrip() if unit != "/s" else f"{plain(value)}/s"
+        return f"{format_number(value / 60)} min" if abs(value) < 7_200 else f"{format_number(value / 3_600)} h"
+    return f"{format_number(value)} {unit}".rstrip() if unit != "/s" else f"{format_number(value)}/s"
 
 
-def _get(row: Mapping[str, Any], path: str) -> Any:
+def _value_at(row: Mapping[str, Any], path: str) -> Any:
     found: Any = row
     for part in path.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
@@ -85,13 +85,14 @@
 
 
 def number_at(row: Mapping[str, Any], path: str) -> float | None:
-    """A number inside, by names with dots between; None for all else."""
-    found = _get(row, path)
+    """Return the number at a path of keys joined by dots, or None if there is none."""
+    found = _value_at(row, path)
     return float(found) if isinstance(found, int | float) and not isinstance(found, bool) else None
 
 
 class Results:
-    """All result files of a folder, by name without `.json`."""
+    """All result files of a folder, by name without `.json`. `used` collects the names of the files that gave a
+    figure."""
 
     def __init__(self, folder: Path) -> None:
         self.files: dict[str, dict[str, Any]] = {}
@@ -100,16 +101,16 @@
         self.used: dict[str, None] = {}
 
     def stated(self, name: str) -> float:
-        """Of the size that is stated; without the file nothing can be said."""
+        """Return a value that the operators stated. Raises `KeyError` without `stated.json` or the value in it."""
         return float(self.files["stated"][name])
 
     def rows(self, name: str, **where: Any) -> list[Mapping[str, Any]]:
-        """The rows of a file that have these values."""
+        """Return the rows of a file that have these values. In a keyword, `__` stands for the dot of a path."""
         return [row for row in self.files.get(name, {}).get("rows", ())
-                if all(_get(row, key.replace("__", ".")) == value for key, value in where.items())]
+                if all(_value_at(row, key.replace("__", ".")) == value for key, value in where.items())]
 
-    def at(self, name: str, path: str, unit: str = "", by: float = 1.0, **where: Any) -> Figure:
-        """A figure as it was run: the one row with these values."""
+    def as_measured(self, name: str, path: str, unit: str = "", by: float = 1.0, **where: Any) -> Figure:
+        """Return the figure at `path`, times `by`, in the one row that has these values."""
         rows = self.rows(name, **where)
         value = number_at(rows[0], path) if len(rows) == 1 else None
         if value is None:
@@ -117,8 +118,8 @@
         self.used[name] = None
         return Figure(value * by, unit, f"`{name}`")
 
-    def top(self, name: str, path: str, unit: str = "", by: float = 1.0) -> Figure:
-        """A figure that stands in the file beside its rows."""
+    def file_value(self, name: str, path: str, unit: str = "", by: float = 1.0) -> Figure:
+        """Return the figure at `path` of the file itself, times `by`."""
         value = number_at(self.files.get(name, {}), path)
         if value is None:
             return Figure(None, unit)
@@ -126,9 +127,9 @@
         return Figure(value * by, unit, f"`{name}`")
 
     def law(self, name: str, over: str, path: str, by: float = 1.0, **where: Any) -> Fit | None:
-        """How a figure grows with one variable; None without four sizes."""
-        points = [(float(row[over]), float(_get(row, path)) * by) for row in self.rows(name, **where)
-                  if isinstance(_get(row, path), int | float)]
+        """Return how the figure at `path` grows with the variable `over`, or None with fewer than four sizes."""
+        points = [(float(row[over]), float(_value_at(row, path)) * by) for row in self.rows(name, **where)
+                  if isinstance(_value_at(row, path), int | float)]
         try:
             found = fit(points)
         except ValueError:
@@ -136,44 +137,45 @@
         self.used[name] = None
         return found
 
-    def told(self, name: str, over: str, size: float, path: str, unit: str = "", by: float = 1.0,
+    def at_size(self, name: str, over: str, size: float, path: str, unit: str = "", by: float = 1.0,
              **where: Any) -> Figure:
-        """A figure at a size: as run, if that size was, or one within 5% of it; else by the law, and said so."""
+        """Return the figure for the value `size` of the variable `over`: as measured, if there is a run within
+        `SIZE_TOLERANCE` of the size; else as the law predicts, which `how` says."""
         near = min((float(row[over]) for row in self.rows(name, **where) if over in row), default=0.0,
                    key=lambda one: abs(one - size))
-        at = near if abs(near - size) <= NEAR * size else size
-        run = self.at(name, path, unit, by, **{over: at}, **where)
+        at = near if abs(near - size) <= SIZE_TOLERANCE * size else size
+        run = self.as_measured(name, path, unit, by, **{over: at}, **where)
         law = self.law(name, over, path, by, **where)
         if run.value is not None:
-            how = [f"run at {plain(at)}"] * (at != size) + [slope(law, over, unit)] * (law is not None)
+            how = [f"run at {format_number(at)}"] * (at != size) + [describe_law(law, over, unit)] * (law is not None)
             return replace(run, how="; ".join(how))
         value = None if law is None else law.value(size)
         if law is None or value is None:
             return Figure(None, unit)
         sort = "between runs" if size <= law.largest else "extrapolated"
-        return Figure(value, unit, f"`{name}`", f"{sort}: {slope(law, over, unit)}")
+        return Figure(value, unit, f"`{name}`", f"{sort}: {describe_law(law, over, unit)}")
 
-    def machine(self) -> list[tuple[str, ...]]:
-        """Of each file that gave a figure: name, commit, load, machine."""
-        def words(value: Any) -> str:
+    def provenance(self) -> list[tuple[str, ...]]:
+        """Return the name, commit, load and machine of each file that gave a figure."""
+        def text(value: Any) -> str:
             return ", ".join(f"{key} {one}" for key, one in value.items()) if isinstance(value, dict) else str(value)
-        return [(name, words(one.get("commit", ""))[:10], *(words(one.get(key, "")) for key in ("load", "machine")))
+        return [(name, text(one.get("commit", ""))[:10], *(text(one.get(key, "")) for key in ("load", "machine")))
                 for name, one in self.files.items() if name in self.used]
 
 
-def slope(law: Fit | None, over: str, unit: str) -> str:
-    """A law in words, with residual and the largest size that was run."""
+def describe_law(law: Fit | None, over: str, unit: str) -> str:
+    """Return the law as text, with its residual and the largest size that was measured."""
     if law is None:
         return NOT_MEASURED
     if law.law == "none":
         return f"no law fits {over} (residual {law.residual:.0%})"
-    by = f", {written(law.by, unit)} each" if law.law == "linear" else ""
-    return f"{law.law} in {over}{by} (residual {law.residual:.1%}, run up to {plain(law.largest)})"
+    by = f", {format_value(law.coefficient, unit)} each" if law.law == "linear" else ""
+    return f"{law.law} in {over}{by} (residual {law.residual:.1%}, run up to {format_number(law.largest)})"
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """In Markdown."""
-    lines = [heads, ["---"] * len(heads), *rows]
+def markdown_table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+    """Return a Markdown table."""
+    lines = [headers, ["---"] * len(headers), *rows]
     return "\n".join("| " + " | ".join(str(cell) for cell in line) + " |" for line in lines)
 
 
--- a/benchmarks/page/verdicts.py
+++ b/benchmarks/page/verdicts.py
@@ -1,87 +1,88 @@
-"""What is over budget, why destinations are divided first, and how to run all of it again."""
+"""Sections 7 and 8 of the page: what is over budget, why destinations are divided first, and how to run all again."""
 
 from __future__ import annotations
 
-from benchmarks.page.after import After
+from benchmarks.page.after import ScaleRuns
 from benchmarks.page.failures import KINDS
-from benchmarks.page.parts import Before, per_courier
-from benchmarks.page.results import Figure, Results, plain, table, written
+from benchmarks.page.parts import UndividedParts, destinations_per_courier
+from benchmarks.page.results import Figure, Results, format_number, format_value, markdown_table
 
-SILENT = 0.01  # of messages without any answer, from which on a failure is named
+SILENT_SHARE = 0.01  # of messages without any answer, above which a failure is listed
 
 
-def over(results: Results) -> str:
-    """7: in so many words."""
-    before, after, of = Before(results), After(results), results.stated
-    couriers, destinations = of("couriers"), of("destinations")
+def over_budget(results: Results) -> str:
+    """Return section 7: what is over budget, and why destinations are divided first."""
+    before, after, stated = UndividedParts(results), ScaleRuns(results), results.stated
+    couriers, destinations = stated("couriers"), stated("destinations")
     full = (couriers, destinations)
-    core, memory, wire = of("budget_core"), of("budget_memory"), of("budget_bytes_s")
-    held = of("backlog") / couriers
+    core, memory, bytes_per_s = stated("budget_core"), stated("budget_memory"), stated("budget_bytes_s")
+    held = stated("backlog") / couriers
     lines = []
 
-    def say(what: str, figure: Figure, most: float, then: str) -> None:
+    def report(what: str, figure: Figure, most: float, remark: str) -> None:
         if figure.value is not None and figure.value > most:
-            lines.append(f"- {what}: {figure} where {written(most, figure.unit)} are allowed, "
-                         f"{figure.value / most:.1f} times. {then}")
+            lines.append(f"- {what}: {figure} where {format_value(most, figure.unit)} are allowed, "
+                         f"{figure.value / most:.1f} times. {remark}")
 
-    say("Before, the module's state for all destinations", before.module(destinations), memory,
-        "Divided, a courier holds its own shards' alone.")
-    say("The list while one courier reads it whole", before.listing(destinations, "memory_mb", "bytes", 1e6), memory,
-        "Only control machines read it whole now, and they have their machines to themselves.")
-    for parts in (1_024, round(of("shards")), 131_072):
-        say(f"A plan of {plain(parts)} parts of channels at each tenth of a lease",
-            before.plan(round(couriers), parts, "core_share", "share"), core,
-            "It costs by parts; shards don't use it. Channels at that many parts are over budget still.")
-    for parts in (round(of("shards")), 131_072):
-        say(f"A voter's renewal of {plain(parts)} parts", before.voter(parts, "core_share", "share"), core,
-            "Shards need no leases; it concerns channels alone.")
-    say("Membership", before.membership(couriers, "bytes", "bytes/s"), wire, "")
+    report("Before, the module's state for all destinations", before.module(destinations), memory,
+           "Divided, a courier holds its own shards' alone.")
+    report("The list while one courier reads it whole", before.whole_list(destinations, "memory_mb", "bytes", 1e6),
+           memory, "Only control machines read it whole now, and they have their machines to themselves.")
+    for parts in (1_024, round(stated("shards")), 131_072):
+        report(f"A plan of {format_number(parts)} parts of channels at each tenth of a lease",
+               before.plan(round(couriers), parts, "core_share", "share"), core,
+               "It costs by parts; shards don't use it. Channels at that many parts are over budget still.")
+    for parts in (round(stated("shards")), 131_072):
+        report(f"A voter's renewal of {format_number(parts)} parts", before.voter(parts, "core_share", "share"), core,
+               "Shards need no leases; it concerns channels alone.")
+    report("Membership", before.membership(couriers, "bytes", "bytes/s"), bytes_per_s, "")
     backlog = before.held(200_000, "module", "memory_bytes", "bytes").times(held)
-    say("A courier's part of the backlog, in the module alone", backlog, memory,
-        "Not control, but nothing carries it beyond memory yet.")
+    report("A courier's part of the backlog, in the module alone", backlog, memory,
+           "Not control, but nothing carries it beyond memory yet.")
     for figure, most, what in ((after.memory(*full), memory, "memory"), (after.core(*full), core, "processor time"),
-                               (after.sent(*full), wire, "bytes sent a second"),
-                               (after.received(*full), wire, "bytes received a second")):
-        say(f"After, control of a courier in the scale run: {what}", figure, most, "")
+                               (after.sent(*full), bytes_per_s, "bytes sent a second"),
+                               (after.received(*full), bytes_per_s, "bytes received a second")):
+        report(f"After, control of a courier in the scale run: {what}", figure, most, "")
         if figure.value is None:
             lines.append(f"- After, control of a courier at full size, {what}: not measured.")
-    best = after.best(couriers, destinations)
-    rests = f"About {after.down(*best)} destinations that were down so long were called in that run."
-    for what, figure, most, then in (
+    best = after.best_size(couriers, destinations)
+    based_on = (f"About {after.long_down_destinations(*best)} destinations that were down so long were called in that "
+                "run.")
+    for what, figure, most, remark in (
             ("Aim missed: calls to destinations that have been down for 10 s or more, by message meant for such",
-             after.ignorant(*best), of("aim_down_share"), rests),
+             after.long_down_calls(*best), stated("aim_down_share"), based_on),
             ("Aim missed: handshakes a message", after.quiet(*best, "calls.hollow_handshakes_per_message",
-                                                             spell="dense"), of("aim_handshakes"), ""),
+                                                             spell="dense"), stated("aim_handshakes"), ""),
             ("Aim missed: busiest courier over the mean, by shards", after.quiet(*best,
                                                                              "hollow.shards_busiest_over_mean"),
-             of("aim_busiest"), "")):
-        say(what, figure, most, then)
+             stated("aim_busiest"), "")):
+        report(what, figure, most, remark)
         if figure.value is None:
             lines.append(f"- {what.replace('missed: ', '')}: not measured.")
     for kind in KINDS:
-        found = after.fault(kind)
+        found = after.fault_run(kind)
         calls = found[1].get("calls", {}) if found else {}
-        if found and calls.get("handed_in") and calls.get("answers_none", 0) / calls["handed_in"] > SILENT:
+        if found and calls.get("handed_in") and calls.get("answers_none", 0) / calls["handed_in"] > SILENT_SHARE:
             share = Figure(calls["answers_none"] / calls["handed_in"], "share")
             until = Figure(found[1].get("unserved_until_s"), "s")
             lines.append(f"- {kind.capitalize()} (`{found[0]}`): {share} of the messages handed in during the fault "
                          f"were not answered at all, the last {until} after it began.")
-    lost = results.at("before-destinations", "entries", destinations=round(destinations), part="indented")
+    lost = results.as_measured("before-destinations", "entries", destinations=round(destinations), part="indented")
     if lost.value == 0:
-        size = results.at("before-destinations", "file_mb", "bytes", 1e6, destinations=round(destinations),
+        size = results.as_measured("before-destinations", "file_mb", "bytes", 1e6, destinations=round(destinations),
                           part="indented")
         lines.append(f"- Before, a whole list that comes indented ({size}) was passed over: a courier had none.")
-    mine = before.module(per_courier(results))
-    whole = before.listing(destinations, "file_mb", "bytes", 1e6)
-    rate = of("events_a_second") / destinations
+    at_home = before.module(destinations_per_courier(results))
+    whole = before.whole_list(destinations, "file_mb", "bytes", 1e6)
+    rate = stated("events_a_second") / destinations
     why = (
-        ("memory", before.module(destinations), mine, written(memory, "bytes")),
-        ("calls of one courier to one destination", f"one in {written(couriers / rate, 's')}",
-         f"one in {written(of('regions') / rate, 's')}", "-"),
-        ("a whole list at the bytes allowed", whole.times(1 / wire, "s"),
-         whole.times(per_courier(results) / destinations / wire, "s"), "-"),
+        ("memory", before.module(destinations), at_home, format_value(memory, "bytes")),
+        ("calls of one courier to one destination", f"one in {format_value(couriers / rate, 's')}",
+         f"one in {format_value(stated('regions') / rate, 's')}", "-"),
+        ("a whole list at the bytes allowed", whole.times(1 / bytes_per_s, "s"),
+         whole.times(destinations_per_courier(results) / destinations / bytes_per_s, "s"), "-"),
         ("the list in one turn of the module", before.module(destinations, "turn_s", "s", 1.0),
-         before.module(per_courier(results), "turn_s", "s", 1.0), "-"))
+         before.module(destinations_per_courier(results), "turn_s", "s", 1.0), "-"))
     return "\n\n".join((
         "## 7. What is over budget", "\n".join(lines) or "Nothing that was measured.",
         "### Why destinations are divided first",
@@ -89,11 +90,11 @@
         "destination. One mechanism mends it together: each destination has one home in a region, which alone holds, "
         "calls and learns it. The right column is what a courier has then by division (memory and the turn as run at "
         "that many destinations); what the fleet shows stands in section 3.",
-        table(("what", "all at each", "divided", "allowed"), why)))
+        markdown_table(("what", "all at each", "divided", "allowed"), why)))
 
 
-def again(results: Results) -> str:
-    """8: the commands, and the files that were used."""
+def reproduce(results: Results) -> str:
+    """Return section 8: the commands, and the result files that gave figures."""
     return "\n\n".join((
         "## 8. To run it again",
         "    python -m benchmarks.measure.destinations   # and the others of benchmarks/measure: a file each\n"
@@ -102,4 +103,4 @@
         "    python benchmarks/scale_run.py --help       # the fleet's day, and --sweep for the slopes\n"
         "    python benchmarks/capacity.py               # this page; --check compares only",
         "Each measurement writes its file in `benchmarks/results/`. Figures of this page come from these runs:",
-        table(("file", "commit", "load", "machine"), results.machine())))
+        markdown_table(("file", "commit", "load", "machine"), results.provenance())))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page is what its command gives from the result files, and slopes are told apart."""
+"""The capacity page is what its command computes from the result files, and the laws of slopes are told apart."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 SIZES = {"destinations": (1_000, 4_000, 14_000, 50_000, 140_000), "couriers": (100, 300, 600, 1_100)}
 
 
-def test_the_page_is_what_the_files_give() -> None:
-    assert capacity.PAGE.read_text() == capacity.page(capacity.FILES), "python benchmarks/capacity.py writes it anew"
+def test_the_page_matches_the_result_files() -> None:
+    assert capacity.PAGE.read_text() == capacity.page(capacity.FILES), "python benchmarks/capacity.py writes it again"
 
 
-def test_a_figure_changed_in_the_page_is_noticed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_fails_if_a_figure_in_the_page_is_changed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("sys.argv", ["capacity.py", "--check"])
     monkeypatch.setattr(capacity, "ROOT", tmp_path)
     monkeypatch.setattr(capacity, "PAGE", tmp_path / "CAPACITY.md")
     text = capacity.page(capacity.FILES)
     assert " 521 MB" in text or " MB" in text
-    for there, code in ((text, 0), (text.replace(" MB", "0 MB", 1), 1), (text + "| 1 |\n", 1), ("", 1)):
-        capacity.PAGE.write_text(there)
+    for current, code in ((text, 0), (text.replace(" MB", "0 MB", 1), 1), (text + "| 1 |\n", 1), ("", 1)):
+        capacity.PAGE.write_text(current)
         assert capacity.main() == code
-        assert capacity.PAGE.read_text() == there  # it is only compared
+        assert capacity.PAGE.read_text() == current  # --check writes nothing
 
 
-def larger(value: Any) -> Any:
-    """The same with each figure that was measured doubled, not the sizes that were asked for."""
+def double_figures(value: Any) -> Any:
+    """Return the value with each measured figure doubled, and the sizes that were given unchanged."""
     if isinstance(value, dict):
-        return {key: one if key in VARIABLES else larger(one) for key, one in value.items()}
+        return {key: one if key in VARIABLES else double_figures(one) for key, one in value.items()}
     if isinstance(value, list):
-        return [larger(one) for one in value]
+        return [double_figures(one) for one in value]
     return value * 2 if isinstance(value, int | float) and not isinstance(value, bool) else value
 
 
-def test_a_figure_changed_in_a_file_is_noticed(tmp_path: Path) -> None:
+def test_a_figure_changed_in_a_result_file_changes_the_page(tmp_path: Path) -> None:
     results = Results(capacity.FILES)
     for section in capacity.SECTIONS:
         section(results)
@@ -54,12 +54,12 @@
         shutil.copytree(capacity.FILES, folder)
         one = json.loads((folder / f"{name}.json").read_text())
         for part in ("rows", "quiet", "faults"):
-            one[part] = larger(one.get(part, {}))
+            one[part] = double_figures(one.get(part, {}))
         (folder / f"{name}.json").write_text(json.dumps(one))
         assert capacity.page(folder) != page, name
 
 
-def test_without_a_run_a_row_says_so(tmp_path: Path) -> None:
+def test_rows_without_a_run_say_not_measured(tmp_path: Path) -> None:
     shutil.copy(capacity.FILES / "stated.json", tmp_path)
     bare = capacity.page(tmp_path)
     assert "within |" not in bare and "OVER BUDGET" not in bare
@@ -68,14 +68,14 @@
     measured = [line for line in rows if not line.startswith(heads)]
     assert len(measured) > 30
     for line in measured:
-        if "| one in" not in line:  # by division of what is stated
+        if "| one in" not in line:  # computed from stated values alone
             assert NOT_MEASURED in line, line
     full = capacity.page(capacity.FILES)
     assert full.count(NOT_MEASURED) < bare.count(NOT_MEASURED)
 
 
 def scale_run(hollow: int, undivided: bool, memory: float) -> dict[str, Any]:
-    """A scale run's result, as far as the page reads it."""
+    """Return a scale run's result, with the fields that the page reads."""
     idle = {"seconds": 20, "hollow": {
         "memory_bytes": memory, "cpu_us_per_s": 20_000, "membership_bytes_sent_per_s": 900, "packets_sent_per_s": 9,
         "list_bytes_sent_per_s": 50, "peer_bytes_dialled_here_per_s": 250, "membership_bytes_received_per_s": 13_000,
@@ -93,7 +93,7 @@
             "checks": {"followed": {"lost": 0, "doubled": 3}, "hollow_taken": 77, "hollow_without_end": 0}}
 
 
-def test_scale_runs_are_read_and_held_against_budgets(tmp_path: Path) -> None:
+def test_scale_runs_are_compared_with_the_budgets(tmp_path: Path) -> None:
     shutil.copy(capacity.FILES / "stated.json", tmp_path)
     for name, run in (("scale-1", scale_run(1_084, False, 30e6)), ("scale-2", scale_run(1_100, True, 512e6)),
                       ("scale-3", scale_run(300, False, 23e6))):
@@ -117,26 +117,26 @@
 
 @pytest.mark.parametrize("sizes", SIZES)
 @pytest.mark.parametrize("law", LAWS)
-def test_slopes_recover_a_known_law_under_noise(law: str, sizes: str) -> None:
-    most, found = max(SIZES[sizes]), []
+def test_fit_recovers_a_known_law_under_noise(law: str, sizes: str) -> None:
+    largest, found = max(SIZES[sizes]), []
     for seed in range(100):
         rng = random.Random(seed)
-        by = 0.0 if law == "constant" else rng.uniform(1, 9) / LAWS[law](most)
-        at = rng.uniform(1, 9) if law == "constant" else 0.01
-        points = [(n, (at + by * LAWS[law](n)) * rng.uniform(0.98, 1.02)) for n in SIZES[sizes]]
-        taken = fit(points)
-        found.append(taken.law)
-        told = taken.value(2 * most)
-        assert told is not None and taken.residual < 0.1
-        if taken.law == law:
-            assert told == pytest.approx(at + by * LAWS[law](2 * most), rel=0.1)
+        coefficient = 0.0 if law == "constant" else rng.uniform(1, 9) / LAWS[law](largest)
+        intercept = rng.uniform(1, 9) if law == "constant" else 0.01
+        points = [(n, (intercept + coefficient * LAWS[law](n)) * rng.uniform(0.98, 1.02)) for n in SIZES[sizes]]
+        fitted = fit(points)
+        found.append(fitted.law)
+        predicted = fitted.value(2 * largest)
+        assert predicted is not None and fitted.residual < 0.1
+        if fitted.law == law:
+            assert predicted == pytest.approx(intercept + coefficient * LAWS[law](2 * largest), rel=0.1)
     assert found.count(law) >= 95, found
 
 
-def test_slopes_refuse_what_they_cannot_tell() -> None:
+def test_fit_rejects_too_few_sizes_and_zeros_and_finds_no_law_in_scatter() -> None:
     with pytest.raises(ValueError, match="3 sizes"):
         fit([(1, 1), (2, 2), (3, 3), (3, 3.1)])
     with pytest.raises(ValueError, match="not above 0"):
         fit([(1, 0), (2, 2), (3, 3), (4, 4)])
-    stepped = fit([(100, 1), (300, 1), (600, 90), (1_100, 4)])
-    assert stepped.law == "none" and stepped.value(2_000) is None and stepped.residual > 0.25
+    scattered = fit([(100, 1), (300, 1), (600, 90), (1_100, 4)])
+    assert scattered.law == "none" and scattered.value(2_000) is None and scattered.residual > 0.25
