--- a/benchmarks/channels_cost.py
+++ b/benchmarks/channels_cost.py
@@ -51,10 +51,7 @@
 
 async def start_once(arrangement: str, folder: Path, destination_ports: list[int],
                      given: argparse.Namespace) -> list[Courier]:
-    """Start the couriers of an arrangement and return them, the measured one first.
-
-    Raises `RuntimeError` if one doesn't start; no process is left then.
-    """
+    """Start an arrangement's couriers, the measured one first. If one fails, stop all and raise `RuntimeError`."""
     contract = ARRANGEMENTS[arrangement][1]
     names = ["n0"] if contract is None else ["n0", "n1", "n2"]
     free = [wire.Port(wire.Server) for _ in range(2 * len(names))]
@@ -107,10 +104,7 @@
 
 async def measure(arrangement: str, destination_ports: list[int], counts: list[Any], pipe: Any,
                   given: argparse.Namespace) -> tuple[float, ...]:
-    """Measure one arrangement and return its figures in the order of `MEASURES`.
-
-    Raises `RuntimeError` if a courier doesn't start or a client fails.
-    """
+    """Return an arrangement's figures, as in `MEASURES`. Raises `RuntimeError` if a courier or client fails."""
     def delivered() -> int:
         return sum(count[0] for count in counts)
 
--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -52,31 +52,40 @@
         self.begun = 0  # number of messages
 
     def full(self) -> bool:
+        """Return False: there is always room."""
         return False
 
     def serves(self, destination: int) -> bool:
+        """Return True: every destination is served here."""
         return True
 
     def holds(self, name: str) -> bool:
+        """Return whether the message is admitted and not begun."""
         return name in self.held
 
     def is_unconfirmed(self, name: str) -> bool:
+        """Return False: no message waits for its client."""
         return False
 
     def take(self, message: StoredMessage) -> None:
+        """Admit the message."""
         self.held.add(message.id)
 
     def durable(self) -> asyncio.Future[None]:
+        """Not used, because `syncs` is False."""
         raise NotImplementedError
 
     def begin(self, name: str) -> None:
+        """Count the message and forget it."""
         self.held.discard(name)
         self.begun += 1
 
     def withdraw(self, name: str) -> None:
+        """Forget the message."""
         self.held.discard(name)
 
     def record_answer(self, message: StoredMessage, status: int) -> None:
+        """Do nothing."""
         pass
 
 
--- a/benchmarks/page/membership.py
+++ b/benchmarks/page/membership.py
@@ -44,9 +44,9 @@
         f"From 2 s to 22 s after a start of all together a courier sends {small} at 300 couriers and {with_asks} at "
         "1,100. It is the start: a courier that starts asks another one for its whole table (`Hello`, answered by a "
         "`Roll` of all members) each period until three of these have told of nobody new, and a `Roll` goes out in "
-        "packets of one in 10 ms. At 300 all that is over within 2 s; at 1,100 it goes on through the window. With couriers that "
-        f"hold from the start that they know everybody (`QUIET_ROLLS` reached), the same window has {without_asks}. "
-        "Short names (`c17`), as in the measurement that was to be explained:",
+        "packets of one in 10 ms. At 300 all that is over within 2 s; at 1,100 it goes on through the window. "
+        f"With couriers that hold from the start that they know everybody (`QUIET_ROLLS` reached), the same window has "
+        f"{without_asks}. Short names (`c17`), as in the measurement that was to be explained:",
         markdown_table(("couriers", "seconds after the start", "bytes a second a courier", "of it `Roll`", "all else",
                         "packets", "of a core"), rows),
         "What stays is one look into another's whole table in 60 periods (30 s): "
--- a/benchmarks/spread_rig/play.py
+++ b/benchmarks/spread_rig/play.py
@@ -104,21 +104,21 @@
 async def _run_scene(given: RunOptions, seed: int, scene: Scene, tag: str, site: Site, fleet: Fleet,
                      notes: list[str]) -> list[TableRow]:
     messages = arrivals(seed, scene, given.shapes, given.per_s, weights(seed, given.couriers))
-    scene_run = SceneRun(tag, scene, asyncio.get_running_loop().time() + 0.2, messages)
-    site.begin(scene_run)
-    clients, held, late = Clients(fleet, scene_run, seed), set[int](), list[float]()
-    used_s, own = {member.index: cpu_s(member.pid) for member in fleet.members}, os.times()
+    run = SceneRun(tag, scene, asyncio.get_running_loop().time() + 0.2, messages)
+    site.begin(run)
+    clients, held, late = Clients(fleet, run, seed), set[int](), list[float]()
+    before_s, before = {member.index: cpu_s(member.pid) for member in fleet.members}, os.times()
     try:
         async with asyncio.TaskGroup() as group:
             watch = group.create_task(_measure_lateness(late))
-            fault = group.create_task(_inject_fault(seed, scene_run, site, fleet, clients, held))
+            fault = group.create_task(_inject_fault(seed, run, site, fleet, clients, held))
             await clients.run()
             if scene.fault is Fault.PLAIN:
-                spent, mine = sum(cpu_s(member.pid) - used_s[member.index] for member in fleet.members), os.times()
-                notes.append(f"plain: the couriers used {spent / scene.length_s:.2f} cores, endpoints and clients "
-                             f"{(mine.user - own.user + mine.system - own.system) / scene.length_s:.2f}")
+                spent_s, now = sum(cpu_s(member.pid) - before_s[member.index] for member in fleet.members), os.times()
+                notes.append(f"plain: the couriers used {spent_s / scene.length_s:.2f} cores, endpoints and clients "
+                             f"{(now.user - before.user + now.system - before.system) / scene.length_s:.2f}")
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(scene_run.all_delivered.wait(), SETTLE_S)
+                await asyncio.wait_for(run.all_delivered.wait(), SETTLE_S)
             await fault
             watch.cancel()
     except ExceptionGroup as failed:
@@ -131,34 +131,32 @@
     rows = []
     for shape in given.shapes:
         policy = "couriers, x0" if given.reports else "couriers"
-        rows.append(summarize(policy, scene, shape, messages, scene_run.calls, scene_run.delivered, scene_run.dials,
-                              held))
+        rows.append(summarize(policy, scene, shape, messages, run.calls, run.delivered, run.dials, held))
         for baseline in BaselinePolicy:
             calls = simulate_calls(seed, scene, given.shapes, messages, baseline)
             delivered = {call.number: call.end_s for call in calls if call.end_s is not None}
             rows.append(summarize(baseline, scene, shape, messages, calls, delivered))
     if held:
         held_times = [time_s for line in rows for time_s in line.held]
-        notes.append(f"{scene.fault}: {len(held)} messages were held by couriers when they were killed, left out of "
-                     f"the table; delivered {len(held_times)}, the last {max(held_times, default=0):.1f} s after it "
-                     "was submitted")
+        notes.append(f"{scene.fault}: {len(held)} messages held by killed couriers are left out of the table; "
+                     f"{len(held_times)} delivered, the last {max(held_times, default=0):.1f} s after submission")
     return rows
 
 
-async def _inject_fault(seed: int, scene_run: SceneRun, site: Site, fleet: Fleet, clients: Clients,
+async def _inject_fault(seed: int, run: SceneRun, site: Site, fleet: Fleet, clients: Clients,
                         held: set[int]) -> None:
     """Wait for the time of the scene's fault and cause it. Adds to `held` the numbers of the messages that killed
     couriers had accepted and not delivered."""
-    if scene_run.scene.fault not in (Fault.KILLED, Fault.REPLACED):
+    if run.scene.fault not in (Fault.KILLED, Fault.REPLACED):
         return  # `EndpointQueue` models the stall itself
-    await asyncio.sleep(scene_run.started + scene_run.scene.at_s - asyncio.get_running_loop().time())
-    if scene_run.scene.fault is Fault.REPLACED:
+    await asyncio.sleep(run.started + run.scene.at_s - asyncio.get_running_loop().time())
+    if run.scene.fault is Fault.REPLACED:
         await site.replace()
         return
     victims = random.Random(f"victims {seed}").sample(fleet.members, max(1, len(fleet.members) // 3))
     dead = {member.index for member in victims}
     held |= {number for number, courier in clients.accepted_by.items()
-             if courier in dead and number not in scene_run.delivered}
+             if courier in dead and number not in run.delivered}
     fleet.kill(victims)
     await asyncio.sleep(RESTART_DELAY_S)
     await fleet.start(victims)
