--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -26,7 +26,7 @@
 
 
 def without_reports(seed: int, senders: int) -> Fleet:
-    """Simulate the same without load reports."""
+    """Simulate the same as `start_together`, without load reports."""
     return near_limit(seed, senders, reports=False).run(15 * S)
 
 
--- a/benchmarks/journal_crashes.py
+++ b/benchmarks/journal_crashes.py
@@ -2,7 +2,7 @@
 
     python benchmarks/journal_crashes.py [--points 100000] [--first-seed 0] [--jobs 4]
 
-Each history is played three times: the process ends (`none`), the power is lost after each sync (`each`), or between
+Each history runs three times: the process ends (`none`), the power is lost after each sync (`each`), or between
 shared syncs (`group`); recoveries crash too. Stops at the first mismatch and prints its seed and crash point.
 """
 
--- a/benchmarks/measure/list_server.py
+++ b/benchmarks/measure/list_server.py
@@ -20,7 +20,7 @@
 SIZES = (1_000, 4_000, 14_000, 50_000, 140_000)
 SHARDS, COURIERS, REGIONS, MACHINES = 16_384, 1_100, 2, 17
 CHANGES = 500
-CURRENT_US = 2_000_000  # between two messages that tell a courier that its rows are current
+CURRENT_US = 2_000_000  # interval of the messages that tell a courier that its rows are current
 SEED = 1
 
 
--- a/benchmarks/measure/members.py
+++ b/benchmarks/measure/members.py
@@ -1,5 +1,5 @@
 """Measures the memory of a courier's member table and of its seal's replay windows, for several sizes of the fleet: ten
-couriers in one process, each of which got the news of all members in its own packets.
+couriers in one process, each of which decodes all members from its own packets.
 
     python -m benchmarks.measure.members
 """
--- a/benchmarks/page/results.py
+++ b/benchmarks/page/results.py
@@ -138,7 +138,7 @@
         return found
 
     def at_size(self, name: str, over: str, size: float, path: str, unit: str = "", by: float = 1.0,
-             **where: Any) -> Figure:
+                **where: Any) -> Figure:
         """Return the figure for the value `size` of the variable `over`: as measured, if there is a run within
         `SIZE_TOLERANCE` of the size; else as the law predicts, which `how` says."""
         near = min((float(row[over]) for row in self.rows(name, **where) if over in row), default=0.0,
--- a/benchmarks/spread_processes.py
+++ b/benchmarks/spread_processes.py
@@ -44,7 +44,7 @@
             which = [Fault.PLAIN] if reports and given.reports == "both" else asked
             seen = await run_scenes(
                 RunOptions(given.couriers, given.command, given.tree, given.shapes, make_scenes(given.seconds, which),
-                           given.rate, given.slots, reports), seed, _tell)
+                           given.rate, given.slots, reports), seed, _print_progress)
             print(f"\nseed {seed}, {given.couriers} couriers, {given.rate:g} messages a second, "
                   f"reports {'on' if reports else 'off'}\n{TABLE_HEADER}", flush=True)
             for line in seen.rows:
@@ -54,7 +54,7 @@
             print(flush=True)
 
 
-def _tell(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(text, file=sys.stderr, flush=True)
 
 
--- a/benchmarks/spread_rig/fleet.py
+++ b/benchmarks/spread_rig/fleet.py
@@ -100,9 +100,9 @@
         self._start_slots = asyncio.Semaphore(MAX_STARTING)
         self.started_s: list[float] = []  # from the start of a process until it was ready
 
-    async def start(self, which: Iterable[Member], tell: Callable[[str], None] = lambda text: None) -> float:
+    async def start(self, which: Iterable[Member], progress: Callable[[str], None] = lambda text: None) -> float:
         """Start these couriers, `MAX_STARTING` at a time, wait until all are ready, and return how many seconds that
-        took. `tell` receives lines on progress. Raises `FleetStartError`."""
+        took. `progress` is called with lines on progress. Raises `FleetStartError`."""
         began, rows = time.monotonic(), list(which)
         ready = 0
 
@@ -112,7 +112,7 @@
                 await self._start(member)
             ready += 1
             if ready % MAX_STARTING == 0 or ready == len(rows):
-                tell(f"{ready} of {len(rows)} couriers ready")
+                progress(f"{ready} of {len(rows)} couriers ready")
         try:
             async with asyncio.TaskGroup() as group:
                 for member in rows:
--- a/benchmarks/spread_rig/play.py
+++ b/benchmarks/spread_rig/play.py
@@ -59,8 +59,8 @@
         loop.add_signal_handler(number, task.cancel)
 
 
-async def run_scenes(given: RunOptions, seed: int, tell: Callable[[str], None] = lambda text: None) -> RunResult:
-    """Start the fleet, run the scenes and end the fleet. `tell` receives lines on progress.
+async def run_scenes(given: RunOptions, seed: int, progress: Callable[[str], None] = lambda text: None) -> RunResult:
+    """Start the fleet, run the scenes and end the fleet. `progress` is called with lines on progress.
 
     Raises `fleet.FleetStartError` if a courier doesn't start or memory runs out. No process is left in any case.
     """
@@ -74,11 +74,11 @@
         fleet = Fleet(given.command, given.tree, folder, given.couriers, lambda: {
             "discovery": site.agent.port.address, "known": site.agent.whole(),
             "limits": {"disk_mb": 3, "sockets": 256}, "settings": settings(given.couriers, given.reports, given.slots)})
-        took_s = await fleet.start(fleet.members, tell)
+        took_s = await fleet.start(fleet.members, progress)
         seen.notes.append(f"start ({given.command}): {given.couriers} couriers ready after {took_s:.1f} s, each after "
                           f"{median(fleet.started_s):.2f} s (median), {max(fleet.started_s):.2f} s at most")
         for number, scene in enumerate(given.scenes):
-            tell(f"seed {seed}, {scene.fault}: {scene.length_s:.0f} s")
+            progress(f"seed {seed}, {scene.fault}: {scene.length_s:.0f} s")
             seen.rows += await _run_scene(given, seed, scene, f"s{number}", site, fleet, seen.notes)
         seen.notes.append(_memory_note(fleet))
         if exited := fleet.exited():
