--- a/benchmarks/scale_edges.py
+++ b/benchmarks/scale_edges.py
@@ -22,7 +22,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from turns import Turns
+from turns import LoopIterations
 
 from wheelstep import Sender, Settings
 from wheelstep import interface as api
@@ -111,7 +111,7 @@
         second_removed = [(replace(info, state=api.EndpointState.REMOVED), address) for info, address in second_rows]
         core.listed(api.ListKind.WHOLE, first_rows)
         core.restore({}, journal.messages.values())
-        turns = Turns()
+        turns = LoopIterations()
         await asyncio.sleep(2)
         turns.take()
         await asyncio.sleep(1)
