--- a/wheelstep/rehearsal/fleet/relays.py
+++ b/wheelstep/rehearsal/fleet/relays.py
@@ -1,5 +1,5 @@
 """The links between couriers on loopback. Each directed link has a relay, which passes on UDP datagrams and TCP streams
-on one port number and applies the link's faults. Buffers are bounded: streams wait, and excess datagrams are dropped."""
+on one port number and applies the link's faults. Buffers are bounded: streams wait, excess datagrams are dropped."""
 
 from __future__ import annotations
 
