--- a/tests/test_shard_departures.py
+++ b/tests/test_shard_departures.py
@@ -43,8 +43,8 @@
 
 
 def test_a_home_that_restarts_without_rows_answers_503_and_not_400() -> None:
-    """Guards against a fault: a courier that owed a key from before its restart answered 400 for it until it received
-    its rows."""
+    """Guards against a fault: a courier that owed a key from before its restart answered 400, which clients take for
+    final, until it received its rows."""
     run = Run(2, Setup(couriers=2, clients=0, destinations=16), plan=[])
     with virtual_time(run.world):
         submit_to_a_restarted_home(run)
--- a/wheelstep/rehearsal/shard_world/clients.py
+++ b/wheelstep/rehearsal/shard_world/clients.py
@@ -19,7 +19,7 @@
 from wheelstep.rehearsal.shard_world.world import MS, S, World
 
 ANSWER_TIMEOUT_US = 400 * MS
-MIN_REMAINING_MS = 300  # before the deadline, beyond the pause before a retry
+MIN_REMAINING_MS = 300  # a retry needs this time before the deadline, beyond its own pause
 RETRY_AFTER_RESTART = False  # a courier's new process doesn't know which messages the former one forwarded, and where
 
 
@@ -35,8 +35,8 @@
 
 @dataclass(slots=True)
 class Submission:
-    """The submission of one message. `on_status` gets the status, 0 for no answer, or -1 if the connection was refused.
-    """
+    """The submission of one message. `on_status` gets the status (202, 400 or 503), 0 for no answer, or -1 if the
+    connection was refused."""
 
     world: World
     check: InvariantChecker
@@ -60,7 +60,7 @@
         if attempt.finished:
             return
         if process is None or client_server is None or client_server.process is not process:
-            if attempt.courier.name not in attempt.courier.fabric.machines_down:  # the connection is refused
+            if attempt.courier.name not in attempt.courier.fabric.machines_down:  # refused: nothing was accepted
                 self.world.schedule_after(300, self._on_answer, attempt, -1)
             return
         process.on_end.append(lambda machine_lost: None if machine_lost else self.world.schedule_after(
--- a/wheelstep/rehearsal/shard_world/courier.py
+++ b/wheelstep/rehearsal/shard_world/courier.py
@@ -23,7 +23,8 @@
 
 
 class Courier(Machine):
-    """A courier over all its starts; `node`, `courier_port` and `client_server` belong to the present one."""
+    """A courier over all its starts. Its name and disk stay; `node`, `courier_port` and `client_server` belong to the
+    present start."""
 
     partners: Partners
     settings: NodeSettings
--- a/wheelstep/rehearsal/shard_world/discovery.py
+++ b/wheelstep/rehearsal/shard_world/discovery.py
@@ -31,7 +31,7 @@
 @dataclass(slots=True)
 class Discovery:
     """The list; each change raises its version by one. Control machines receive changes within a few hundred
-    milliseconds."""
+    milliseconds. A version takes an endpoint out by draining or deleting it."""
 
     world: World
     fabric: Fabric
@@ -39,7 +39,7 @@
     rows: dict[str, ListRow] = field(default_factory=dict)
     changes: list[ListRow] = field(default_factory=list)  # the change to each version
     received_us: dict[tuple[str, int], int] = field(default_factory=dict)  # control machine, version -> time
-    unavailable_since_seq: dict[str, int] = field(default_factory=dict)  # endpoint -> version in which it was drained
+    unavailable_since_seq: dict[str, int] = field(default_factory=dict)  # endpoint -> version that took it out
 
     @property
     def seq(self) -> int:
--- a/wheelstep/rehearsal/shard_world/loop.py
+++ b/wheelstep/rehearsal/shard_world/loop.py
@@ -1,7 +1,7 @@
 """asyncio's event loop in virtual time: one for each simulated process, all run by one `World`.
 
-Sockets, threads and executors raise RuntimeError. A turn takes `TURN_US` of virtual time, so that time advances for a
-program that polls without a pause, and one that does nothing else is found.
+Whatever needs a socket, a thread or an executor raises. A turn takes `TURN_US` of virtual time, so that time advances
+for a program that polls without a pause, and one that does nothing else is found.
 """
 
 from __future__ import annotations
--- a/wheelstep/rehearsal/shard_world/reach.py
+++ b/wheelstep/rehearsal/shard_world/reach.py
@@ -47,7 +47,8 @@
 
     def drain_delay_us(self, courier: str, endpoint: str) -> int:
         """Return for how long a drained endpoint could have been known to the courier: the longest time since a control
-        machine knew of the drain and the two could reach each other. 0 if the endpoint serves, or if there is none."""
+        machine knew of the drain and the two could reach each other. 0 if the endpoint serves, or if no such
+        control machine is in reach."""
         seq = self.discovery.unavailable_since_seq.get(endpoint)
         if seq is None:
             return 0
--- a/wheelstep/rehearsal/simulation/attempts.py
+++ b/wheelstep/rehearsal/simulation/attempts.py
@@ -121,7 +121,8 @@
         self.report_end(message)
 
     def end_orphan(self, message: str) -> None:
-        """End a message of a part that another courier owns: "handed back" if it never ran, else "failed"."""
+        """End a message of a part that another courier owns: "handed back" if it surely never ran, else "failed". This
+        courier, which found it on its disk, reports the end itself."""
         record = self._store.messages[message]
         record.end = record.end or f"{'failed' if record.may_have_run else 'handed back'}/-/{self.machine.name}"
         self._store.save_message(message)
--- a/wheelstep/rehearsal/simulation/content.py
+++ b/wheelstep/rehearsal/simulation/content.py
@@ -42,7 +42,7 @@
         return NEVER_US if next_ms is None else next_ms * 1000
 
     def tick(self, now_us: int) -> None:
-        """Handle the book's timers that are due."""
+        """Handle the channel table's timers that are due."""
         self.attempts.start_released()
 
     def servable_epoch(self, part: int) -> int | None:
@@ -144,7 +144,7 @@
         self._find_messages(part)
 
     def _find_messages(self, part: int) -> None:
-        """Add messages stored here before the part arrived to its book, or end them here if the book rejects them."""
+        """Add messages stored here before the part arrived to the channel table, or end those here that it rejects."""
         store = self.store
         for message in store.messages_of(part):
             record = store.messages[message]
