--- a/benchmarks/page/compare.py
+++ b/benchmarks/page/compare.py
@@ -113,7 +113,8 @@
 
 
 def node_share(after: ScaleRuns, counted: str, couriers: float, destinations: float) -> Figure:
-    """Return what the nodes counted, over the messages submitted. A counter that is missing in a measured run is 0."""
+    """Return what the nodes counted, over the messages submitted. Runs list only counters that grew, so a counter that
+    is missing in a measured run is 0."""
     asked = after.quiet(couriers, destinations, f"nodes.{counted}", "share", spell="spread")
     if asked.value is None and after.run_name(couriers, destinations, "spread"):
         asked = replace(after.quiet(couriers, destinations, "seconds", "share", spell="spread"), value=0.0, how="")
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -66,8 +66,10 @@
                 fleet.set_state(name.replace("old", "new") if states is State.ALIVE else name, states)
             if states is State.ALIVE:
                 fleet.now_us += 2 * PROBATION_US
+            # With "join", nothing moves before the wave's old machines leave: by then the new ones are past their
+            # probation and take over the parts directly.
             if not join or states is State.LEAVING:
-                fleet.settle()  # with "join", parts move only when the old machines leave
+                fleet.settle()
         for name in names:
             fleet.set_state(name, State.GONE)
     counts = [list(fleet.owners.values()).count(f"new-{number}") for number in range(couriers)]
--- a/benchmarks/standalone_reload.py
+++ b/benchmarks/standalone_reload.py
@@ -4,7 +4,8 @@
     python benchmarks/standalone_reload.py [--destinations 2000] [--held 20000] [--reloads 20]
 
 Each reload changes the endpoints of one destination in twenty, a route and a tenant. Also prints the iterations during
-5 seconds without a reload, and the time that reading and checking the file takes.
+5 seconds without a reload, and the time that reading and checking the file takes, which a reload does in a thread of
+its own.
 """
 
 from __future__ import annotations
--- a/benchmarks/workers_rate.py
+++ b/benchmarks/workers_rate.py
@@ -162,7 +162,7 @@
 
 async def measure(what: str, given: argparse.Namespace, ports: list[int], counts: list[Any],
                   full_rate: float = 0.0) -> float:
-    """Return the deliveries a second of "relay" or of so many workers; `full_rate`: in an open loop at half of it."""
+    """Return deliveries a second of "relay" or so many workers; `full_rate`: open loop at half of it (times of 202)."""
     workers = int(what) if what != "relay" else 0
     cores = sorted(os.sched_getaffinity(0))
     courier_cores, client_cores = cores[:max(workers, 1)], cores[4:6]
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -191,7 +191,7 @@
 # --- returns ---
 
 def burst(count: int, from_us: int, courier: str = "c0", failed: bool = True) -> Scene:
-    """An outage until 10 s of an endpoint with a capacity of 20 calls a second, then `count` calls within a second."""
+    """An outage until 10 s of an endpoint with a full (warm) capacity of 20 calls a second, then `count` within one."""
     scene = Scene().add(Outage("e0", 1, 5 * S, 10 * S, 20.0))
     if failed:
         scene.hand_in("f", 0, "hint").call("f", 6 * S, Fate.FAILED).notice("f", 6100 * MS)
@@ -427,7 +427,7 @@
 
 
 def test_a_pause_within_a_restart_does_not_end_it() -> None:
-    """Guards against notifications that count as overdue before a courier that was paused in a restart is ready."""
+    """Guards against notices being overdue before a restarted courier is ready, paused or not (seed 28 of the soak)."""
     lives = [Life(at, "c0", turn) for at, turn in (
         (1 * S, Turn.TERMINATED), (2 * S, Turn.PAUSED), (2 * S + 100 * MS, Turn.RESUMED), (4 * S, Turn.EXITED),
         (5 * S, Turn.READY), (7 * S, Turn.PAUSED), (8 * S, Turn.RESUMED), (9 * S, Turn.KILLED))]
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,6 +1,7 @@
 """Complete rehearsals on loopback: our courier keeps each rule, broken and other couriers are detected.
 
-Each takes seconds. A rehearsal that is inconclusive because the machine ran late is played again.
+Each takes seconds; pytest-xdist runs them in parallel. A rehearsal that is inconclusive because the machine ran late
+is played again.
 """
 
 from __future__ import annotations
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -124,7 +124,8 @@
 
 
 def test_monday_with_one_courier_keeps_its_faults_and_room() -> None:
-    """Guards against faults of couriers that the scenario with one courier doesn't have."""
+    """Guards against faults of couriers that the scenario with one courier doesn't have, as a replay got them from a
+    recording with several couriers."""
     monday = scenario.find("monday")[1]
     one = scenario.single_courier(monday)
     assert (one.couriers, one.slots) == (1, monday.slots * monday.couriers)
--- a/wheelstep/rehearsal/scale/day.py
+++ b/wheelstep/rehearsal/scale/day.py
@@ -150,7 +150,7 @@
         return self._fleet.plan.hollow + self._fleet.plan.real
 
     async def restarts(self, count: int = 79, over_s: float = 30.0) -> None:
-        """Play an ordinary day's restarts, 79 or for half of the hollow couriers, sped up: two of three couriers leave
+        """Play an ordinary day's restarts (79), sped up and of at most half of the hollow couriers: two of three leave
         as planned and keep what they owe, one is killed and replaced. A real courier is killed and restarted as
         well."""
         names = self._rng.sample(self._hollow_names, min(count, len(self._hollow_names) // 2))
--- a/wheelstep/rehearsal/scale/standin.py
+++ b/wheelstep/rehearsal/scale/standin.py
@@ -94,7 +94,7 @@
     """Return a socket that accepts connections on every address of the loopback device and on no other device."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    with contextlib.suppress(OSError):  # if this is not permitted, `connected` rejects other peers
+    with contextlib.suppress(OSError):  # if this is not permitted, `on_connect` rejects other peers
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, _LOOPBACK_DEVICE)
     listener.bind(("0.0.0.0", 0))
     listener.setblocking(False)
