--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -45,7 +45,7 @@
     """Fit a law by least squares on relative errors (weights 1/y²). An intercept or coefficient below 0 is set to 0,
     and the other one fitted alone."""
     shape = LAWS[law]
-    rows = [(1 / y, shape(n) / y) for n, y in points]  # at * row[0] + by * row[1] should be 1
+    rows = [(1 / y, shape(n) / y) for n, y in points]  # intercept * row[0] + coefficient * row[1] should be 1
     aa, ab, bb = (sum(row[i] * row[j] for row in rows) for i, j in ((0, 0), (0, 1), (1, 1)))
     a1, b1 = (sum(row[i] for row in rows) for i in (0, 1))
     intercept, coefficient = a1 / aa, 0.0
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -159,7 +159,7 @@
         missed.append(f"largest share {own['high'] / by_random['high']:.2f} of random's")
     if own["low"] < by_random["low"] / 2:
         missed.append(f"smallest share {own['low'] / by_random['low']:.2f} of random's")
-    if own["p99"] > 1.01 * by_random["p99"]:  # a smaller difference is noise in the p99 of a few thousand calls
+    if own["p99"] > 1.01 * by_random["p99"]:  # less is noise in the p99 of a few thousand exponential times
         missed.append(f"p99 {own['p99'] / by_random['p99']:.2f} of random's")
     if own["p99"] > 1.3 * by_least["p99"]:
         missed.append(f"p99 {own['p99'] / by_least['p99']:.2f} of least's")
--- a/benchmarks/spread_processes.py
+++ b/benchmarks/spread_processes.py
@@ -10,10 +10,10 @@
 thin and uneven: some couriers get several times the mean. The two baselines are computed on the same messages, with the
 same times, at the same endpoints in virtual time: without processes, network and faults of couriers, and they wait out
 a stall. Shares are those of every second that begins at a multiple of 0.1 s, from the fault on (plain: after a sixth of
-the scene). `--command` and `--tree` select another version of the courier to measure. `--command fork` forks the
-couriers from one process that has imported them: a third of the memory, and of the time to start. With reports, answers
-report a limit of twice the actual rate, which never applies; only the plain scene runs this way. The lateness of this
-process shows what a busy machine adds to the times.
+the scene). `--command` and `--tree` select another version of the courier, to measure in turn with this one.
+`--command fork` forks the couriers from one process that has imported them: a third of the memory, and of the time to
+start. With reports, answers report a limit of twice the actual rate, which never applies; `--reports both` runs only
+the plain scene this way. The lateness of this process shows what a busy machine adds to the times.
 """
 
 from __future__ import annotations
--- a/benchmarks/spread_rig/figures.py
+++ b/benchmarks/spread_rig/figures.py
@@ -64,7 +64,7 @@
     endpoint_times: tuple[float, ...]  # at the endpoint, from arrival to answer
     calls_per_message: float
     dials_per_message: float | None  # new connections; None for a baseline
-    undelivered: int
+    undelivered: int  # messages of the whole scene
     calls_by_position: Counter[int]  # position of the endpoint -> its calls in the whole scene
     held: tuple[float, ...] = ()  # delivery times of what a killed courier had accepted and not delivered
 
--- a/benchmarks/spread_rig/plan.py
+++ b/benchmarks/spread_rig/plan.py
@@ -92,7 +92,7 @@
 
 def arrivals(seed: int, scene: Scene, shapes: Sequence[Shape], per_s: float,
              courier_weights: Sequence[float]) -> list[Arrival]:
-    """Return a scene's messages in order of time: `per_s` a second in all, equally many for each destination."""
+    """Return a scene's messages in order of time: `per_s` a second in all, on average the same for each destination."""
     rng = random.Random(f"{seed} {scene.fault}")
     couriers, found, at_s = range(len(courier_weights)), list[Arrival](), 0.0
     means = [shape.mean_s(per_s / len(shapes)) for shape in shapes]
--- a/wheelstep/rehearsal/scale/courier.py
+++ b/wheelstep/rehearsal/scale/courier.py
@@ -59,8 +59,8 @@
         self.loop_epoch_s = plan.epoch_s  # the loop's clock is the machine's monotonic clock
 
     def count_log_line(self, text: str) -> None:
-        """Count a log line for operators by its first twelve words, with numbers replaced by N. At most 1,000 different
-        lines are kept."""
+        """Count a log line for operators by its first twelve words, with numbers replaced by N. Once there are 1,000
+        different lines, nothing more is counted."""
         if len(self.log_line_counts) < 1_000:
             self.log_line_counts[re.sub(r"\d+", "N", " ".join(text.split()[:12]))] += 1
 
--- a/wheelstep/rehearsal/scale/host.py
+++ b/wheelstep/rehearsal/scale/host.py
@@ -241,7 +241,7 @@
 def main() -> int:
     """Run until stdin ends."""
     kill_with_parent()
-    gc.set_threshold(50_000, 20, 100)  # a collection walks over all couriers of the process and stops them meanwhile
+    gc.set_threshold(50_000, 20, 100)  # a collection traverses a hundred couriers and stops them all meanwhile
     asyncio.run(_serve(decode_plan(Path(sys.argv[1]).read_bytes()), int(sys.argv[2])))
     return 0
 
