--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -140,7 +140,8 @@
 
 
 async def measure(kind: str, pipe: Connection, address: str, path: str, options: argparse.Namespace) -> dict[str, Any]:
-    """Forward messages for the given time over "unix" or "stream" and return a row of the result file."""
+    """Forward messages for the given time over `kind`, "unix" or "stream", and return a row of the result file:
+    messages per second, and processor time per message in microseconds."""
     net = Sockets()
     callbacks: dict[StreamLink, tuple[OnFrame, OnEnd]] = {}
 
--- a/benchmarks/page/membership.py
+++ b/benchmarks/page/membership.py
@@ -82,5 +82,6 @@
                               "among them", "run"), rows))
 
 
+# Whether couriers ask for whole tables at the start, the window's name in the results, and seconds after the start.
 WINDOWS = ((True, "start", "0 to 2"), (True, "early", "2 to 22"),
            (False, "early", "2 to 22, without the asks of a start"), (False, "quiet", "22 to 82, without them"))
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -29,13 +29,17 @@
 
 from loopback import SETTINGS, Call, Endpoint, Platform, Reply, host  # noqa: E402
 
-_TRAFFIC_S = 1.0  # before SIGTERM
+_TRAFFIC_S = 1.0  # of traffic before SIGTERM, after the first pause of all clients
 _CLIENT_TIMEOUT_S = 0.4  # see PROTOCOL, clients to couriers
 _KILL_DELAY_S = 3.7  # shortest delay from SIGTERM to SIGKILL (PROTOCOL, figures)
 
 
 class Clients:
-    """All clients of a run. `count` holds the number of requests by their result, which `main` prints."""
+    """All clients of a run, each pausing up to `rest_s` seconds before a request.
+
+    `count` holds the number of requests by their result, which `main` prints: "refused" was answered 503, and "ended
+    between" could not be written, because the connection had ended.
+    """
 
     def __init__(self, address: tuple[str, int], rest_s: float) -> None:
         self._address, self._rest_s, self.count = address, rest_s, Counter[str]()
@@ -99,8 +103,8 @@
 
 
 async def measure_shutdown(tree: Path, clients: int, rest_s: float) -> tuple[Counter[str], float, int]:
-    """Run one courier and shut it down. Returns the results of requests since SIGTERM, the seconds until the courier's
-    end, and its exit code. Raises `RuntimeError` with its log if it doesn't start."""
+    """Run one courier of the checkout `tree` and shut it down. Returns the results of requests since SIGTERM, the
+    seconds until the courier's end, and its exit code. Raises `RuntimeError` with its log if it doesn't start."""
     platform, endpoint = Platform(), Endpoint()
 
     async def answer_ok(call: Call) -> Reply:
--- a/wheelstep/channels/content.py
+++ b/wheelstep/channels/content.py
@@ -59,8 +59,8 @@
         return Piece(name, codec.take(message) if message is not None and message.notice is None else b"")
 
     def adopt(self, part: int, epoch: int, pieces: Iterable[Piece]) -> None:
-        """Store the pieces of a part that was handed over in the journal. Idempotent. Raises `NoRoomError`, and
-        `ValueError` or `PositionError` for an invalid piece."""
+        """Store in the journal the pieces of a part that was handed over to this courier. Idempotent. Raises
+        `NoRoomError`, and `ValueError` or `PositionError` for an invalid piece."""
         now_ms = self._now_ms()
         known = self._journal.marks.get(f"{EPOCH_MARK}{part}", 0) >= epoch
         former = {} if known else {name: self._table.export(name) for name in self._table.channels(part)}
@@ -79,7 +79,7 @@
         for message in messages:
             if message.may_have_run() is not None and self._table.holds(message.id):
                 self._table.attempt_unclear(now_ms, message.id)
-        for name, data in former.items():  # also of channels unknown to the giver, which had inherited the part
+        for name, data in former.items():  # also of channels that the handover source lacks, if it inherited the part
             self._table.merge_former(now_ms, name, data)
         self._journal.flush()
         self._reconcile(part)
@@ -99,16 +99,17 @@
         self._journal.flush()
 
     def orphans(self, part: int) -> list[Piece]:
-        """Return what is stored here of a part that another courier owns: positions, then messages, then outcomes of
-        calls that ended after the part had left."""
+        """Return what is stored here of a part that another courier owns: positions, then messages without an
+        open call, then outcomes of calls that ended while the part was not served here."""
         pieces = [self._piece("c:" + name) for name in self._table.channels(part)]
         pieces += [self._piece("m:" + m.id) for m in self._journal.undecided(part)
                    if not self._journal.has_open_call(m.id)]
         return pieces + [Piece("o:" + name, how.encode()) for name, how in self._late_outcomes.get(part, {}).items()]
 
     def settle(self, part: int, verdicts: Mapping[str, bool]) -> None:
-        """Apply the owner's answers on orphans, by piece name. A message is forgotten if the owner took it, else it
-        ends here."""
+        """Apply the owner's answers on orphans, by piece name; True: the owner accepted it. An accepted message is
+        forgotten, any other ends here. A call's outcome is forgotten in either case, the positions once no message of
+        the part is left."""
         for name, taken in verdicts.items():
             kind, key = name[:2], name[2:]
             if kind == "o:":
@@ -123,8 +124,8 @@
             self._journal.flush()
 
     def late(self, part: int, message: str, outcome: str, piece: bytes) -> bool:
-        """Handle what a former owner sends: a position, a message found on its disk, or a call's outcome. Return
-        whether it is accepted."""
+        """Handle the piece named `message` of a former owner: a position or a message found on its disk, whose data is
+        `piece`, or a call's `outcome`. Return whether it is accepted; a call's outcome always is."""
         now_ms, kind, key = self._now_ms(), message[:2], message[2:]
         try:
             if kind == "c:":
--- a/wheelstep/channels/contracts.py
+++ b/wheelstep/channels/contracts.py
@@ -23,7 +23,7 @@
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9_-]{0,39}$")]
 Pattern = Annotated[str, Field(min_length=1, max_length=200)]
 Patterns = Annotated[tuple[Pattern, ...], Field(max_length=100)]
-KeptTime = Annotated[Duration, Field(ge=1_000, le=30 * 86_400_000_000)]
+KeptTime = Annotated[Duration, Field(ge=1_000, le=30 * 86_400_000_000)]  # microseconds: 1 ms to 30 days
 
 
 class ContractError(Exception):
@@ -31,7 +31,8 @@
 
 
 class ContractPart(Table):
-    """One contract. Combinations that are impossible to keep or have no meaning are rejected."""
+    """One contract, times in microseconds; `Contract` explains the fields. Combinations that are impossible to keep or
+    have no meaning are rejected."""
 
     name: Name
     classes: Annotated[tuple[Annotated[str, Field(min_length=1)], ...], Field(max_length=100)] = ()
@@ -178,8 +179,9 @@
 
 
 def describe_changes(old: Contracts, new: Contracts) -> list[str]:
-    """Describe what a reload changes, one line for each contract. A channel that holds messages keeps the terms under
-    which they were taken: terms are stored with the channel, also across restarts and moves."""
+    """Describe which terms a reload changes, one line for each contract that is added, removed or changed. Changes of
+    the order of contracts, and of which messages they match, are not described. A channel that holds messages keeps the
+    terms under which they were taken: terms are stored with the channel, also across restarts and moves."""
     lines = []
     for name in dict.fromkeys([*old.names(), *new.names()]):
         before, after = old.named(name), new.named(name)
--- a/wheelstep/channels/shelf.py
+++ b/wheelstep/channels/shelf.py
@@ -15,7 +15,7 @@
 from wheelstep.channels.terms import Contract, End
 
 MARK_PREFIX = ":c"  # prefix of the mark that holds a channel's position
-INHERITED = " inherited"  # stands for a channel's name, which never starts with a space
+INHERITED = " inherited"  # in place of a channel's name, which never starts with a space: the mark of inherited parts
 _END_OUTCOMES = {"delivered": "delivered", "failed": "failed"}  # with any other, the message never ran: "refused"
 
 
@@ -103,7 +103,8 @@
             heapq.heappush(self._expiries, (check_ms, next(self._serials), queue))
 
     def next_ms(self) -> int | None:
-        """Return when `release` has to be called again: 0 for now, None for never."""
+        """Return the time in milliseconds at which `release` has to be called again: 0 for now, None for not before the
+        next change."""
         if self._release_due:
             return 0
         return min((heap[0][0] for heap in (self._timers, self._expiries) if heap), default=None)
--- a/wheelstep/channels/terms.py
+++ b/wheelstep/channels/terms.py
@@ -21,13 +21,13 @@
     name: str
     order: Order
     open: _Limit = 1  # limit of messages in flight; not used with order "none"
-    gap: Gap = "hold"
-    gap_after_ms: _Ms = 0
-    repeat: Repeat = "may"
-    unclear: Unclear = "hold"
+    gap: Gap = "hold"  # a message above a missing number waits, has the number skipped, or (fail) is not accepted
+    gap_after_ms: _Ms = 0  # how long a number must be missing before it is skipped, for gap "skip"
+    repeat: Repeat = "may"  # "once": no further attempt after one with an unknown outcome
+    unclear: Unclear = "hold"  # after such an attempt, later messages wait for its message's end, wait `rest_ms`, or go
     rest_ms: _Ms = 0
     ahead: _Limit = 16  # how far above the next number a message may be; 0 accepts no gap
-    keep_ms: _Ms = 3_600_000
+    keep_ms: _Ms = 3_600_000  # how long a channel without messages is kept after its last change
 
 
 class Accept(msgspec.Struct, frozen=True):
@@ -49,9 +49,9 @@
 class Reject(msgspec.Struct, frozen=True):
     """The message is not taken.
 
-    `why`: "beyond" (the number is too far ahead, or so old that its outcome is no longer recorded), "old-session" (a
-    later connection has a higher epoch), "other-message" (the number or the message is already paired differently),
-    "full" (try again later) or "skipped" (the number never runs).
+    `why`: "beyond" (the number is too far ahead, so old that its outcome is no longer recorded, or lost: only a former
+    owner has its message), "old-session" (a later connection has a higher epoch, `session`), "other-message" (the
+    number or the message is already paired differently), "full" (try again later) or "skipped" (the number never runs).
     """
 
     why: str
--- a/wheelstep/cli/account_commands.py
+++ b/wheelstep/cli/account_commands.py
@@ -23,7 +23,7 @@
 def run(args: argparse.Namespace) -> int:
     """Run a parsed command and return its exit code.
 
-    Raises `InputError` where a log can't be read, holds no lines of the account, or doesn't mention the message.
+    Raises `InputError` if a log can't be read, or if none of the logs has lines of the account or mentions the message.
     """
     files = list(_files(args.logs))
     builder = AccountBuilder()
--- a/wheelstep/cli/check_commands.py
+++ b/wheelstep/cli/check_commands.py
@@ -63,7 +63,8 @@
 def verify(args: argparse.Namespace) -> int:
     """Judge a saved history again, or check a record.
 
-    Returns the verdict's exit code for a history; for a record `BAD_INPUT` if it is damaged, else `OK`.
+    Returns the verdict's exit code for a history; for a record `BAD_INPUT` if it is damaged, else `OK`. Raises
+    `InputError` if the file can't be read or is neither of them, and `HistoryError` for an invalid history.
     """
     path = Path(args.file)
     try:
--- a/wheelstep/cli/journal_commands.py
+++ b/wheelstep/cli/journal_commands.py
@@ -14,7 +14,8 @@
 def run(args: argparse.Namespace) -> int:
     """Run a parsed command; return `OK`, or `BROKEN` if `verify` found damage.
 
-    Raises `InputError` if the folder is in use or not a journal's.
+    Raises `InputError` if the folder is in use, not a journal's or can't be read or written, or if the journal is too
+    damaged for the command.
     """
     folder = Path(args.folder)
     try:
--- a/wheelstep/cli/playing.py
+++ b/wheelstep/cli/playing.py
@@ -53,7 +53,9 @@
 def play(plan: Plan, command: str, name: str, screen: Screen, orderly: bool = False) -> Result:
     """Play a plan against a courier and judge the history.
 
-    SIGTERM ends it as Ctrl-C does: all processes are stopped. Raises the soft limit of open files where allowed.
+    `name` is the courier's in reports. With `orderly` the couriers get SIGTERM at the end and time to exit, else
+    SIGKILL. SIGTERM ends the rehearsal as Ctrl-C does: all processes are stopped, and `KeyboardInterrupt` is raised.
+    Increases the soft limit of open files where allowed. Raises `NoStartError` if the command can't be started.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     target = _OPEN_FILES if hard == resource.RLIM_INFINITY else min(hard, _OPEN_FILES)
--- a/wheelstep/rehearsal/fleet/looks.py
+++ b/wheelstep/rehearsal/fleet/looks.py
@@ -16,7 +16,8 @@
 
 async def read_positions(addresses: Mapping[str, tuple[str, int]], channels: Sequence[str],
                now_us: Callable[[], int]) -> list[Looked]:
-    """Ask every courier for every channel's position. A request that gets no answer is left out of the result."""
+    """Ask every courier for every channel's position. A request that gets no answer is left out of the result. An owner
+    that has no position of the channel counts as status 200 with `next` 0."""
     rows = await asyncio.gather(*(_read_positions_of(name, addresses[name], channels, now_us)
                                   for name in sorted(addresses)))
     return [row for part in rows for row in part]
--- a/wheelstep/rehearsal/fleet/rules.py
+++ b/wheelstep/rehearsal/fleet/rules.py
@@ -87,7 +87,8 @@
 
 
 def check_gaps(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
-    """Yield calls that begin while a lower number has not ended, unless the contract lets it be skipped by then."""
+    """Yield calls that begin while a lower number has not ended, unless that was called in the same window, was lost
+    with its courier, or may be skipped by then under the contract."""
     contract = evidence.history.contract_of(name)
     if contract.order not in ("strict", "window") or not channel.calls:
         return
@@ -129,7 +130,7 @@
 
 def check_numbers(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
     """Yield numbers that were accepted for two messages, accepted messages without an end, calls under a number that is
-    not the message's, and calls after the number's end.
+    not the message's, calls after the number's end, and repeated calls that are not allowed.
     """
     submission_of = {asked.message: asked for asked in channel.submissions}
     delivered = {call.message for call in channel.calls if call.delivered}
@@ -203,7 +204,7 @@
 
 
 def check_owner(evidence: Evidence, name: str, channel: ChannelFacts) -> Iterable[Breach]:
-    """Yield a channel that no courier, or more than one, serves at the end of the rehearsal."""
+    """Yield a channel with accepted messages that no courier, or more than one, serves at the end of the rehearsal."""
     last = [row for row in channel.position_reads if row.last]
     if not last or not channel.accepted:
         return
--- a/wheelstep/rehearsal/lateness.py
+++ b/wheelstep/rehearsal/lateness.py
@@ -13,7 +13,8 @@
 
 
 async def record_lateness(couriers: Sequence[Courier], history: History, now_us: Callable[[], int]) -> None:
-    """Record in the history when the event loop or a courier's process waited for a core; runs until cancelled."""
+    """Record in the history when the event loop was late, or a courier's process waited for a core, by at least
+    5 ms in an interval; runs until cancelled."""
     loop = asyncio.get_running_loop()
 
     def record(who: str, late_us: int) -> None:
--- a/wheelstep/rehearsal/planned.py
+++ b/wheelstep/rehearsal/planned.py
@@ -18,11 +18,11 @@
 class Limit:
     """What a partner accepts from all couriers together: a rate, or a count in each `window_us`."""
 
-    per_s: float
-    window_us: int = 0
-    refused_count: bool = False
-    wait_us: int = 0
-    report: bool = True
+    per_s: float  # messages per second
+    window_us: int = 0  # 0: a rate without windows
+    refused_count: bool = False  # a rejected call counts as one message
+    wait_us: int = 0  # shortest wait that a rejection announces; 0: none is announced
+    report: bool = True  # answers carry X-Load
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,15 +31,15 @@
 
     name: str
     destination: int
-    kind: int
+    kind: int  # index into the kinds of the settings
     endpoints: tuple[str, ...]
     lanes: int
-    queue: int
+    queue: int  # calls that may wait for a lane; more are rejected
     pace_us: int
     limit: Limit | None = None
     connections: int = 0  # per endpoint; 0: no limit
-    run_on: bool = False
-    key_memory: bool = True
+    run_on: bool = False  # cancelled calls run on
+    key_memory: bool = True  # repeats of a token have no effect
 
     @property
     def per_s(self) -> float:
@@ -54,12 +54,12 @@
 
     at_us: int
     number: int
-    courier: int
+    courier: int  # index
     message_class: str
     destination: int
-    key: str | None
-    token: str | None
-    size: int
+    key: str | None  # of its order; None in classes without order
+    token: str | None  # idempotency key; None: none
+    size: int  # of the body, in bytes
     work: float
     luck: float  # random number for the client's decisions
     fresh: bool = False  # submitted on a new connection
@@ -78,10 +78,10 @@
     until_us: int
     endpoints: tuple[str, ...] = ()
     couriers: tuple[int, ...] = ()
-    share: float = 1.0
-    when: str = "after"
-    wait_us: int = 0
-    worker: int = 0
+    share: float = 1.0  # of the calls; for a soak's faults as `FaultPage` defines it
+    when: str = "after"  # reset: "before" or "after" the call's last byte
+    wait_us: int = 0  # shut: announced by each rejection
+    worker: int = 0  # index at its courier
     every_us: int = 0
     stops_us: tuple[tuple[int, int], ...] = ()  # stall: begin and end of each stop
     told_us: tuple[int, ...] = ()  # discovery's delay to each courier
@@ -97,17 +97,17 @@
     couriers: int
     length_us: int
     end_us: int  # every message's deadline has passed by then
-    ready_within_us: int
+    ready_within_us: int  # limit from a courier's start until it is ready
     figures: Figures
     settings: dict[str, Any]  # for the couriers, in the form of their configuration
     partners: tuple[Partner, ...]
     arrivals: tuple[Arrival, ...]
     faults: tuple[Fault, ...]
-    retries: int
-    honour: float
-    backoff_us: tuple[int, int]
-    crowd: int
-    luck: tuple[float, ...]
+    retries: int  # of a message, after rejections
+    honour: float  # share of retries that wait as Retry-After says
+    backoff_us: tuple[int, int]  # range of the delay of other retries
+    crowd: int  # extra idle connections per courier
+    luck: tuple[float, ...]  # random numbers, used in turn by each endpoint
 
     def digest(self) -> str:
         """Return a short hash of the plan."""
--- a/wheelstep/rehearsal/replay.py
+++ b/wheelstep/rehearsal/replay.py
@@ -18,11 +18,11 @@
 
 def replay(record: Record, seed: int, speed: float = 1.0, source: str = "record",
            scenario: Scenario | None = None) -> Plan:
-    """Return a plan that submits the messages of a record.
+    """Return a plan that submits the messages of a record; those of classes missing from its settings are left out.
 
     Partners and faults come from `scenario`, matched by the number of the destination. Without a scenario, partners
-    are made from the recorded endpoint list, with twice the capacity that the record needs. Raises `ScenarioError` if
-    a recorded destination has no partner.
+    are made from the recorded endpoint list, with at least twice the capacity that the record needs. Raises
+    `ScenarioError` if a recorded destination has no partner.
     """
     scale = Scale(speed)
     rng = random.Random(f"{source}/{seed}")
--- a/wheelstep/rehearsal/rules/lost.py
+++ b/wheelstep/rehearsal/rules/lost.py
@@ -10,7 +10,8 @@
 
 
 def findings(evidence: Evidence) -> Iterable[Finding]:
-    """Yield messages with no terminal outcome, a late one or two different ones, and clients without an answer."""
+    """Yield accepted messages with no terminal outcome, a late one or two different notifications, and submissions
+    whose connection was closed without an answer while the courier was available."""
     for name, message in evidence.messages.items():
         courier = message.submission.courier
         answer = message.answer
--- a/wheelstep/rehearsal/scale/settings.py
+++ b/wheelstep/rehearsal/scale/settings.py
@@ -12,9 +12,9 @@
 CLASSES = ("note", "pay", "order", "once")  # safe; idempotent by key; the same and ordered; unsafe to repeat
 CLASS_SHARES = (0.5, 0.2, 0.2, 0.1)
 IS_ORDERED = {name: name == "order" for name in CLASSES}
-KEYS_PER_DESTINATION = 4
+KEYS_PER_DESTINATION = 4  # keys of the ordered class
 DEADLINE_S = 20.0  # of a message, from its submission
-NAMES = Names(CLASSES, ("k",), ("a",), ("x0", "x1"))
+NAMES = Names(CLASSES, ("k",), ("a",), ("x0", "x1"))  # classes, kinds, zones, columns of load reports
 
 
 def courier_settings(couriers: int) -> dict[str, Any]:
--- a/wheelstep/rehearsal/scale/shelf.py
+++ b/wheelstep/rehearsal/scale/shelf.py
@@ -53,7 +53,7 @@
         return self.held_by_shard
 
     def owed_keys(self, shard: int) -> Sequence[OwedKey]:
-        """Return the ordered keys of the messages held for the shard."""
+        """Return the ordered keys of the messages held for the shard, each with the longest time left to a deadline."""
         left_us_by_key: dict[tuple[int, str, str], int] = {}
         now_ms = int(time.time() * 1000)
         for message in self.held.values():
@@ -81,8 +81,8 @@
         return self._notes.get(shard, ()), ()
 
     def adopt(self, healths: Sequence[EndpointHealth], waits: Sequence[tuple[str, int]]) -> None:
-        """Adopt the endpoint health that another courier has learned; endpoints that are not listed here are
-        skipped."""
+        """Adopt the endpoint health that another courier has learned; endpoints that are not listed here are skipped,
+        and `waits` are ignored."""
         for adopted in healths:
             if adopted.endpoint in self.listed_endpoints:
                 health = api.Health(*adopted.fields)  # type: ignore[arg-type]
--- a/wheelstep/rehearsal/shard_world/reach.py
+++ b/wheelstep/rehearsal/shard_world/reach.py
@@ -20,8 +20,8 @@
 
 @dataclass(slots=True)
 class ReachabilityTracker:
-    """Tracks since when each courier and control machine can reach each other without a break. `update` must be called
-    whenever a fault begins or ends."""
+    """Tracks since when each courier and control machine can reach each other without a break: no loss and no added
+    delay between them. `update` must be called whenever a fault begins or ends."""
 
     world: World
     fabric: Fabric
@@ -46,8 +46,9 @@
                     self._reachable_since_us.setdefault(pair, self.world.now_us)
 
     def drain_delay_us(self, courier: str, endpoint: str) -> int:
-        """Return for how long a drained endpoint could have been known to the courier: the longest time since a control
-        machine knew of the drain and the two could reach each other. 0 if the endpoint serves, or if there is none."""
+        """Return for how long a drained endpoint could have been known to the courier: the longest time in
+        microseconds since a control machine knew of the drain and the two could reach each other. 0 if the endpoint
+        serves, or if there is no such control machine."""
         seq = self.discovery.unavailable_since_seq.get(endpoint)
         if seq is None:
             return 0
--- a/wheelstep/rehearsal/simulation/check.py
+++ b/wheelstep/rehearsal/simulation/check.py
@@ -70,7 +70,7 @@
         return message in self.excused_messages or message.split("#")[0] in self.excused_channels
 
     def on_part_opened(self, courier: str, part: int, epoch: int) -> None:
-        """Note that a courier serves a part from now on; an epoch may have one owner only."""
+        """Check that a courier that serves a part, or sends for it, is the only one to do so under this epoch."""
         self.counts["opened"] += 1
         owner = self._owners_by_epoch.setdefault((part, epoch), courier)
         if owner != courier:
--- a/wheelstep/rehearsal/soak/courier.py
+++ b/wheelstep/rehearsal/soak/courier.py
@@ -83,7 +83,8 @@
     # --- faults ---
 
     async def apply_fault(self, fault: Fault) -> None:
-        """Apply one fault to this courier and return when it is over. Kinds that it does not know are ignored."""
+        """Apply one fault to this courier and return when it is over. A clock offset stays; an upgrade is over once the
+        new process is ready or has failed to be. Unknown kinds are ignored."""
         duration_s = (fault.until_us - fault.at_us) / 1e6
         match fault.kind:
             case "upgrade":
--- a/wheelstep/rehearsal/soak/run.py
+++ b/wheelstep/rehearsal/soak/run.py
@@ -27,7 +27,8 @@
 
     @property
     def clean(self) -> bool:
-        """Whether no rule was broken, no suspect line was logged, and at least one message was accepted."""
+        """Whether no rule was broken, no suspect line was logged, and at least one message was accepted. An
+        inconclusive run may be clean."""
         return self.ruling is not Ruling.BROKEN and not self.suspect_lines and self.counts.get("accepted", 0) > 0
 
 
--- a/wheelstep/rehearsal/standins/platform.py
+++ b/wheelstep/rehearsal/standins/platform.py
@@ -18,7 +18,7 @@
 
 
 def row(host: str, dial: str, block: int, kind: str, health: str = "SERVING", site: str = "a") -> Row:
-    """Return an endpoint's row of discovery's list."""
+    """Return an endpoint's row of discovery's list: `dial` is its address, `block` its destination."""
     return {"host": host, "dial": dial, "site": site, "class": kind, "block": block, "health": health, "share": 1.0,
             "born_ms": 0}
 
@@ -26,7 +26,8 @@
 class Agent:
     """Discovery's agent of one courier. `on_notice` is called with each accepted notification.
 
-    `down` stops lists and changes; with `accepts_notices` off, notifications are answered 503.
+    `down` stops lists and changes on watches, but a list request without a watch is still answered. With
+    `accepts_notices` off, notifications are answered 503.
     """
 
     def __init__(self, courier: str, history: History, now_us: Callable[[], int],
--- a/wheelstep/rehearsal/standins/process.py
+++ b/wheelstep/rehearsal/standins/process.py
@@ -30,7 +30,7 @@
     """One courier through all its restarts. `command` is a program that implements the RELAY_* environment.
 
     `configure` returns the configuration for a listening address. `ready_s` limits the time until the process is
-    ready. `suspect` lists lines of the log that point to a fault of the program.
+    ready. `suspect` lists lines of the log that point to a fault of the program; only `SoakCourier` fills it.
     """
 
     def __init__(self, name: str, command: str, folder: Path, history: History, now_us: Callable[[], int],
@@ -193,7 +193,8 @@
         self._record_turn(Turn.RESUMED)
 
     def signal_worker(self, worker: int, number: int) -> None:
-        """Send a signal to one of the process's children, counted in the order of their command lines."""
+        """Send signal `number` to one of the process's children; `worker` is its index in the order of their command
+        lines, modulo their count. The fault is recorded even if there is no child."""
         self._record_turn(Turn.WORKER_DOWN)
         if self.process is not None and self.process.returncode is None:
             parts = children(self.process.pid)
