--- a/tests/test_channel_book.py
+++ b/tests/test_channel_book.py
@@ -105,7 +105,7 @@
         self.models = {self.name: ModelChannel(contract)}
         self.sessions = dict.fromkeys(NAMES, 0)
         self.confirmed: dict[str, tuple[int, str, int, int]] = {}  # message -> records at 202, contract, number, next
-        self.ended_at: dict[str, list[int]] = {}  # message -> number of records before each of its ends
+        self.ended_at: dict[str, list[int]] = {}  # message -> records before each end: it may be handed in again
         self.places: dict[str, tuple[str, int]] = {}
         self.nexts = dict.fromkeys(NAMES, 1)
 
--- a/tests/test_channel_kept.py
+++ b/tests/test_channel_kept.py
@@ -23,7 +23,7 @@
     def __init__(self, disk: FaultyDisk) -> None:
         self.disk = disk
         self.accepted: dict[int, str] = {}  # number -> message whose client received 202
-        self.ended: set[str] = set()  # messages whose end was decided
+        self.ended: set[str] = set()  # messages whose end was decided; added before the journal hears of it
 
     def open(self, disk: FaultyDisk) -> tuple[ChannelTable, ChannelJournal]:
         """Restore as a courier does at its start."""
--- a/wheelstep/channels/book.py
+++ b/wheelstep/channels/book.py
@@ -24,7 +24,7 @@
     def __init__(self, contracts: Contracts, parts: int, max_channels: int, now_ms: int) -> None:
         super().__init__(contracts, parts, max_channels, now_ms)
         self._last_offer: tuple[str, str, int] | None = None  # channel, message and number of the last `Accept`
-        self._last_offer_terms: tuple[Contract, bool, int | None] | None = None  # contract, number assigned, session
+        self._last_offer_terms: tuple[Contract, bool, int | None] | None = None  # contract, whether assigned, session
 
     # --- admission ---
 
--- a/wheelstep/channels/front.py
+++ b/wheelstep/channels/front.py
@@ -200,7 +200,7 @@
     # --- waiting messages ---
 
     def watch_deadline(self, message: StoredMessage) -> None:
-        """Watch the deadline of a message, which may pass before the message is released."""
+        """Watch the deadline of a message, which may pass before its release. The entry stays until the deadline."""
         heapq.heappush(self._deadlines, (message.deadline_ms - _EXPIRY_MARGIN_MS, message.id))
         self.wake()
 
--- a/wheelstep/channels/parts.py
+++ b/wheelstep/channels/parts.py
@@ -91,7 +91,7 @@
             queue.position.merge_former(former)
         else:
             former.mark_held_lost()
-            if queue is not None:  # of several former owners, the position with the higher `next` counts
+            if queue is not None:  # none of several former owners need be the last: the higher `next` counts
                 former.merge_former(queue.position)
                 former.revision = max(former.revision, queue.position.revision) + 1
                 self._forget(queue)
--- a/wheelstep/channels/shelf.py
+++ b/wheelstep/channels/shelf.py
@@ -33,7 +33,7 @@
         self._inherited: set[int] = set()  # parts of which a former owner has positions that are missing here
         self._release_due: dict[str, None] = {}  # names of channels that `release` has to visit
         self._timers: list[tuple[int, int, ChannelQueue]] = []  # heap; entries may be obsolete
-        self._expiries: list[tuple[int, int, ChannelQueue]] = []  # heap: when a channel may be forgotten
+        self._expiries: list[tuple[int, int, ChannelQueue]] = []  # heap, one per channel: when it may be forgotten
         self._serials = count()
         self._changed_names: dict[str, None] = {}
         self.unreadable: list[str] = []  # a line for each mark that `restore` could not use
--- a/wheelstep/rehearsal/broken/__init__.py
+++ b/wheelstep/rehearsal/broken/__init__.py
@@ -1,7 +1,7 @@
 """Couriers that break one rule each: our courier with one behaviour replaced. They show that the judge detects it.
 
-`python -m wheelstep.rehearsal.broken NAME` runs one. The modules of this package import the daemon and patch it in
-the courier's own process, one module per rule; the package itself and the rest of the kit don't import the daemon.
+`python -m wheelstep.rehearsal.broken NAME` runs one. The modules of this package, one per rule, import the
+daemon and patch it, so they are imported only in the courier's own process. The package itself doesn't import it.
 """
 
 from __future__ import annotations
--- a/wheelstep/rehearsal/evidence.py
+++ b/wheelstep/rehearsal/evidence.py
@@ -143,7 +143,7 @@
     """Return the spans from an interruption of a courier until it was ready or continued."""
     spans: list[tuple[int, int]] = []
     since_us: int | None = None
-    missing: set[Turn] = set()  # what has to follow: a pause may lie within a restart
+    missing: set[Turn] = set()  # events needed to end the span: a pause may lie within a restart
     for life in lives:
         if life.turn in _RECOVERED_BY:
             since_us = life.at_us if since_us is None else since_us
--- a/wheelstep/rehearsal/history.py
+++ b/wheelstep/rehearsal/history.py
@@ -55,7 +55,7 @@
 @dataclass(frozen=True, slots=True)
 class HandIn:
     """A client's submission, sent at `at_us`. `origin` is the number of the planned message, the same for all its
-    submissions.
+    submissions. The message's deadline passes at `deadline_us`, a time of the rehearsal.
     """
 
     at_us: int
@@ -82,7 +82,7 @@
 @dataclass(frozen=True, slots=True)
 class Call:
     """A call that an endpoint received completely. `fates` and `ran` have one entry per message; `ran` says which
-    messages the endpoint has processed.
+    messages the endpoint had processed by `ended_us`.
     """
 
     courier: str
@@ -92,7 +92,7 @@
     last_us: int
     messages: tuple[str, ...]
     how: How
-    ended_us: int  # when the answer was sent or the connection ended
+    ended_us: int  # the time of the answer's first byte, or of the connection's end
     fates: tuple[Fate, ...]
     ran: tuple[bool, ...] = ()
     wait_us: int = 0  # the wait that the answer announced
--- a/wheelstep/rehearsal/progress.py
+++ b/wheelstep/rehearsal/progress.py
@@ -31,7 +31,10 @@
         self._completed: set[str] = set()
 
     def has_pending(self) -> bool:
-        """Return whether any accepted message has no terminal outcome yet. Also updates the progress."""
+        """Return whether any accepted message has no terminal outcome yet, and update the progress.
+
+        Reads each fact once.
+        """
         for fact in itertools.islice(self._history.facts, self._facts_read, None):
             if isinstance(fact, Answer) and fact.status in (200, 202):
                 self._accepted.add(fact.message)
--- a/wheelstep/rehearsal/replay.py
+++ b/wheelstep/rehearsal/replay.py
@@ -66,7 +66,8 @@
 
 
 def _scale_settings(value: Any, speed: float) -> None:
-    """Divide every time in the settings, at any depth, by `speed`, except for the interval of the core's tick."""
+    """Divide every time in the settings, at any depth, by `speed`, except for the interval of the core's tick: it
+    depends on the machine."""
     if isinstance(value, dict):
         for name, item in value.items():
             if name.endswith("_us") and name != "tick_us" and isinstance(item, int | float):
--- a/wheelstep/rehearsal/report.py
+++ b/wheelstep/rehearsal/report.py
@@ -33,7 +33,7 @@
     courier: str
 
     def canonical(self) -> str:
-        """Return the verdict as canonical JSON, without figures that vary between runs."""
+        """Return the verdict as canonical JSON, without figures that vary between runs of the same seed."""
         return self.verdict.canonical(scenario=self.plan.scenario, seed=self.plan.seed, plan=self.plan.digest())
 
     def as_dict(self) -> dict[str, Any]:
--- a/wheelstep/rehearsal/rig.py
+++ b/wheelstep/rehearsal/rig.py
@@ -65,7 +65,7 @@
     """Play a plan against a courier's command and return the result.
 
     With `orderly` the couriers get SIGTERM at the end and time to exit, else SIGKILL. `limits` overrides the couriers'
-    default limits. Raises `NoStartError` if the command can't be started.
+    default limits; `courier_type` is the class of each courier. Raises `NoStartError` if the command can't be started.
     """
     with tempfile.TemporaryDirectory(prefix="umberchute-") as folder, _reduced_gc():
         rig = _Rig(plan, command, Path(folder), limits or {}, on_progress, courier_type)
--- a/wheelstep/rehearsal/rules/returns.py
+++ b/wheelstep/rehearsal/rules/returns.py
@@ -12,7 +12,7 @@
 
 
 def findings(evidence: Evidence) -> Iterable[Finding]:
-    """Yield overloads of cold endpoints, if two thirds of the calls came from couriers that saw the outage."""
+    """Yield overloads of cold endpoints, if at least two thirds of the load came from couriers that saw the outage."""
     loads: dict[str, list[tuple[int, float, str]]] = defaultdict(list)
     failed: dict[int, list[tuple[int, str, str]]] = defaultdict(list)  # by destination: time, courier, endpoint
     for call in evidence.calls:
--- a/wheelstep/rehearsal/standins/platform.py
+++ b/wheelstep/rehearsal/standins/platform.py
@@ -12,7 +12,7 @@
 from wheelstep.rehearsal.standins.wire import Port, Request, Server
 
 _HEARTBEAT_S = 2.0  # interval of empty lines on a watch
-_ASSUMED_TOLD_US = 6_000_000  # a change counts as told after this time even if no watch was open
+_ASSUMED_TOLD_US = 6_000_000  # a change counts as told after this time, even with no watch or discovery down
 OUTCOMES = ("given_up", "handed_back")
 Row = dict[str, Any]
 
--- a/wheelstep/rehearsal/standins/wire.py
+++ b/wheelstep/rehearsal/standins/wire.py
@@ -239,7 +239,7 @@
         self._bound = self._bind(self.port)
 
     def drop_connections(self) -> None:
-        """Listen with the shortest accept queue and accept nothing: once it is full, Linux ignores new connections."""
+        """Listen with an accept queue of one and accept nothing: once it is full, Linux ignores new connections."""
         self._bound.listen(0)
 
     def close(self) -> None:
