--- a/wheelstep/courier/pool.py
+++ b/wheelstep/courier/pool.py
@@ -97,7 +97,7 @@
         """Return how long a connection may idle before a call that cannot be repeated is at risk on it.
 
         Protects such calls from an endpoint that closes idle connections early, where that was observed: as
-        `Outcomes._safe_us` does for closures that are not observed. While remembered it costs connection
+        `Outcomes._max_idle_us` does for closures that are not observed. While remembered it costs connection
         handshakes, also where an endpoint closed all connections for another reason.
         """
         return min(self._max_idle_s, host.safe_idle_s + (time.monotonic() - host.learned_at_s) / 10)
--- a/wheelstep/shards/handoff.py
+++ b/wheelstep/shards/handoff.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """Adopt what another courier has learned: see `Shelf.adopt`."""
+    """Adopt what another courier has learned: see `CourierPort.adopt`."""
 
     shard: int
     healths: tuple[EndpointHealth, ...]
