--- a/wheelstep/rehearsal/fleet/broken/__init__.py
+++ b/wheelstep/rehearsal/fleet/broken/__init__.py
@@ -1,7 +1,7 @@
 """Broken variants of a fleet's courier, to show that the judge finds each kind of breach.
 
 Each variant replaces one behaviour of our courier in the courier's own process. There is one module for each package
-that is patched; only these modules import the daemon.
+that is patched; these modules import the daemon, the package itself does not.
 """
 
 from __future__ import annotations
