--- a/tests/test_fleet_judge_days.py
+++ b/tests/test_fleet_judge_days.py
@@ -10,7 +10,7 @@
 
 from tests.fleet_history import MS, HistoryBuilder, S
 from wheelstep.rehearsal.fleet.evidence import FleetRule
-from wheelstep.rehearsal.fleet.history import Looked, Touch
+from wheelstep.rehearsal.fleet.history import Asked, Looked, Touch
 from wheelstep.rehearsal.fleet.judge import judge_fleet
 from wheelstep.rehearsal.history import Fate
 from wheelstep.rehearsal.judge import Ruling
@@ -81,7 +81,9 @@
         case FleetRule.ORDER:
             builder.call(last + 1, end_us, 99, "c9", channel).call(last, end_us + S, 99, "c9", channel)
         case FleetRule.GAPS:
-            builder.submit(last + 3, end_us, channel).call(last + 3, end_us + S, 99, "c9", channel)
+            # Numbers after the last call may have ended without one, and are no gap.
+            highest = max(fact.number for fact in facts if isinstance(fact, Asked) and fact.channel == channel)
+            builder.submit(highest + 3, end_us, channel).call(highest + 3, end_us + S, 99, "c9", channel)
         case FleetRule.NUMBERS:
             builder.call(number, end_us, 99, "c9", channel)
         case FleetRule.OWNER:
