--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -8,7 +8,6 @@
 import os
 import re
 import signal
-import socket
 import sys
 from collections.abc import Awaitable, Callable, Coroutine
 from dataclasses import dataclass, field
@@ -16,6 +15,7 @@
 from typing import Any
 
 import aiohttp
+from ports import free_address
 
 from wheelstep.rehearsal.history import Figures, History
 from wheelstep.rehearsal.standins import wire
@@ -175,13 +175,6 @@
 ALONE: dict[str, Any] = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "per_call": [1]}}  # one message per call
 
 
-def free_address() -> str:
-    """Return an address that is free at the moment."""
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{found.getsockname()[1]}"
-
-
 started: list[asyncio.subprocess.Process] = []  # couriers of the running test; conftest.py kills those left
 
 
